--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -8,27 +8,27 @@
 // and all of them would be late, for as long as callers come back.
 func (b *Book) overloaded(best Choice, q Query) bool {
 	limit := time.Duration(b.options.ShedShare * float64(q.Target))
-	return q.PromptTokens <= b.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > leastTarget
+	return q.PromptTokens <= b.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > minTarget
 }
 
-// answerSpread is how much longer than expected an answer may take: callers' estimates of its length are
+// answerTimeFactor is how much longer than expected an answer may take: callers' estimates of its length are
 // often off by as much, and reads beside it make passes longer.
-const answerSpread = 2
+const answerTimeFactor = 2
 
 // outlasts says whether an answer may not be over when the entry that asks ends. Another entry can write
 // it to its end; here it would be cut off.
 func outlasts(best Choice, q Query) bool {
-	return q.Life > 0 && best.Predicted+answerSpread*best.Answering > q.Life
+	return q.Life > 0 && best.Predicted+answerTimeFactor*best.Answering > q.Life
 }
 
-// crowdsOut says whether a late long prompt that can wait no longer would cost others more
+// tooCostly says whether a late long prompt that can wait no longer would cost others more
 // than its late answer is worth. At the end of its time it would otherwise be read on up to
 // all servers at once, and every answer that is written there pauses until it is read.
-func (b *Book) crowdsOut(best Choice, q Query) bool {
+func (b *Book) tooCostly(best Choice, q Query) bool {
 	if q.PromptTokens <= b.options.ShortTokens || best.Predicted <= q.Target {
 		return false
 	}
-	return best.others > b.options.CrowdShare*(1-b.options.LateLoss)*b.value(q.PromptTokens)
+	return best.othersLoss > b.options.CrowdShare*(1-b.options.LateLoss)*b.value(q.PromptTokens)
 }
 
 // waitFor holds a prompt back at the entry while others, those that come next among
@@ -44,7 +44,7 @@
 	if next > q.Target {
 		share = b.options.WaitLateShare
 	}
-	if best.others+best.crowding > share*b.value(q.PromptTokens) {
+	if best.othersLoss+best.crowding > share*b.value(q.PromptTokens) {
 		return waitInterval
 	}
 	return 0
@@ -56,13 +56,13 @@
 
 // Times after which refused callers come back.
 const (
-	// serverReturn is the time in which a list of servers that is empty or lost is read
+	// serverRetryAfter is the time in which a list of servers that is empty or lost is read
 	// anew.
-	serverReturn = 500 * time.Millisecond
-	// memoryReturn is some answers' time: memory is freed when they end.
-	memoryReturn = time.Second
-	// slotReturn is the same for slots; a longer prediction goes before it.
-	slotReturn = time.Second
+	serverRetryAfter = 500 * time.Millisecond
+	// memoryRetryAfter is some answers' time: memory is freed when they end.
+	memoryRetryAfter = time.Second
+	// slotRetryAfter is the same for slots; a longer prediction goes before it.
+	slotRetryAfter = time.Second
 )
 
 // retryAfter is when the backlog that a refused request met will have been worked off.
@@ -71,9 +71,9 @@
 	case TooLate:
 		return met.Predicted / 2
 	case Overloaded:
-		return max(met.Predicted, slotReturn)
+		return max(met.Predicted, slotRetryAfter)
 	case NoMemory:
-		return memoryReturn
+		return memoryRetryAfter
 	}
-	return serverReturn
+	return serverRetryAfter
 }
--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -15,14 +15,14 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// work is one dispatch as one server sees it.
-type work struct {
+// workItem is one dispatch as one server sees it.
+type workItem struct {
 	dispatch *Dispatch
 	index    int // 0 at the server itself, else a helper's place
-	// readMs is what is left to read here, in milliseconds.
-	readMs float64
-	// readDone is when that came to an end by the book; zero before.
-	readDone time.Time
+	// prefillMs is what is left to read here, in milliseconds.
+	prefillMs float64
+	// prefillDone is when that came to an end by the book; zero before.
+	prefillDone time.Time
 	// writing says that the server writes the answer.
 	writing bool
 	memory  int64
@@ -30,26 +30,26 @@
 }
 
 // split says that several servers read the prompt.
-func (w *work) split() bool { return len(w.dispatch.Helpers) > 0 }
+func (w *workItem) split() bool { return len(w.dispatch.Helpers) > 0 }
 
 // server is what is believed of one backend server.
 type server struct {
-	id     string
-	engine *enginemodel.Engine
-	works  []*work
+	id        string
+	engine    *enginemodel.Engine
+	workItems []*workItem
 	// advanced is the time up to which readMs was worked off.
 	advanced time.Time
-	// newsAt is when something was last heard of it: a begin, a first event or an end.
-	newsAt time.Time
-	// answered is when the newest request began that has its first event.
-	answered time.Time
-	trust    trust
+	// updatedAt is when something was last heard of it: a begin, a first event or an end.
+	updatedAt time.Time
+	// lastAnswered is when the newest request began that has its first event.
+	lastAnswered time.Time
+	health       serverHealth
 }
 
-type active struct {
+type activeDispatch struct {
 	dispatch Dispatch
-	// from is the entry that told of it, empty for this one's own.
-	from    string
+	// peer is the entry that told of it, empty for this one's own.
+	peer    string
 	expires time.Time
 	began   time.Time
 	// predicted is the time to the first event that was expected.
@@ -62,13 +62,13 @@
 type Book struct {
 	options Options
 	servers map[string]*server
-	active  map[string]*active
+	active  map[string]*activeDispatch
 	packing packing
 }
 
 // NewBook returns an empty book.
 func NewBook(options Options) *Book {
-	return &Book{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*active{}}
+	return &Book{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
 }
 
 func (b *Book) server(id string, engine *enginemodel.Engine) *server {
@@ -94,15 +94,15 @@
 
 // Begin books a dispatch of this entry; engine is nil for a plain service.
 func (b *Book) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
-	b.begin(now, &active{dispatch: d, predicted: predicted}, engine)
+	b.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
 }
 
 // BeginFrom books a dispatch that another entry tells of.
 func (b *Book) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
-	b.begin(now, &active{dispatch: d, from: from}, engine)
+	b.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
 }
 
-func (b *Book) begin(now time.Time, a *active, engine *enginemodel.Engine) {
+func (b *Book) begin(now time.Time, a *activeDispatch, engine *enginemodel.Engine) {
 	d := &a.dispatch
 	if b.active[d.ID] != nil {
 		return
@@ -112,14 +112,14 @@
 	for index, id := range append([]string{d.Server}, d.Helpers...) {
 		s := b.server(id, engine)
 		s.advance(now)
-		s.newsAt = now
-		w := &work{dispatch: &a.dispatch, index: index, memory: a.dispatch.heldAt(index), began: now}
+		s.updatedAt = now
+		w := &workItem{dispatch: &a.dispatch, index: index, memory: a.dispatch.memoryAt(index), began: now}
 		if engine != nil && d.PromptTokens > 0 {
-			w.readMs = engine.ReadMs(d.PromptTokens, d.parts()) * s.trust.slowness()
+			w.prefillMs = engine.ReadMs(d.PromptTokens, d.parts()) * s.health.slowdown()
 		}
-		s.works = append(s.works, w)
+		s.workItems = append(s.workItems, w)
 		if engine != nil && index == 0 {
-			b.packing.begun(s.requests(), engine.Slots)
+			b.packing.observe(s.requests(), engine.Slots)
 		}
 	}
 }
@@ -137,25 +137,25 @@
 			continue
 		}
 		s.advance(now)
-		s.newsAt = now
-		for _, w := range s.works {
+		s.updatedAt = now
+		for _, w := range s.workItems {
 			if w.dispatch.ID == id {
-				w.readMs = 0
+				w.prefillMs = 0
 				w.writing = index == 0
 			}
 		}
-		s.dropDone()
+		s.removeFinishedParts()
 	}
 	s := b.servers[a.dispatch.Server]
 	if s == nil {
 		return
 	}
-	s.trust.shows(a.began)
-	if a.began.After(s.answered) {
-		s.answered = a.began
+	s.health.answered(a.began)
+	if a.began.After(s.lastAnswered) {
+		s.lastAnswered = a.began
 	}
 	if a.predicted > 0 {
-		s.observePace(now.Sub(a.began), a.predicted)
+		s.observeLatency(now.Sub(a.began), a.predicted)
 	}
 }
 
@@ -169,7 +169,7 @@
 	for _, name := range append([]string{a.dispatch.Server}, a.dispatch.Helpers...) {
 		if s := b.servers[name]; s != nil {
 			s.advance(now)
-			s.newsAt = now
+			s.updatedAt = now
 			s.remove(id)
 		}
 	}
@@ -178,7 +178,7 @@
 // EndFrom books that all that another entry told of is over: it has started anew.
 func (b *Book) EndFrom(now time.Time, from string) {
 	for id, a := range b.active {
-		if a.from == from {
+		if a.peer == from {
 			b.End(now, id)
 		}
 	}
@@ -195,24 +195,24 @@
 }
 
 func (s *server) remove(id string) {
-	kept := s.works[:0]
-	for _, w := range s.works {
+	kept := s.workItems[:0]
+	for _, w := range s.workItems {
 		if w.dispatch.ID != id {
 			kept = append(kept, w)
 		}
 	}
-	s.works = kept
+	s.workItems = kept
 }
 
-// dropDone forgets parts that are read and hold nothing.
-func (s *server) dropDone() {
-	kept := s.works[:0]
-	for _, w := range s.works {
-		if w.index == 0 || w.readMs > 0 || w.memory > 0 {
+// removeFinishedParts forgets parts that are read and hold nothing.
+func (s *server) removeFinishedParts() {
+	kept := s.workItems[:0]
+	for _, w := range s.workItems {
+		if w.index == 0 || w.prefillMs > 0 || w.memory > 0 {
 			kept = append(kept, w)
 		}
 	}
-	s.works = kept
+	s.workItems = kept
 }
 
 // advance works the backlog off up to now, in the engine's order. Beside answers
@@ -232,37 +232,37 @@
 	if batch := s.batch(); batch.Answers > 0 {
 		share = backlog / (backlog + s.engine.PassMs(batch))
 	}
-	share = math.Max(share, minReadShare)
+	share = math.Max(share, minPrefillShare)
 	left := elapsed * share
-	for _, w := range s.readOrder() {
-		done := math.Min(left, w.readMs)
-		w.readMs -= done
+	for _, w := range s.prefillOrder() {
+		done := math.Min(left, w.prefillMs)
+		w.prefillMs -= done
 		left -= done
-		if w.readMs == 0 {
-			w.readDone = now.Add(-enginemodel.Millis(left / share))
+		if w.prefillMs == 0 {
+			w.prefillDone = now.Add(-enginemodel.Millis(left / share))
 		}
 	}
 }
 
 const (
 	msPerSecond = 1000
-	// minReadShare keeps a small backlog beside many answers from lasting for
+	// minPrefillShare keeps a small backlog beside many answers from lasting for
 	// ever in the book: each pass reads all of it.
-	minReadShare = 0.5
+	minPrefillShare = 0.5
 )
 
-// readOrder returns the reads that wait, in the order in which the engine takes
+// prefillOrder returns the reads that wait, in the order in which the engine takes
 // them: parts of divided prompts go before all others, the newest first; whole
 // prompts follow in the order of their arrival.
-func (s *server) readOrder() []*work {
-	order := make([]*work, 0, len(s.works))
-	for i := len(s.works) - 1; i >= 0; i-- {
-		if w := s.works[i]; w.readMs > 0 && w.split() {
+func (s *server) prefillOrder() []*workItem {
+	order := make([]*workItem, 0, len(s.workItems))
+	for i := len(s.workItems) - 1; i >= 0; i-- {
+		if w := s.workItems[i]; w.prefillMs > 0 && w.split() {
 			order = append(order, w)
 		}
 	}
-	for _, w := range s.works {
-		if w.readMs > 0 && !w.split() {
+	for _, w := range s.workItems {
+		if w.prefillMs > 0 && !w.split() {
 			order = append(order, w)
 		}
 	}
@@ -272,8 +272,8 @@
 // backlogMs is what is left to read.
 func (s *server) backlogMs() float64 {
 	sum := 0.0
-	for _, w := range s.works {
-		sum += w.readMs
+	for _, w := range s.workItems {
+		sum += w.prefillMs
 	}
 	return sum
 }
@@ -281,7 +281,7 @@
 // batch is the answers being written.
 func (s *server) batch() enginemodel.Batch {
 	var batch enginemodel.Batch
-	for _, w := range s.works {
+	for _, w := range s.workItems {
 		if w.writing {
 			batch.Answers++
 			batch.ContextTokens += w.context()
@@ -292,7 +292,7 @@
 
 // context is how many tokens each step of the answer has to look at here: the
 // largest part of a prompt that is spread over reservations, else all of it.
-func (w *work) context() int64 {
+func (w *workItem) context() int64 {
 	if len(w.dispatch.Held) > 0 {
 		return w.dispatch.PromptTokens / int64(w.dispatch.parts())
 	}
@@ -303,7 +303,7 @@
 // no slot.
 func (s *server) requests() int {
 	count := 0
-	for _, w := range s.works {
+	for _, w := range s.workItems {
 		if w.index == 0 {
 			count++
 		}
@@ -314,7 +314,7 @@
 // memoryUsed is the KV memory that is taken, in tokens.
 func (s *server) memoryUsed() int64 {
 	sum := int64(0)
-	for _, w := range s.works {
+	for _, w := range s.workItems {
 		sum += w.memory
 	}
 	return sum
@@ -326,7 +326,7 @@
 func (b *Book) Open(now time.Time) (begun []Dispatch, first []string) {
 	for _, id := range slices.Sorted(maps.Keys(b.active)) {
 		a := b.active[id]
-		if a.from != "" || !now.Before(a.expires) {
+		if a.peer != "" || !now.Before(a.expires) {
 			continue
 		}
 		d := a.dispatch
@@ -347,7 +347,7 @@
 func (b *Book) OwnAt(holds func(id string) bool) int {
 	count := 0
 	for _, a := range b.active {
-		if a.from == "" && (holds(a.dispatch.Server) || slices.ContainsFunc(a.dispatch.Helpers, holds)) {
+		if a.peer == "" && (holds(a.dispatch.Server) || slices.ContainsFunc(a.dispatch.Helpers, holds)) {
 			count++
 		}
 	}
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -55,8 +55,8 @@
 	Wait time.Duration
 	// Unreachable says that no connection to Server could be made lately.
 	Unreachable bool
-	// others is the part of Loss that other requests bear.
-	others float64
+	// othersLoss is the part of Loss that other requests bear.
+	othersLoss float64
 	// crowding is what the read is expected to cost the requests that come next.
 	crowding float64
 	// slotsTaken says that all slots of the server are taken.
@@ -104,12 +104,12 @@
 	loss      float64 // distrust and distance
 }
 
-// leastTarget stands for the target of a request whose first event is due: losses are counted in targets.
-const leastTarget = time.Millisecond
+// minTarget stands for the target of a request whose first event is due: losses are counted in targets.
+const minTarget = time.Millisecond
 
 // Choose picks servers for a request. The refusal is empty if there is a choice.
 func (b *Book) Choose(now time.Time, q Query) (Choice, Refusal) {
-	q.Target = max(q.Target, leastTarget)
+	q.Target = max(q.Target, minTarget)
 	choice, refusal := b.choose(now, q)
 	if refusal != "" {
 		choice.RetryAfter = retryAfter(refusal, choice)
@@ -126,7 +126,7 @@
 		return b.choosePlain(now, candidates, q), ""
 	}
 	best, refusal := Choice{}, NoMemory
-	for _, parts := range partCounts(q.PromptTokens, b.mostParts(candidates, q)) {
+	for _, parts := range partCounts(q.PromptTokens, b.maxParts(candidates, q)) {
 		choice, ok := b.chooseParts(now, candidates, q, parts)
 		if ok && (refusal != "" || choice.Loss < best.Loss) {
 			best, refusal = choice, ""
@@ -145,17 +145,17 @@
 		best.crowding = b.crowding(candidates, q)
 		best.Wait = b.waitFor(best, q)
 	}
-	if refusal == "" && best.Wait == 0 && b.crowdsOut(best, q) {
+	if refusal == "" && best.Wait == 0 && b.tooCostly(best, q) {
 		return best, Overloaded
 	}
 	return best, refusal
 }
 
-// mostParts bounds the servers that read a prompt: every part goes before the reads
+// maxParts bounds the servers that read a prompt: every part goes before the reads
 // that wait at its server. More than the usual ones take part where these would read
 // for more than half of the time left, or for longer than the target while others
 // have nothing to read.
-func (b *Book) mostParts(candidates []*candidate, q Query) int {
+func (b *Book) maxParts(candidates []*candidate, q Query) int {
 	usual := b.options.UsualParts
 	reading := enginemodel.Millis(q.Engine.ReadMs(q.PromptTokens, usual))
 	most := usual
@@ -205,7 +205,7 @@
 		c := &all[i]
 		b.assess(now, q, listed, c)
 		found = append(found, c)
-		if !c.state.trust.isLeftAlone(now) {
+		if !c.state.health.inBackoff(now) {
 			reachable = append(reachable, c)
 		}
 	}
@@ -217,16 +217,16 @@
 	return found
 }
 
-// distrustLoss is the share of a request's value that a failing server loses:
+// failureLoss is the share of a request's value that a failing server loses:
 // part of the failures is mended by another try.
-const distrustLoss = 0.6
+const failureLoss = 0.6
 
 // assess fills in what a server is worth for a request.
 func (b *Book) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
 	s := b.server(listed.Start(), q.Engine)
 	s.advance(now)
 	*c = candidate{Server: listed, state: s, requests: s.requests()}
-	c.loss = s.trust.failShare(now) * distrustLoss * b.value(q.PromptTokens)
+	c.loss = s.health.currentFailureRate(now) * failureLoss * b.value(q.PromptTokens)
 	if listed.Zone != b.options.Zone {
 		c.loss += b.options.ZoneLoss
 	}
@@ -239,7 +239,7 @@
 	c.backlogMs, c.batch = s.waitingMs(now), s.batch()
 	c.free = int64(b.options.MemoryShare*float64(q.Engine.MemoryTokens)) - s.memoryUsed()
 	if c.batch.Answers > 0 {
-		c.passMs = q.Engine.PassMs(c.batch) * s.trust.slowness()
+		c.passMs = q.Engine.PassMs(c.batch) * s.health.slowdown()
 	}
 }
 
@@ -248,13 +248,13 @@
 	batch := c.batch
 	batch.Answers++
 	batch.ContextTokens += q.PromptTokens / int64(parts)
-	return enginemodel.Millis(q.Engine.AnswerMs(q.AnswerTokens, batch) * c.state.trust.slowness())
+	return enginemodel.Millis(q.Engine.AnswerMs(q.AnswerTokens, batch) * c.state.health.slowdown())
 }
 
-func (c *candidate) known(now time.Time) Known {
+func (c *candidate) load(now time.Time) Known {
 	known := Known{BacklogMs: c.backlogMs, Requests: c.requests}
-	if !c.state.newsAt.IsZero() {
-		known.Age = now.Sub(c.state.newsAt)
+	if !c.state.updatedAt.IsZero() {
+		known.Age = now.Sub(c.state.updatedAt)
 	}
 	return known
 }
@@ -272,7 +272,7 @@
 			best, lowest = c, loss
 		}
 	}
-	return Choice{Server: best.Server, Known: best.known(now), Unreachable: best.state.trust.isLeftAlone(now), Loss: lowest}
+	return Choice{Server: best.Server, Known: best.load(now), Unreachable: best.state.health.inBackoff(now), Loss: lowest}
 }
 
 // At returns the server that reads a part: 0 is Server, then the helpers.
--- a/core/placement/dispatch.go
+++ b/core/placement/dispatch.go
@@ -62,9 +62,9 @@
 // parts is how many servers read the prompt.
 func (d *Dispatch) parts() int { return len(d.Helpers) + 1 }
 
-// heldAt returns the memory that the dispatch takes on its server (index 0) or a
+// memoryAt returns the memory that the dispatch takes on its server (index 0) or a
 // helper, in tokens.
-func (d *Dispatch) heldAt(index int) int64 {
+func (d *Dispatch) memoryAt(index int) int64 {
 	if len(d.Held) == 0 {
 		if index == 0 {
 			return d.PromptTokens + d.AnswerTokens
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -12,49 +12,49 @@
 	return 1 + float64(promptTokens)/b.options.TokensPerValue
 }
 
-// harm is what a read does to the answers of a server: the chance that it makes their pause too
+// gapLoss is what a read does to the answers of a server: the chance that it makes their pause too
 // long, by their value. Pauses that are too long already count no more. An answer that is about to
 // begin counts like one that is being written: its first event comes while the new read waits, and the
 // read makes its first pause.
-func (b *Book) harm(c *candidate, readMs float64, split bool) float64 {
+func (b *Book) gapLoss(c *candidate, readMs float64, split bool) float64 {
 	sum := 0.0
-	for _, w := range c.state.works {
+	for _, w := range c.state.workItems {
 		gap := w.dispatch.Gap
-		if w.index != 0 || gap <= 0 || c.readsBefore(w, split) {
+		if w.index != 0 || gap <= 0 || c.prefillsBefore(w, split) {
 			continue
 		}
-		before := enginemodel.Millis(c.passMs+c.backlogMs-w.readMs) + b.options.GapMargin
+		before := enginemodel.Millis(c.passMs+c.backlogMs-w.prefillMs) + b.options.GapMargin
 		after := before + enginemodel.Millis(readMs)
-		sum += b.value(w.dispatch.PromptTokens) * b.options.LateLoss * (lateShare(after, gap) - lateShare(before, gap))
+		sum += b.value(w.dispatch.PromptTokens) * b.options.LateLoss * (lateProbability(after, gap) - lateProbability(before, gap))
 	}
 	return sum
 }
 
-// readsBefore says whether a new read is done before a prompt that waits to be read: an engine that
+// prefillsBefore says whether a new read is done before a prompt that waits to be read: an engine that
 // writes nothing takes up the newest part at once. The answer's first event is late by it then, and no
 // pause is longer.
-func (c *candidate) readsBefore(w *work, split bool) bool {
-	return split && w.readMs > 0 && c.batch.Answers == 0
+func (c *candidate) prefillsBefore(w *workItem, split bool) bool {
+	return split && w.prefillMs > 0 && c.batch.Answers == 0
 }
 
-// joinLoss is the cost of writing the answer here: full slots, the first answer at a server that
+// answerLoss is the cost of writing the answer here: full slots, the first answer at a server that
 // long prompts could be read on, and the gain of packing it beside answers that bear pauses alike.
 // Only answers that are being written draw others: they show that the server works, while one that
 // has just been chosen may be full of work that is not in the book. Packed answers leave whole servers
 // to the reading of long prompts. The gain shrinks with the part of the target that the choice would
 // use up: when many callers come back at once, packing would put their reads one behind the other on
 // one server while others are idle.
-func (b *Book) joinLoss(c *candidate, q Query) float64 {
+func (b *Book) answerLoss(c *candidate, q Query) float64 {
 	slots := float64(q.Engine.Slots)
 	share := float64(c.requests) / slots
 	if share >= 1 {
 		return b.value(q.PromptTokens) * share
 	}
 	alike, others := 0, 0
-	for _, w := range c.state.works {
+	for _, w := range c.state.workItems {
 		switch {
 		case w.index != 0:
-		case bearsAlike(w.dispatch.Gap, q.Gap):
+		case similarGaps(w.dispatch.Gap, q.Gap):
 			if w.writing {
 				alike++
 			}
@@ -75,35 +75,35 @@
 	return open + gain*float64(others-alike)
 }
 
-// alikeFactor is how far the pauses that two answers bear may lie apart for them
+// similarGapFactor is how far the pauses that two answers bear may lie apart for them
 // to be packed together.
-const alikeFactor = 2
+const similarGapFactor = 2
 
-func bearsAlike(a, b time.Duration) bool {
-	return a <= alikeFactor*b && b <= alikeFactor*a
+func similarGaps(a, b time.Duration) bool {
+	return a <= similarGapFactor*b && b <= similarGapFactor*a
 }
 
-// waitLoss spreads equal choices by what waits there.
-func (b *Book) waitLoss(q Query, c *candidate, readMs float64) float64 {
+// queueLoss spreads equal choices by what waits there.
+func (b *Book) queueLoss(q Query, c *candidate, readMs float64) float64 {
 	return b.value(q.PromptTokens) * b.options.LateLoss * 0.2 * (b.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
 }
 
-// delays are what a part costs the reads that wait at a server: an engine reads the newest part
+// delayLosses are what a part costs the reads that wait at a server: an engine reads the newest part
 // first, so all of them come later by as much. Without it, each new long prompt pushes the earlier
 // ones back until none is in time.
-func (b *Book) delays(now time.Time, c *candidate, readMs float64) []delay {
-	var found []delay
+func (b *Book) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
+	var found []delayLoss
 	ahead := c.passMs
-	for _, w := range c.state.readOrder() {
-		ahead += w.readMs
+	for _, w := range c.state.prefillOrder() {
+		ahead += w.prefillMs
 		target := w.dispatch.Target
 		if target <= 0 {
 			continue
 		}
 		end := now.Sub(w.began) + enginemodel.Millis(ahead)
-		share := lateShare(end+enginemodel.Millis(readMs), target) - lateShare(end, target)
+		share := lateProbability(end+enginemodel.Millis(readMs), target) - lateProbability(end, target)
 		if loss := b.value(w.dispatch.PromptTokens) * b.options.LateLoss * share; loss > 0 {
-			found = append(found, delay{w.dispatch, loss})
+			found = append(found, delayLoss{w.dispatch, loss})
 		}
 	}
 	return found
@@ -113,7 +113,7 @@
 // The backlog counts also for a divided prompt, which engines read before it: the
 // parts that come after it do the same to it.
 func (b *Book) firstEventMs(c *candidate, q Query, readMs float64) float64 {
-	readMs *= c.state.trust.slowness()
+	readMs *= c.state.health.slowdown()
 	wait := c.backlogMs
 	if over := c.requests - q.Engine.Slots + 1; over > 0 {
 		// A slot is free when the shortest of the running answers is done; half
@@ -131,16 +131,16 @@
 // a slope around the target because predictions err.
 func (b *Book) lateLoss(q Query, predicted time.Duration) float64 {
 	value := b.value(q.PromptTokens)
-	loss := value * b.options.LateLoss * lateShare(predicted, time.Duration(b.options.TargetShare*float64(q.Target)))
+	loss := value * b.options.LateLoss * lateProbability(predicted, time.Duration(b.options.TargetShare*float64(q.Target)))
 	if predicted > q.Remaining {
 		loss += value
 	}
 	return loss + value*0.05*predicted.Seconds()/q.Target.Seconds()
 }
 
-// lateShare is the believed chance that what is predicted for a time comes after a
+// lateProbability is the believed chance that what is predicted for a time comes after a
 // limit: a slope, because predictions err.
-func lateShare(predicted, limit time.Duration) float64 {
+func lateProbability(predicted, limit time.Duration) float64 {
 	return 1 / (1 + math.Exp(-(predicted.Seconds()-limit.Seconds())/(lateSlope*limit.Seconds())))
 }
 
@@ -153,12 +153,12 @@
 func (b *Book) crowding(candidates []*candidate, q Query) float64 {
 	busy := 0.0
 	for _, c := range candidates {
-		busy += math.Min(c.backlogMs/busyMs, 1)
+		busy += math.Min(c.backlogMs/busyBacklogMs, 1)
 	}
 	work := q.Engine.ReadMs(q.PromptTokens, 1) / msPerSecond
 	return b.options.WorkPrice * work * busy / float64(len(candidates))
 }
 
-// busyMs is the reading, in milliseconds, that makes a server one that next requests
+// busyBacklogMs is the reading, in milliseconds, that makes a server one that next requests
 // avoid.
-const busyMs = 200
+const busyBacklogMs = 200
--- a/core/placement/packing.go
+++ b/core/placement/packing.go
@@ -6,24 +6,24 @@
 type packing struct{ share float64 }
 
 const (
-	// packStep is by how much the share falls when a server has more requests than slots.
-	packStep = 0.02
-	// packOverflow is the part of the requests, at servers that are packed, that may come beyond the slots.
-	packOverflow = 0.02
-	// packLeast and packMost bound the share.
-	packLeast = 0.6
-	packMost  = 0.95
-	// packedFrom is from which share of its slots on a server counts as packed.
-	packedFrom = 0.5
+	// packShareStep is by how much the share falls when a server has more requests than slots.
+	packShareStep = 0.02
+	// allowedOverflow is the part of the requests, at servers that are packed, that may come beyond the slots.
+	allowedOverflow = 0.02
+	// minPackShare and packMost bound the share.
+	minPackShare = 0.6
+	maxPackShare = 0.95
+	// packedThreshold is from which share of its slots on a server counts as packed.
+	packedThreshold = 0.5
 )
 
-// begun takes in that a request was sent to a server, which has so many requests now.
-func (p *packing) begun(requests, slots int) {
+// observe takes in that a request was sent to a server, which has so many requests now.
+func (p *packing) observe(requests, slots int) {
 	switch {
-	case float64(requests) < packedFrom*float64(slots):
+	case float64(requests) < packedThreshold*float64(slots):
 	case requests > slots:
-		p.share = max(p.share-packStep, packLeast)
+		p.share = max(p.share-packShareStep, minPackShare)
 	default:
-		p.share = min(p.share+packStep*packOverflow, packMost)
+		p.share = min(p.share+packShareStep*allowedOverflow, maxPackShare)
 	}
 }
--- a/core/placement/packing_test.go
+++ b/core/placement/packing_test.go
@@ -12,7 +12,7 @@
 func TestServersAreFilledLessWhereSlotsAreExceeded(t *testing.T) {
 	b, servers := newBook(), fleet(3)
 	for i := range 13 {
-		write(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
+		addAnswer(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
 	}
 	q := shortQuery(servers)
 	require.Equal(t, "s01", choose(t, b, q).Server.ID, "13 of 16 slots are taken")
@@ -28,15 +28,15 @@
 func TestTheShareOfSlotsThatIsFilledIsBounded(t *testing.T) {
 	p := packing{share: 0.9}
 	for range 100 {
-		p.begun(17, 16)
+		p.observe(17, 16)
 	}
-	require.InDelta(t, packLeast, p.share, 1e-9)
+	require.InDelta(t, minPackShare, p.share, 1e-9)
 	for range 100 {
-		p.begun(7, 16)
+		p.observe(7, 16)
 	}
-	require.InDelta(t, packLeast, p.share, 1e-9, "a server that is not packed tells nothing")
+	require.InDelta(t, minPackShare, p.share, 1e-9, "a server that is not packed tells nothing")
 	for range 10_000 {
-		p.begun(12, 16)
+		p.observe(12, 16)
 	}
-	require.InDelta(t, packMost, p.share, 1e-9)
+	require.InDelta(t, maxPackShare, p.share, 1e-9)
 }
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -22,12 +22,12 @@
 		group.add(group.cheapest(ranked))
 	}
 	chosen := group.members
-	held, ok := b.hold(chosen, q)
+	held, ok := b.reserveMemory(chosen, q)
 	if !ok {
 		return Choice{}, false
 	}
-	choice := Choice{Server: chosen[0].Server, Known: chosen[0].known(now), Unreachable: chosen[0].state.trust.isLeftAlone(now), Held: held,
-		others: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
+	choice := Choice{Server: chosen[0].Server, Known: chosen[0].load(now), Unreachable: chosen[0].state.health.inBackoff(now), Held: held,
+		othersLoss: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
 	slowest := 0.0
 	for _, c := range chosen {
 		slowest = max(slowest, b.firstEventMs(c, q, readMs))
@@ -50,15 +50,15 @@
 	// that only reads.
 	loss, helperLoss float64
 	// delays are the parts of helperLoss that prompts bear which wait here.
-	delays []delay
+	delays []delayLoss
 	// order ranks the servers: it also counts the wait there, which the whole
 	// choice counts once.
 	order float64
 	taken bool
 }
 
-// delay is what a read costs a prompt that waits at a server.
-type delay struct {
+// delayLoss is what a read costs a prompt that waits at a server.
+type delayLoss struct {
 	waiting *Dispatch
 	loss    float64
 }
@@ -75,7 +75,7 @@
 
 func newGroup(first *ranked) *group {
 	g := &group{members: []*candidate{first.candidate}, loss: first.loss, others: first.helperLoss, delayed: map[*Dispatch]float64{}}
-	g.note(first)
+	g.recordDelays(first)
 	return g
 }
 
@@ -84,15 +84,15 @@
 	var best *ranked
 	lowest := math.Inf(1)
 	for i := range all {
-		if r := &all[i]; !r.taken && r.order-g.counted(r) < lowest {
-			best, lowest = r, r.order-g.counted(r)
+		if r := &all[i]; !r.taken && r.order-g.alreadyCounted(r) < lowest {
+			best, lowest = r, r.order-g.alreadyCounted(r)
 		}
 	}
 	return best
 }
 
-// counted is the loss of prompts waiting at a server that other parts cause already.
-func (g *group) counted(r *ranked) float64 {
+// alreadyCounted is the loss of prompts waiting at a server that other parts cause already.
+func (g *group) alreadyCounted(r *ranked) float64 {
 	sum := 0.0
 	for _, d := range r.delays {
 		sum += math.Min(g.delayed[d.waiting], d.loss)
@@ -101,14 +101,14 @@
 }
 
 func (g *group) add(r *ranked) {
-	cost := r.helperLoss - g.counted(r)
+	cost := r.helperLoss - g.alreadyCounted(r)
 	g.members = append(g.members, r.candidate)
 	g.loss += cost
 	g.others += cost
-	g.note(r)
+	g.recordDelays(r)
 }
 
-func (g *group) note(r *ranked) {
+func (g *group) recordDelays(r *ranked) {
 	r.taken = true
 	for _, d := range r.delays {
 		g.delayed[d.waiting] = math.Max(g.delayed[d.waiting], d.loss)
@@ -119,11 +119,11 @@
 func (b *Book) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
 	all := make([]ranked, 0, len(candidates))
 	for i, c := range candidates {
-		slowed := readMs * c.state.trust.slowness()
-		helper := c.loss + b.harm(c, slowed, split)
-		var delays []delay
+		slowed := readMs * c.state.health.slowdown()
+		helper := c.loss + b.gapLoss(c, slowed, split)
+		var delays []delayLoss
 		if split {
-			delays = b.delays(now, c, slowed)
+			delays = b.delayLosses(now, c, slowed)
 		}
 		for _, d := range delays {
 			helper += d.loss
@@ -131,8 +131,8 @@
 		// The tie-break turns the order of equal servers round by a random
 		// place.
 		tie := math.Mod(float64(i)/float64(len(candidates))+q.Tie, 1) * tieLoss
-		order := helper + b.waitLoss(q, c, readMs) + tie
-		all = append(all, ranked{candidate: c, loss: helper + b.joinLoss(c, q), helperLoss: helper, delays: delays, order: order})
+		order := helper + b.queueLoss(q, c, readMs) + tie
+		all = append(all, ranked{candidate: c, loss: helper + b.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
 	}
 	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.order, b.order) })
 	return all
@@ -173,10 +173,10 @@
 // firstOrder ranks a server for writing the answer.
 func (r *ranked) firstOrder() float64 { return r.order + r.loss - r.helperLoss }
 
-// hold divides the memory of a prompt that is larger than the first server's free
+// reserveMemory divides the memory of a prompt that is larger than the first server's free
 // memory over reservations at all chosen servers. It returns none if the first
 // server holds it all.
-func (b *Book) hold(chosen []*candidate, q Query) ([]int64, bool) {
+func (b *Book) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
 	need := q.PromptTokens + q.AnswerTokens
 	if chosen[0].free >= need {
 		return nil, true
--- a/core/placement/parts_test.go
+++ b/core/placement/parts_test.go
@@ -13,7 +13,7 @@
 func TestPartsDelayOnePromptRatherThanSeveral(t *testing.T) {
 	divided, other := &Dispatch{ID: "divided"}, &Dispatch{ID: "other"}
 	at := func(waiting *Dispatch, loss, order float64) ranked {
-		return ranked{candidate: &candidate{}, loss: loss, helperLoss: loss, order: order, delays: []delay{{waiting, loss}}}
+		return ranked{candidate: &candidate{}, loss: loss, helperLoss: loss, order: order, delays: []delayLoss{{waiting, loss}}}
 	}
 	all := []ranked{at(divided, 4, 4), at(other, 4, 4.1), at(divided, 5, 5)}
 	g := newGroup(&all[0])
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -35,8 +35,8 @@
 	return Query{Servers: servers, Engine: engine, PromptTokens: tokens, AnswerTokens: 800, Target: 3 * time.Second, Gap: time.Second, Remaining: 15 * time.Second}
 }
 
-// write books an answer that a server is writing.
-func write(b *Book, id, server string, q Query) {
+// addAnswer books an answer that a server is writing.
+func addAnswer(b *Book, id, server string, q Query) {
 	b.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
 	b.FirstEvent(start, id)
 }
@@ -48,7 +48,7 @@
 	return choice
 }
 
-func used(choice Choice) map[string]bool {
+func usedServers(choice Choice) map[string]bool {
 	ids := map[string]bool{choice.Server.ID: true}
 	for _, helper := range choice.Helpers {
 		ids[helper.ID] = true
@@ -63,7 +63,7 @@
 	require.Greater(t, len(choice.Helpers), 1)
 	require.Less(t, choice.Predicted, 2*time.Second)
 	require.Empty(t, choice.Held, "one server holds it")
-	require.Len(t, used(choice), len(choice.Helpers)+1, "every server reads one part")
+	require.Len(t, usedServers(choice), len(choice.Helpers)+1, "every server reads one part")
 }
 
 func TestAShortPromptIsNotDivided(t *testing.T) {
@@ -75,11 +75,11 @@
 func TestPartsKeepAwayFromShortAnswers(t *testing.T) {
 	b, servers := newBook(), fleet(16)
 	for i := range 12 {
-		write(b, fmt.Sprintf("short%d", i), servers[i%3].ID, shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("short%d", i), servers[i%3].ID, shortQuery(servers))
 	}
 	choice := choose(t, b, longQuery(servers, 220_000))
 	for i := range 3 {
-		require.NotContains(t, used(choice), servers[i].ID)
+		require.NotContains(t, usedServers(choice), servers[i].ID)
 	}
 }
 
@@ -88,8 +88,8 @@
 func aboutToAnswer(b *Book, id, server, helper string, q Query) {
 	b.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
 		Target: q.Target, Life: q.Remaining}, engine, 0)
-	for _, w := range b.servers[server].works {
-		w.readMs = 0
+	for _, w := range b.servers[server].workItems {
+		w.prefillMs = 0
 	}
 }
 
@@ -99,7 +99,7 @@
 	b, servers := newBook(), fleet(17)
 	aboutToAnswer(b, "long", "s00", "s16", longQuery(servers, 200_000))
 	choice := choose(t, b, longQuery(servers[:16], 400_000))
-	require.NotContains(t, used(choice), "s00")
+	require.NotContains(t, usedServers(choice), "s00")
 }
 
 // A part that is read before another prompt's makes that one's first event late, and no pause longer.
@@ -109,11 +109,11 @@
 	b.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
 	c := &candidate{}
 	b.assess(start, q, q.Servers[0], c)
-	require.Zero(t, b.harm(c, 2000, true))
-	require.Positive(t, b.harm(c, 2000, false), "an undivided prompt is read after it")
-	write(b, "written", "s00", q)
+	require.Zero(t, b.gapLoss(c, 2000, true))
+	require.Positive(t, b.gapLoss(c, 2000, false), "an undivided prompt is read after it")
+	addAnswer(b, "written", "s00", q)
 	b.assess(start, q, q.Servers[0], c)
-	require.Positive(t, b.harm(c, 2000, true), "beside an answer a pass takes all reads")
+	require.Positive(t, b.gapLoss(c, 2000, true), "beside an answer a pass takes all reads")
 }
 
 // Short answers are packed: the thirteenth joins those that are there in place of
@@ -121,11 +121,11 @@
 func TestShortAnswersArePacked(t *testing.T) {
 	b, servers := newBook(), fleet(16)
 	for i := range 8 {
-		write(b, fmt.Sprintf("short%d", i), "s05", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("short%d", i), "s05", shortQuery(servers))
 	}
 	require.Equal(t, "s05", choose(t, b, shortQuery(servers)).Server.ID)
 	for i := range 8 {
-		write(b, fmt.Sprintf("more%d", i), "s05", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("more%d", i), "s05", shortQuery(servers))
 	}
 	require.NotEqual(t, "s05", choose(t, b, shortQuery(servers)).Server.ID, "its slots are taken")
 }
@@ -135,7 +135,7 @@
 func TestAShortPromptAvoidsAServerThatReads(t *testing.T) {
 	b, servers := newBook(), fleet(2)
 	for i := range 4 {
-		write(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
 	}
 	require.Equal(t, "s00", choose(t, b, shortQuery(servers)).Server.ID)
 	b.Begin(start, Dispatch{ID: "long", Server: "s00", PromptTokens: 154_000, AnswerTokens: 800, Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
@@ -184,8 +184,8 @@
 			Gap: time.Second, Target: 400 * time.Millisecond, Life: 15 * time.Second}, engine, 0)
 	}
 	choice := choose(t, b, longQuery(servers, 200_000))
-	require.NotContains(t, used(choice), "s00")
-	require.NotContains(t, used(choice), "s01")
+	require.NotContains(t, usedServers(choice), "s00")
+	require.NotContains(t, usedServers(choice), "s01")
 }
 
 // Both servers write a long answer, and a read of 140,000 tokens would make it
@@ -195,7 +195,7 @@
 func TestALatePromptWaitsWhileItWouldCostOthersMuch(t *testing.T) {
 	b, servers := newBook(), fleet(2)
 	for i, server := range servers {
-		write(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 100_000))
+		addAnswer(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 100_000))
 	}
 	q := longQuery(servers, 140_000)
 	q.Target = time.Millisecond
@@ -205,7 +205,7 @@
 	require.Equal(t, Overloaded, refusal)
 
 	b = newBook()
-	write(b, "short", "s00", shortQuery(servers))
+	addAnswer(b, "short", "s00", shortQuery(servers))
 	choice := choose(t, b, q)
 	require.Zero(t, choice.Wait)
 }
@@ -215,7 +215,7 @@
 func TestAPromptWithoutMemoryIsRefusedAtOnce(t *testing.T) {
 	b, servers := newBook(), fleet(2)
 	for i, server := range servers {
-		write(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 250_000))
+		addAnswer(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 250_000))
 	}
 	_, refusal := b.Choose(start, longQuery(servers, 200_000))
 	require.Equal(t, NoMemory, refusal)
@@ -227,11 +227,11 @@
 func TestAShortPromptBeyondTheSlotsIsRefused(t *testing.T) {
 	b, servers := newBook(), fleet(1)
 	for i := range 15 {
-		write(b, fmt.Sprintf("w%d", i), "s00", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("w%d", i), "s00", shortQuery(servers))
 	}
 	choose(t, b, shortQuery(servers))
 	for i := range 12 {
-		write(b, fmt.Sprintf("queued%d", i), "s00", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("queued%d", i), "s00", shortQuery(servers))
 	}
 	choice, refusal := b.Choose(start, shortQuery(servers))
 	require.Equal(t, Overloaded, refusal)
@@ -251,7 +251,7 @@
 	require.Equal(t, Outlasts, refusal)
 	q.Life = 4 * time.Second
 	for i := range 8 {
-		write(b, fmt.Sprint("long", i), "s00", longQuery(servers, 30_000))
+		addAnswer(b, fmt.Sprint("long", i), "s00", longQuery(servers, 30_000))
 	}
 	_, refusal = b.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
@@ -270,7 +270,7 @@
 // time for which it gets nothing, so that its return does not bring it a flood.
 func TestAServerThatFlapsIsLeftAloneForLonger(t *testing.T) {
 	b, servers := newBook(), fleet(2)
-	pause := func() time.Duration { return b.servers["s00"].trust.until.Sub(start) }
+	pause := func() time.Duration { return b.servers["s00"].health.backoffUntil.Sub(start) }
 	b.Unreachable(start, "s00", 0.5)
 	first := pause()
 	b.Unreachable(start, "s00", 0.5)
@@ -291,7 +291,7 @@
 		b.Failed(start, "s00")
 	}
 	for i := range 4 {
-		write(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
+		addAnswer(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
 	}
 	require.Equal(t, "s01", choose(t, b, shortQuery(servers)).Server.ID)
 	later, refusal := b.Choose(start.Add(time.Minute), shortQuery(servers))
@@ -303,7 +303,7 @@
 // ends: they leave the book when their time is over.
 func TestDispatchesOfADeadEntryExpire(t *testing.T) {
 	b, servers := newBook(), fleet(1)
-	write(b, "lost", "s00", shortQuery(servers))
+	addAnswer(b, "lost", "s00", shortQuery(servers))
 	require.Equal(t, 1, b.Active())
 	b.Expire(start.Add(11 * time.Second))
 	require.Zero(t, b.Active())
@@ -312,7 +312,7 @@
 
 func TestAPausedProcessForgetsLoads(t *testing.T) {
 	b := newBook()
-	write(b, "old", "s00", shortQuery(fleet(1)))
+	addAnswer(b, "old", "s00", shortQuery(fleet(1)))
 	b.Awoke()
 	require.Zero(t, b.Active())
 	b.End(start, "old")
@@ -343,10 +343,10 @@
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
 	told.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 1)
-	require.Equal(t, start.Add(unreachableBase*3/4), told.servers["s00"].trust.until, "what others met at the same moment adds nothing")
+	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "what others met at the same moment adds nothing")
 	later := newBook()
 	later.UnreachableFrom(start, "s00", 1)
-	require.Equal(t, start.Add(unreachableBase*5/4), later.servers["s00"].trust.until)
+	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
 }
 
 // A server is back, and one entry's request has its first event there. The others hear of it
@@ -357,7 +357,7 @@
 	b.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 0.5)
 	b.FirstEvent(start.Add(20*time.Millisecond), "before")
 	at := start.Add(30 * time.Millisecond)
-	require.True(t, at.Before(b.servers["s00"].trust.until))
+	require.True(t, at.Before(b.servers["s00"].health.backoffUntil))
 	begin(b, start.Add(40*time.Millisecond), "after", "s00")
 	b.FirstEvent(start.Add(90*time.Millisecond), "after")
 	choice, _ := b.Choose(start.Add(100*time.Millisecond), shortQuery(servers))
@@ -369,7 +369,7 @@
 func TestAShortPromptLeavesAnIdleServerToLongReads(t *testing.T) {
 	b, servers := newBook(), fleet(4)
 	for i := range 3 {
-		write(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
+		addAnswer(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
 	}
 	b.Begin(start, Dispatch{ID: "read", Server: "s01", PromptTokens: 5000, AnswerTokens: 1600, Gap: 250 * time.Millisecond,
 		Target: 300 * time.Millisecond, Life: 10 * time.Second}, engine, 0)
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -18,7 +18,7 @@
 		s := b.server(listed.Start(), engine)
 		s.advance(now)
 		free := float64(s.requests()) < b.packing.share*float64(engine.Slots)
-		if free && !s.trust.isLeftAlone(now) && s.waitingMs(now) < busyMs {
+		if free && !s.health.inBackoff(now) && s.waitingMs(now) < busyBacklogMs {
 			count++
 		}
 	}
--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -28,11 +28,11 @@
 	if s.requests() > s.engine.Slots {
 		return longest
 	}
-	for _, w := range s.works {
-		if w.index != 0 || w.split() || w.writing || w.readDone.IsZero() || w.began.Before(s.answered) {
+	for _, w := range s.workItems {
+		if w.index != 0 || w.split() || w.writing || w.prefillDone.IsZero() || w.began.Before(s.lastAnswered) {
 			continue
 		}
-		longest = max(longest, now.Sub(w.readDone))
+		longest = max(longest, now.Sub(w.prefillDone))
 	}
 	return longest
 }
@@ -48,7 +48,7 @@
 	}
 	expected := stallGrace
 	if batch := s.batch(); batch.Answers > 0 {
-		expected += enginemodel.Millis(2 * s.engine.PassMs(batch) * s.trust.slowness())
+		expected += enginemodel.Millis(2 * s.engine.PassMs(batch) * s.health.slowdown())
 	}
 	return max(overdue-expected, 0) * (stallFactor - 1)
 }
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -75,7 +75,7 @@
 func TestAHerdOfShortPromptsIsSpread(t *testing.T) {
 	b, servers := newBook(), fleet(16)
 	for i := range 9 {
-		write(b, fmt.Sprint("before", i), "s00", shortQuery(servers))
+		addAnswer(b, fmt.Sprint("before", i), "s00", shortQuery(servers))
 	}
 	most := time.Duration(0)
 	used := map[string]bool{}
@@ -95,7 +95,7 @@
 	chosen, written, servers := newBook(), newBook(), fleet(3)
 	for i := range 6 {
 		begin(chosen, start, fmt.Sprint("r", i), "s02")
-		write(written, fmt.Sprint("r", i), "s02", shortQuery(servers))
+		addAnswer(written, fmt.Sprint("r", i), "s02", shortQuery(servers))
 	}
 	read := start.Add(200 * time.Millisecond) // by the book, all six prompts are
 	choice, refusal := chosen.Choose(read, shortQuery(servers))
@@ -110,7 +110,7 @@
 func TestALatePromptDoesNotStallAllAnswers(t *testing.T) {
 	b, servers := newBook(), fleet(16)
 	for i := range 120 {
-		write(b, fmt.Sprint("short", i), servers[i%12].ID, shortQuery(servers))
+		addAnswer(b, fmt.Sprint("short", i), servers[i%12].ID, shortQuery(servers))
 	}
 	q := longQuery(servers, 590_000)
 	q.Target, q.Remaining = time.Millisecond, 2900*time.Millisecond
@@ -128,7 +128,7 @@
 func TestWaitingForASlotIsNoStall(t *testing.T) {
 	b := newBook()
 	for i := range engine.Slots {
-		write(b, fmt.Sprint("w", i), "s00", shortQuery(nil))
+		addAnswer(b, fmt.Sprint("w", i), "s00", shortQuery(nil))
 	}
 	begin(b, start, "waits", "s00")
 	b.servers["s00"].advance(start.Add(2 * time.Second))
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -29,7 +29,7 @@
 // of its first events, with the times that are left, and books the same loads.
 func TestWhatIsOpenCanBeTold(t *testing.T) {
 	b, servers := newBook(), fleet(2)
-	write(b, "answering", "s00", shortQuery(servers))
+	addAnswer(b, "answering", "s00", shortQuery(servers))
 	b.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
 	b.BeginFrom(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
