--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -6,9 +6,9 @@
 // wait for a slot. A burst beyond the slots is then served in time as far as they
 // go; queued at the engines, each late answer would take its slot from a fresh one
 // and all of them would be late, for as long as callers come back.
-func (b *Book) overloaded(best Choice, q Query) bool {
-	limit := time.Duration(b.options.ShedShare * float64(q.Target))
-	return q.PromptTokens <= b.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > minTarget
+func (t *Book) overloaded(best Choice, q Query) bool {
+	limit := time.Duration(t.options.ShedShare * float64(q.Target))
+	return q.PromptTokens <= t.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > minTarget
 }
 
 // answerTimeFactor is how much longer than expected an answer may take: callers' estimates of its length are
@@ -24,27 +24,27 @@
 // tooCostly says whether a late long prompt that can wait no longer would cost others more
 // than its late answer is worth. At the end of its time it would otherwise be read on up to
 // all servers at once, and every answer that is written there pauses until it is read.
-func (b *Book) tooCostly(best Choice, q Query) bool {
-	if q.PromptTokens <= b.options.ShortTokens || best.Predicted <= q.Target {
+func (t *Book) tooCostly(best Choice, q Query) bool {
+	if q.PromptTokens <= t.options.ShortTokens || best.Predicted <= q.Target {
 		return false
 	}
-	return best.othersLoss > b.options.CrowdShare*(1-b.options.LateLoss)*b.value(q.PromptTokens)
+	return best.othersLoss > t.options.CrowdShare*(1-t.options.LateLoss)*t.value(q.PromptTokens)
 }
 
 // waitFor holds a prompt back at the entry while others, those that come next among
 // them, would lose too much by its read. A prompt that can still be in time goes unless
 // others lose more than it does by being late; one that is late anyway waits for a
 // moment at which it costs hardly anything, as long as enough of its time is left.
-func (b *Book) waitFor(best Choice, q Query) time.Duration {
+func (t *Book) waitFor(best Choice, q Query) time.Duration {
 	next := best.Predicted + waitInterval
-	if q.PromptTokens <= b.options.ShortTokens || next > q.Remaining*3/4 {
+	if q.PromptTokens <= t.options.ShortTokens || next > q.Remaining*3/4 {
 		return 0
 	}
-	share := b.options.LateLoss
+	share := t.options.LateLoss
 	if next > q.Target {
-		share = b.options.WaitLateShare
+		share = t.options.WaitLateShare
 	}
-	if best.othersLoss+best.crowding > share*b.value(q.PromptTokens) {
+	if best.othersLoss+best.crowding > share*t.value(q.PromptTokens) {
 		return waitInterval
 	}
 	return 0
--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// busyBook returns a book in which each server has some short answers under way, and each
+// busyTable returns a book in which each server has some short answers under way, and each
 // eighth one the part of a long prompt.
-func busyBook(servers int) *Book {
-	b := newBook()
+func busyTable(servers int) *Book {
+	table := newTable()
 	for i := range servers {
 		server := fmt.Sprintf("s%02d", i)
 		for k := range 4 {
 			id := fmt.Sprintf("%s-%d", server, k)
-			begin(b, start, id, server)
-			b.FirstEvent(start.Add(50*time.Millisecond), id)
+			begin(table, start, id, server)
+			table.FirstEvent(start.Add(50*time.Millisecond), id)
 		}
 		if i%8 == 0 {
-			b.Begin(start, Dispatch{ID: server + "-long", Server: server, PromptTokens: 200_000, AnswerTokens: 1000, Gap: time.Second, Target: 4 * time.Second, Life: time.Minute}, engine, time.Second)
+			table.Begin(start, Dispatch{ID: server + "-long", Server: server, PromptTokens: 200_000, AnswerTokens: 1000, Gap: time.Second, Target: 4 * time.Second, Life: time.Minute}, engine, time.Second)
 		}
 	}
-	return b
+	return table
 }
 
 // BenchmarkChoose is the time of one choice among all servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, servers := range []int{16, 27, 54, 135, 810} {
-		book, listed := busyBook(servers), fleet(servers)
+		table, listed := busyTable(servers), fleet(servers)
 		for name, q := range map[string]Query{"short": shortQuery(listed), "long": longQuery(listed, 220_000)} {
 			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				b.ReportAllocs()
 				for i := range b.N {
 					q.Tie = float64(i%10) / 10
-					book.Choose(start.Add(100*time.Millisecond), q)
+					table.Choose(start.Add(100*time.Millisecond), q)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkBook is the time of a begin, a first event and an end of a request.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkLoadTable is the time of a begin, a first event and an end of a request.
+func BenchmarkLoadTable(b *testing.B) {
 	for _, servers := range []int{27, 135} {
-		book := busyBook(servers)
+		table := busyTable(servers)
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			b.ReportAllocs()
 			at := start.Add(100 * time.Millisecond)
 			for i := range b.N {
 				id := fmt.Sprint(i)
-				begin(book, at, id, fmt.Sprintf("s%02d", i%servers))
-				book.FirstEvent(at, id)
-				book.End(at, id)
+				begin(table, at, id, fmt.Sprintf("s%02d", i%servers))
+				table.FirstEvent(at, id)
+				table.End(at, id)
 			}
 		})
 	}
--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -71,11 +71,11 @@
 	return &Book{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
 }
 
-func (b *Book) server(id string, engine *enginemodel.Engine) *server {
-	s := b.servers[id]
+func (t *Book) server(id string, engine *enginemodel.Engine) *server {
+	s := t.servers[id]
 	if s == nil {
 		s = &server{id: id}
-		b.servers[id] = s
+		t.servers[id] = s
 	}
 	if engine != nil {
 		s.engine = engine
@@ -84,33 +84,33 @@
 }
 
 // Retain drops what is believed of the servers that are gone.
-func (b *Book) Retain(known func(id string) bool) {
-	for id := range b.servers {
+func (t *Book) Retain(known func(id string) bool) {
+	for id := range t.servers {
 		if !known(id) {
-			delete(b.servers, id)
+			delete(t.servers, id)
 		}
 	}
 }
 
 // Begin books a dispatch of this entry; engine is nil for a plain service.
-func (b *Book) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
-	b.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
+func (t *Book) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
+	t.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
 }
 
 // BeginFrom books a dispatch that another entry tells of.
-func (b *Book) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
-	b.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
+func (t *Book) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
+	t.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
 }
 
-func (b *Book) begin(now time.Time, a *activeDispatch, engine *enginemodel.Engine) {
+func (t *Book) begin(now time.Time, a *activeDispatch, engine *enginemodel.Engine) {
 	d := &a.dispatch
-	if b.active[d.ID] != nil {
+	if t.active[d.ID] != nil {
 		return
 	}
 	a.began, a.expires = now, now.Add(d.Life)
-	b.active[d.ID] = a
+	t.active[d.ID] = a
 	for index, id := range append([]string{d.Server}, d.Helpers...) {
-		s := b.server(id, engine)
+		s := t.server(id, engine)
 		s.advance(now)
 		s.updatedAt = now
 		w := &workItem{dispatch: &a.dispatch, index: index, memory: a.dispatch.memoryAt(index), began: now}
@@ -119,20 +119,20 @@
 		}
 		s.workItems = append(s.workItems, w)
 		if engine != nil && index == 0 {
-			b.packing.observe(s.requests(), engine.Slots)
+			t.packing.observe(s.requests(), engine.Slots)
 		}
 	}
 }
 
 // FirstEvent books that the prompt was read and the answer has begun.
-func (b *Book) FirstEvent(now time.Time, id string) {
-	a := b.active[id]
+func (t *Book) FirstEvent(now time.Time, id string) {
+	a := t.active[id]
 	if a == nil {
 		return
 	}
 	a.answering = true
 	for index, name := range append([]string{a.dispatch.Server}, a.dispatch.Helpers...) {
-		s := b.servers[name]
+		s := t.servers[name]
 		if s == nil {
 			continue
 		}
@@ -146,7 +146,7 @@
 		}
 		s.removeFinishedParts()
 	}
-	s := b.servers[a.dispatch.Server]
+	s := t.servers[a.dispatch.Server]
 	if s == nil {
 		return
 	}
@@ -160,14 +160,14 @@
 }
 
 // End books that a dispatch is over.
-func (b *Book) End(now time.Time, id string) {
-	a := b.active[id]
+func (t *Book) End(now time.Time, id string) {
+	a := t.active[id]
 	if a == nil {
 		return
 	}
-	delete(b.active, id)
+	delete(t.active, id)
 	for _, name := range append([]string{a.dispatch.Server}, a.dispatch.Helpers...) {
-		if s := b.servers[name]; s != nil {
+		if s := t.servers[name]; s != nil {
 			s.advance(now)
 			s.updatedAt = now
 			s.remove(id)
@@ -176,20 +176,20 @@
 }
 
 // EndFrom books that all that another entry told of is over: it has started anew.
-func (b *Book) EndFrom(now time.Time, from string) {
-	for id, a := range b.active {
+func (t *Book) EndFrom(now time.Time, from string) {
+	for id, a := range t.active {
 		if a.peer == from {
-			b.End(now, id)
+			t.End(now, id)
 		}
 	}
 }
 
 // Expire ends the dispatches whose time is over. Another entry that was killed or
 // cut off never tells of their ends.
-func (b *Book) Expire(now time.Time) {
-	for id, a := range b.active {
+func (t *Book) Expire(now time.Time) {
+	for id, a := range t.active {
 		if now.After(a.expires) {
-			b.End(now, id)
+			t.End(now, id)
 		}
 	}
 }
@@ -323,9 +323,9 @@
 // Open returns this entry's own dispatches that are under way, with what is left of
 // their times, and which of them have their first event. Another entry that has missed
 // them takes them in like new ones.
-func (b *Book) Open(now time.Time) (begun []Dispatch, first []string) {
-	for _, id := range slices.Sorted(maps.Keys(b.active)) {
-		a := b.active[id]
+func (t *Book) Open(now time.Time) (begun []Dispatch, first []string) {
+	for _, id := range slices.Sorted(maps.Keys(t.active)) {
+		a := t.active[id]
 		if a.peer != "" || !now.Before(a.expires) {
 			continue
 		}
@@ -344,9 +344,9 @@
 
 // OwnAt returns how many of this entry's own dispatches are under way at servers for which a condition holds, helpers
 // among them.
-func (b *Book) OwnAt(holds func(id string) bool) int {
+func (t *Book) OwnAt(holds func(id string) bool) int {
 	count := 0
-	for _, a := range b.active {
+	for _, a := range t.active {
 		if a.peer == "" && (holds(a.dispatch.Server) || slices.ContainsFunc(a.dispatch.Helpers, holds)) {
 			count++
 		}
@@ -355,4 +355,4 @@
 }
 
 // Active returns how many dispatches are booked.
-func (b *Book) Active() int { return len(b.active) }
+func (t *Book) Active() int { return len(t.active) }
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -108,26 +108,26 @@
 const minTarget = time.Millisecond
 
 // Choose picks servers for a request. The refusal is empty if there is a choice.
-func (b *Book) Choose(now time.Time, q Query) (Choice, Refusal) {
+func (t *Book) Choose(now time.Time, q Query) (Choice, Refusal) {
 	q.Target = max(q.Target, minTarget)
-	choice, refusal := b.choose(now, q)
+	choice, refusal := t.choose(now, q)
 	if refusal != "" {
 		choice.RetryAfter = retryAfter(refusal, choice)
 	}
 	return choice, refusal
 }
 
-func (b *Book) choose(now time.Time, q Query) (Choice, Refusal) {
-	candidates := b.candidates(now, q)
+func (t *Book) choose(now time.Time, q Query) (Choice, Refusal) {
+	candidates := t.candidates(now, q)
 	if len(candidates) == 0 {
 		return Choice{}, NoServer
 	}
 	if q.Engine == nil {
-		return b.choosePlain(now, candidates, q), ""
+		return t.choosePlain(now, candidates, q), ""
 	}
 	best, refusal := Choice{}, NoMemory
-	for _, parts := range partCounts(q.PromptTokens, b.maxParts(candidates, q)) {
-		choice, ok := b.chooseParts(now, candidates, q, parts)
+	for _, parts := range partCounts(q.PromptTokens, t.maxParts(candidates, q)) {
+		choice, ok := t.chooseParts(now, candidates, q, parts)
 		if ok && (refusal != "" || choice.Loss < best.Loss) {
 			best, refusal = choice, ""
 		}
@@ -138,14 +138,14 @@
 	if refusal == "" && outlasts(best, q) {
 		return best, Outlasts
 	}
-	if refusal == "" && b.overloaded(best, q) {
+	if refusal == "" && t.overloaded(best, q) {
 		return best, Overloaded
 	}
 	if refusal == "" {
-		best.crowding = b.crowding(candidates, q)
-		best.Wait = b.waitFor(best, q)
+		best.crowding = t.crowding(candidates, q)
+		best.Wait = t.waitFor(best, q)
 	}
-	if refusal == "" && best.Wait == 0 && b.tooCostly(best, q) {
+	if refusal == "" && best.Wait == 0 && t.tooCostly(best, q) {
 		return best, Overloaded
 	}
 	return best, refusal
@@ -155,15 +155,15 @@
 // that wait at its server. More than the usual ones take part where these would read
 // for more than half of the time left, or for longer than the target while others
 // have nothing to read.
-func (b *Book) maxParts(candidates []*candidate, q Query) int {
-	usual := b.options.UsualParts
+func (t *Book) maxParts(candidates []*candidate, q Query) int {
+	usual := t.options.UsualParts
 	reading := enginemodel.Millis(q.Engine.ReadMs(q.PromptTokens, usual))
 	most := usual
 	switch {
 	case reading > q.Remaining/2:
-		most = b.options.MaxParts
+		most = t.options.MaxParts
 	case reading > q.Target:
-		most = max(usual, min(countIdle(candidates), b.options.MaxParts))
+		most = max(usual, min(countIdle(candidates), t.options.MaxParts))
 	}
 	return min(most, len(candidates))
 }
@@ -194,25 +194,25 @@
 	return counts
 }
 
-func (b *Book) candidates(now time.Time, q Query) []*candidate {
+func (t *Book) candidates(now time.Time, q Query) []*candidate {
 	// One allocation for all: a choice among 135 servers took 146.
 	all := make([]candidate, len(q.Servers))
-	found, reachable := make([]*candidate, 0, len(all)), make([]*candidate, 0, len(all))
+	found, available := make([]*candidate, 0, len(all)), make([]*candidate, 0, len(all))
 	for i, listed := range q.Servers {
 		if slices.Contains(q.Exclude, listed.Start()) {
 			continue
 		}
 		c := &all[i]
-		b.assess(now, q, listed, c)
+		t.assess(now, q, listed, c)
 		found = append(found, c)
 		if !c.state.health.inBackoff(now) {
-			reachable = append(reachable, c)
+			available = append(available, c)
 		}
 	}
 	// Servers that could not be reached lately come in only if nothing else is
 	// left: they may be back, and refusing would be worse than trying.
-	if len(reachable) > 0 {
-		return reachable
+	if len(available) > 0 {
+		return available
 	}
 	return found
 }
@@ -222,22 +222,22 @@
 const failureLoss = 0.6
 
 // assess fills in what a server is worth for a request.
-func (b *Book) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
-	s := b.server(listed.Start(), q.Engine)
+func (t *Book) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
+	s := t.server(listed.Start(), q.Engine)
 	s.advance(now)
 	*c = candidate{Server: listed, state: s, requests: s.requests()}
-	c.loss = s.health.currentFailureRate(now) * failureLoss * b.value(q.PromptTokens)
-	if listed.Zone != b.options.Zone {
-		c.loss += b.options.ZoneLoss
+	c.loss = s.health.currentFailureRate(now) * failureLoss * t.value(q.PromptTokens)
+	if listed.Zone != t.options.Zone {
+		c.loss += t.options.ZoneLoss
 	}
 	if q.Avoid[listed.Start()] {
-		c.loss += b.options.UnheardLoss * b.value(q.PromptTokens)
+		c.loss += t.options.UnheardLoss * t.value(q.PromptTokens)
 	}
 	if q.Engine == nil {
 		return
 	}
 	c.backlogMs, c.batch = s.waitingMs(now), s.batch()
-	c.free = int64(b.options.MemoryShare*float64(q.Engine.MemoryTokens)) - s.memoryUsed()
+	c.free = int64(t.options.MemoryShare*float64(q.Engine.MemoryTokens)) - s.memoryUsed()
 	if c.batch.Answers > 0 {
 		c.passMs = q.Engine.PassMs(c.batch) * s.health.slowdown()
 	}
@@ -261,7 +261,7 @@
 
 // choosePlain picks a plain service's server: trusted, near, and with the least
 // requests for its slots.
-func (b *Book) choosePlain(now time.Time, candidates []*candidate, q Query) Choice {
+func (t *Book) choosePlain(now time.Time, candidates []*candidate, q Query) Choice {
 	best, lowest := candidates[0], math.Inf(1)
 	for i, c := range candidates {
 		slots := float64(max(c.Slots, 1))
--- a/core/placement/crowding_test.go
+++ b/core/placement/crowding_test.go
@@ -15,12 +15,12 @@
 func TestALongPromptLeavesServersToTheNextOnes(t *testing.T) {
 	servers := fleet(8)
 	crowded := func(busy int) *Book {
-		b := newBook()
+		table := newTable()
 		for i := range busy {
-			b.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, PromptTokens: 90_000, AnswerTokens: 800,
+			table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, PromptTokens: 90_000, AnswerTokens: 800,
 				Gap: time.Second, Target: 10 * time.Second, Life: 15 * time.Second}, engine, 0)
 		}
-		return b
+		return table
 	}
 	q := longQuery(servers, 300_000)
 	require.Positive(t, choose(t, crowded(8), q).Wait)
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -8,24 +8,24 @@
 )
 
 // value is a request's value in units of a short one.
-func (b *Book) value(promptTokens int64) float64 {
-	return 1 + float64(promptTokens)/b.options.TokensPerValue
+func (t *Book) value(promptTokens int64) float64 {
+	return 1 + float64(promptTokens)/t.options.TokensPerValue
 }
 
 // gapLoss is what a read does to the answers of a server: the chance that it makes their pause too
 // long, by their value. Pauses that are too long already count no more. An answer that is about to
 // begin counts like one that is being written: its first event comes while the new read waits, and the
 // read makes its first pause.
-func (b *Book) gapLoss(c *candidate, readMs float64, split bool) float64 {
+func (t *Book) gapLoss(c *candidate, readMs float64, split bool) float64 {
 	sum := 0.0
 	for _, w := range c.state.workItems {
 		gap := w.dispatch.Gap
 		if w.index != 0 || gap <= 0 || c.prefillsBefore(w, split) {
 			continue
 		}
-		before := enginemodel.Millis(c.passMs+c.backlogMs-w.prefillMs) + b.options.GapMargin
+		before := enginemodel.Millis(c.passMs+c.backlogMs-w.prefillMs) + t.options.GapMargin
 		after := before + enginemodel.Millis(readMs)
-		sum += b.value(w.dispatch.PromptTokens) * b.options.LateLoss * (lateProbability(after, gap) - lateProbability(before, gap))
+		sum += t.value(w.dispatch.PromptTokens) * t.options.LateLoss * (lateProbability(after, gap) - lateProbability(before, gap))
 	}
 	return sum
 }
@@ -44,11 +44,11 @@
 // to the reading of long prompts. The gain shrinks with the part of the target that the choice would
 // use up: when many callers come back at once, packing would put their reads one behind the other on
 // one server while others are idle.
-func (b *Book) answerLoss(c *candidate, q Query) float64 {
+func (t *Book) answerLoss(c *candidate, q Query) float64 {
 	slots := float64(q.Engine.Slots)
 	share := float64(c.requests) / slots
 	if share >= 1 {
-		return b.value(q.PromptTokens) * share
+		return t.value(q.PromptTokens) * share
 	}
 	alike, others := 0, 0
 	for _, w := range c.state.workItems {
@@ -64,12 +64,12 @@
 	}
 	open := 0.0
 	if alike == 0 {
-		open = b.options.OpenLoss * b.value(q.PromptTokens)
+		open = t.options.OpenLoss * t.value(q.PromptTokens)
 	}
-	gain := b.options.PackGain * b.value(q.PromptTokens)
-	used := b.firstEventMs(c, q, q.Engine.ReadMs(q.PromptTokens, 1)) / (q.Target.Seconds() * msPerSecond)
+	gain := t.options.PackGain * t.value(q.PromptTokens)
+	used := t.firstEventMs(c, q, q.Engine.ReadMs(q.PromptTokens, 1)) / (q.Target.Seconds() * msPerSecond)
 	gain *= math.Max(1-used, 0)
-	if share >= b.packing.share {
+	if share >= t.packing.share {
 		return open + gain*float64(c.requests)
 	}
 	return open + gain*float64(others-alike)
@@ -84,14 +84,14 @@
 }
 
 // queueLoss spreads equal choices by what waits there.
-func (b *Book) queueLoss(q Query, c *candidate, readMs float64) float64 {
-	return b.value(q.PromptTokens) * b.options.LateLoss * 0.2 * (b.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
+func (t *Book) queueLoss(q Query, c *candidate, readMs float64) float64 {
+	return t.value(q.PromptTokens) * t.options.LateLoss * 0.2 * (t.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
 }
 
 // delayLosses are what a part costs the reads that wait at a server: an engine reads the newest part
 // first, so all of them come later by as much. Without it, each new long prompt pushes the earlier
 // ones back until none is in time.
-func (b *Book) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
+func (t *Book) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
 	var found []delayLoss
 	ahead := c.passMs
 	for _, w := range c.state.prefillOrder() {
@@ -102,7 +102,7 @@
 		}
 		end := now.Sub(w.began) + enginemodel.Millis(ahead)
 		share := lateProbability(end+enginemodel.Millis(readMs), target) - lateProbability(end, target)
-		if loss := b.value(w.dispatch.PromptTokens) * b.options.LateLoss * share; loss > 0 {
+		if loss := t.value(w.dispatch.PromptTokens) * t.options.LateLoss * share; loss > 0 {
 			found = append(found, delayLoss{w.dispatch, loss})
 		}
 	}
@@ -112,7 +112,7 @@
 // firstEventMs predicts when a part read here is done and the next event comes.
 // The backlog counts also for a divided prompt, which engines read before it: the
 // parts that come after it do the same to it.
-func (b *Book) firstEventMs(c *candidate, q Query, readMs float64) float64 {
+func (t *Book) firstEventMs(c *candidate, q Query, readMs float64) float64 {
 	readMs *= c.state.health.slowdown()
 	wait := c.backlogMs
 	if over := c.requests - q.Engine.Slots + 1; over > 0 {
@@ -129,9 +129,9 @@
 
 // lateLoss is the expected loss of a request whose first event is predicted, with
 // a slope around the target because predictions err.
-func (b *Book) lateLoss(q Query, predicted time.Duration) float64 {
-	value := b.value(q.PromptTokens)
-	loss := value * b.options.LateLoss * lateProbability(predicted, time.Duration(b.options.TargetShare*float64(q.Target)))
+func (t *Book) lateLoss(q Query, predicted time.Duration) float64 {
+	value := t.value(q.PromptTokens)
+	loss := value * t.options.LateLoss * lateProbability(predicted, time.Duration(t.options.TargetShare*float64(q.Target)))
 	if predicted > q.Remaining {
 		loss += value
 	}
@@ -150,13 +150,13 @@
 // crowding is what a read is expected to cost the requests that come next: as long as
 // some servers have little to read they go there, and the fewer of those there are, the
 // more of the next ones are late.
-func (b *Book) crowding(candidates []*candidate, q Query) float64 {
+func (t *Book) crowding(candidates []*candidate, q Query) float64 {
 	busy := 0.0
 	for _, c := range candidates {
 		busy += math.Min(c.backlogMs/busyBacklogMs, 1)
 	}
 	work := q.Engine.ReadMs(q.PromptTokens, 1) / msPerSecond
-	return b.options.WorkPrice * work * busy / float64(len(candidates))
+	return t.options.WorkPrice * work * busy / float64(len(candidates))
 }
 
 // busyBacklogMs is the reading, in milliseconds, that makes a server one that next requests
--- a/core/placement/packing_test.go
+++ b/core/placement/packing_test.go
@@ -10,19 +10,19 @@
 // Short prompts were late by the wait for a slot. Several entries packed the same server up to nine tenths of its slots at
 // the same moment, without news of each other, and its slots were exceeded again and again.
 func TestServersAreFilledLessWhereSlotsAreExceeded(t *testing.T) {
-	b, servers := newBook(), fleet(3)
+	table, servers := newTable(), fleet(3)
 	for i := range 13 {
-		addAnswer(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
+		addAnswer(table, fmt.Sprint("written", i), "s01", shortQuery(servers))
 	}
 	q := shortQuery(servers)
-	require.Equal(t, "s01", choose(t, b, q).Server.ID, "13 of 16 slots are taken")
+	require.Equal(t, "s01", choose(t, table, q).Server.ID, "13 of 16 slots are taken")
 	for i := range 6 { // others overran s02
 		for k := range 17 {
-			b.BeginFrom(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Life: q.Remaining}, engine)
+			table.BeginFrom(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Life: q.Remaining}, engine)
 		}
-		b.EndFrom(start, "other")
+		table.EndFrom(start, "other")
 	}
-	require.Equal(t, "s00", choose(t, b, q).Server.ID)
+	require.Equal(t, "s00", choose(t, table, q).Server.ID)
 }
 
 func TestTheShareOfSlotsThatIsFilledIsBounded(t *testing.T) {
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -10,10 +10,10 @@
 )
 
 // chooseParts finds the best servers for a prompt read in a number of parts.
-func (b *Book) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
+func (t *Book) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
 	readMs := q.Engine.ReadMs(q.PromptTokens, parts)
-	ranked := b.rank(now, candidates, q, readMs, parts > 1)
-	first := b.pickFirst(ranked, q, parts)
+	ranked := t.rank(now, candidates, q, readMs, parts > 1)
+	first := t.pickFirst(ranked, q, parts)
 	if first < 0 {
 		return Choice{}, false
 	}
@@ -22,7 +22,7 @@
 		group.add(group.cheapest(ranked))
 	}
 	chosen := group.members
-	held, ok := b.reserveMemory(chosen, q)
+	held, ok := t.reserveMemory(chosen, q)
 	if !ok {
 		return Choice{}, false
 	}
@@ -30,17 +30,17 @@
 		othersLoss: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
 	slowest := 0.0
 	for _, c := range chosen {
-		slowest = max(slowest, b.firstEventMs(c, q, readMs))
+		slowest = max(slowest, t.firstEventMs(c, q, readMs))
 	}
 	for _, c := range chosen[1:] {
 		choice.Helpers = append(choice.Helpers, c.Server)
 	}
-	choice.Predicted = enginemodel.Millis(slowest) + b.options.NetworkTime
+	choice.Predicted = enginemodel.Millis(slowest) + t.options.NetworkTime
 	choice.Answering = chosen[0].answering(q, parts)
 	if held != nil && q.HoldLimit > 0 && choice.Predicted > q.HoldLimit {
 		return Choice{}, false
 	}
-	choice.Loss = group.loss + b.lateLoss(q, choice.Predicted) + float64(parts)*b.options.PartLoss
+	choice.Loss = group.loss + t.lateLoss(q, choice.Predicted) + float64(parts)*t.options.PartLoss
 	return choice, true
 }
 
@@ -116,14 +116,14 @@
 }
 
 // rank orders servers by what a read there would cost.
-func (b *Book) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
+func (t *Book) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
 	all := make([]ranked, 0, len(candidates))
 	for i, c := range candidates {
 		slowed := readMs * c.state.health.slowdown()
-		helper := c.loss + b.gapLoss(c, slowed, split)
+		helper := c.loss + t.gapLoss(c, slowed, split)
 		var delays []delayLoss
 		if split {
-			delays = b.delayLosses(now, c, slowed)
+			delays = t.delayLosses(now, c, slowed)
 		}
 		for _, d := range delays {
 			helper += d.loss
@@ -131,8 +131,8 @@
 		// The tie-break turns the order of equal servers round by a random
 		// place.
 		tie := math.Mod(float64(i)/float64(len(candidates))+q.Tie, 1) * tieLoss
-		order := helper + b.queueLoss(q, c, readMs) + tie
-		all = append(all, ranked{candidate: c, loss: helper + b.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
+		order := helper + t.queueLoss(q, c, readMs) + tie
+		all = append(all, ranked{candidate: c, loss: helper + t.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
 	}
 	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.order, b.order) })
 	return all
@@ -145,9 +145,9 @@
 // memory is spread over reservations by the best one. It returns -1 if a prompt that
 // would fit an empty server fits none now: spread as well, it would keep memory from
 // prompts that are read at less cost.
-func (b *Book) pickFirst(all []ranked, q Query, parts int) int {
+func (t *Book) pickFirst(all []ranked, q Query, parts int) int {
 	need := q.PromptTokens + q.AnswerTokens
-	if need <= int64(b.options.MemoryShare*float64(q.Engine.MemoryTokens)) {
+	if need <= int64(t.options.MemoryShare*float64(q.Engine.MemoryTokens)) {
 		return bestFirst(all, need)
 	}
 	if parts == 1 {
@@ -176,7 +176,7 @@
 // reserveMemory divides the memory of a prompt that is larger than the first server's free
 // memory over reservations at all chosen servers. It returns none if the first
 // server holds it all.
-func (b *Book) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
+func (t *Book) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
 	need := q.PromptTokens + q.AnswerTokens
 	if chosen[0].free >= need {
 		return nil, true
--- a/core/placement/parts_test.go
+++ b/core/placement/parts_test.go
@@ -30,7 +30,7 @@
 	for _, target := range []time.Duration{0, -time.Second} {
 		q := longQuery(fleet(3), 200_000)
 		q.Target, q.Gap = target, -1
-		choice, refusal := newBook().Choose(start, q)
+		choice, refusal := newTable().Choose(start, q)
 		require.Empty(t, refusal)
 		require.False(t, math.IsNaN(choice.Loss))
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -24,7 +24,7 @@
 	return servers
 }
 
-func newBook() *Book { return NewBook(DefaultOptions("here")) }
+func newTable() *Book { return NewBook(DefaultOptions("here")) }
 
 func shortQuery(servers []directory.Server) Query {
 	return Query{Servers: servers, Engine: engine, PromptTokens: 5000, AnswerTokens: 1600, Target: 300 * time.Millisecond,
@@ -36,14 +36,14 @@
 }
 
 // addAnswer books an answer that a server is writing.
-func addAnswer(b *Book, id, server string, q Query) {
-	b.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
-	b.FirstEvent(start, id)
+func addAnswer(table *Book, id, server string, q Query) {
+	table.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
+	table.FirstEvent(start, id)
 }
 
-func choose(t *testing.T, b *Book, q Query) Choice {
+func choose(t *testing.T, table *Book, q Query) Choice {
 	t.Helper()
-	choice, refusal := b.Choose(start, q)
+	choice, refusal := table.Choose(start, q)
 	require.Empty(t, refusal)
 	return choice
 }
@@ -59,7 +59,7 @@
 // One worker needs 3.05 s for 154,000 tokens, past the target of 3 s even when it
 // is idle: the prompt has to be divided.
 func TestALongPromptIsDividedUntilItIsInTime(t *testing.T) {
-	choice := choose(t, newBook(), longQuery(fleet(16), 154_000))
+	choice := choose(t, newTable(), longQuery(fleet(16), 154_000))
 	require.Greater(t, len(choice.Helpers), 1)
 	require.Less(t, choice.Predicted, 2*time.Second)
 	require.Empty(t, choice.Held, "one server holds it")
@@ -67,17 +67,17 @@
 }
 
 func TestAShortPromptIsNotDivided(t *testing.T) {
-	require.Empty(t, choose(t, newBook(), shortQuery(fleet(16))).Helpers)
+	require.Empty(t, choose(t, newTable(), shortQuery(fleet(16))).Helpers)
 }
 
 // A gloss is being written on three of sixteen servers. An anthology's parts there
 // would stretch its pauses past a quarter of a second; the other thirteen are free.
 func TestPartsKeepAwayFromShortAnswers(t *testing.T) {
-	b, servers := newBook(), fleet(16)
+	table, servers := newTable(), fleet(16)
 	for i := range 12 {
-		addAnswer(b, fmt.Sprintf("short%d", i), servers[i%3].ID, shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("short%d", i), servers[i%3].ID, shortQuery(servers))
 	}
-	choice := choose(t, b, longQuery(servers, 220_000))
+	choice := choose(t, table, longQuery(servers, 220_000))
 	for i := range 3 {
 		require.NotContains(t, usedServers(choice), servers[i].ID)
 	}
@@ -85,10 +85,10 @@
 
 // aboutToAnswer books a prompt that a server is about to answer: its part there is read, another server still
 // reads one.
-func aboutToAnswer(b *Book, id, server, helper string, q Query) {
-	b.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
+func aboutToAnswer(table *Book, id, server, helper string, q Query) {
+	table.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
 		Target: q.Target, Life: q.Remaining}, engine, 0)
-	for _, w := range b.servers[server].workItems {
+	for _, w := range table.servers[server].workItems {
 		w.prefillMs = 0
 	}
 }
@@ -96,57 +96,57 @@
 // Long answers paused for seconds, right after their first event. A longer prompt had been sent to their
 // servers some ms before that event, when the book held no answer there.
 func TestALongReadKeepsAwayFromAnswersThatAreAboutToBegin(t *testing.T) {
-	b, servers := newBook(), fleet(17)
-	aboutToAnswer(b, "long", "s00", "s16", longQuery(servers, 200_000))
-	choice := choose(t, b, longQuery(servers[:16], 400_000))
+	table, servers := newTable(), fleet(17)
+	aboutToAnswer(table, "long", "s00", "s16", longQuery(servers, 200_000))
+	choice := choose(t, table, longQuery(servers[:16], 400_000))
 	require.NotContains(t, usedServers(choice), "s00")
 }
 
 // A part that is read before another prompt's makes that one's first event late, and no pause longer.
 func TestAReadThatGoesFirstMakesNoPauseLonger(t *testing.T) {
-	b := newBook()
+	table := newTable()
 	q := longQuery(fleet(1), 200_000)
-	b.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
+	table.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
 	c := &candidate{}
-	b.assess(start, q, q.Servers[0], c)
-	require.Zero(t, b.gapLoss(c, 2000, true))
-	require.Positive(t, b.gapLoss(c, 2000, false), "an undivided prompt is read after it")
-	addAnswer(b, "written", "s00", q)
-	b.assess(start, q, q.Servers[0], c)
-	require.Positive(t, b.gapLoss(c, 2000, true), "beside an answer a pass takes all reads")
+	table.assess(start, q, q.Servers[0], c)
+	require.Zero(t, table.gapLoss(c, 2000, true))
+	require.Positive(t, table.gapLoss(c, 2000, false), "an undivided prompt is read after it")
+	addAnswer(table, "written", "s00", q)
+	table.assess(start, q, q.Servers[0], c)
+	require.Positive(t, table.gapLoss(c, 2000, true), "beside an answer a pass takes all reads")
 }
 
 // Short answers are packed: the thirteenth joins those that are there in place of
 // taking a server that long prompts could be read on.
 func TestShortAnswersArePacked(t *testing.T) {
-	b, servers := newBook(), fleet(16)
+	table, servers := newTable(), fleet(16)
 	for i := range 8 {
-		addAnswer(b, fmt.Sprintf("short%d", i), "s05", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("short%d", i), "s05", shortQuery(servers))
 	}
-	require.Equal(t, "s05", choose(t, b, shortQuery(servers)).Server.ID)
+	require.Equal(t, "s05", choose(t, table, shortQuery(servers)).Server.ID)
 	for i := range 8 {
-		addAnswer(b, fmt.Sprintf("more%d", i), "s05", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("more%d", i), "s05", shortQuery(servers))
 	}
-	require.NotEqual(t, "s05", choose(t, b, shortQuery(servers)).Server.ID, "its slots are taken")
+	require.NotEqual(t, "s05", choose(t, table, shortQuery(servers)).Server.ID, "its slots are taken")
 }
 
 // A server writes short answers, which draws others to it, but a long prompt is being
 // read there: a gloss would wait for three seconds.
 func TestAShortPromptAvoidsAServerThatReads(t *testing.T) {
-	b, servers := newBook(), fleet(2)
+	table, servers := newTable(), fleet(2)
 	for i := range 4 {
-		addAnswer(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
 	}
-	require.Equal(t, "s00", choose(t, b, shortQuery(servers)).Server.ID)
-	b.Begin(start, Dispatch{ID: "long", Server: "s00", PromptTokens: 154_000, AnswerTokens: 800, Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
-	require.Equal(t, "s01", choose(t, b, shortQuery(servers)).Server.ID)
+	require.Equal(t, "s00", choose(t, table, shortQuery(servers)).Server.ID)
+	table.Begin(start, Dispatch{ID: "long", Server: "s00", PromptTokens: 154_000, AnswerTokens: 800, Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
+	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
 // 500,000 tokens fit no single server: they are held in reservations that together
 // have the room, and none of them is larger than a server's memory.
 func TestAPromptLargerThanAServerIsHeldInReservations(t *testing.T) {
 	q := longQuery(fleet(16), 500_000)
-	choice := choose(t, newBook(), q)
+	choice := choose(t, newTable(), q)
 	require.Len(t, choice.Held, len(choice.Helpers)+1)
 	sum := int64(0)
 	for _, tokens := range choice.Held {
@@ -156,7 +156,7 @@
 	require.Equal(t, q.PromptTokens+q.AnswerTokens, sum)
 	require.Less(t, choice.Predicted, 3*time.Second)
 
-	_, refusal := newBook().Choose(start, longQuery(fleet(1), 500_000))
+	_, refusal := newTable().Choose(start, longQuery(fleet(1), 500_000))
 	require.Equal(t, NoMemory, refusal)
 }
 
@@ -165,25 +165,25 @@
 // the memory would have been kept from others for nothing. Sixteen read them in time.
 func TestAReservationEndsBeforeItCountsAsUnused(t *testing.T) {
 	q := longQuery(fleet(4), 700_000)
-	choice := choose(t, newBook(), q)
+	choice := choose(t, newTable(), q)
 	require.Greater(t, choice.Predicted, 9*time.Second)
 	q.HoldLimit = 9 * time.Second
-	_, refusal := newBook().Choose(start, q)
+	_, refusal := newTable().Choose(start, q)
 	require.Equal(t, NoMemory, refusal)
 	q.Servers = fleet(16)
-	require.Less(t, choose(t, newBook(), q).Predicted, q.HoldLimit)
+	require.Less(t, choose(t, newTable(), q).Predicted, q.HoldLimit)
 }
 
 // Two of four servers still have a quarter of a second to read for prompts whose time
 // is nearly over. An engine reads the newest part first: four parts would serve the
 // new prompt a little earlier and make both of the others late.
 func TestPartsKeepAwayFromPromptsThatWouldBecomeLate(t *testing.T) {
-	b, servers := newBook(), fleet(4)
+	table, servers := newTable(), fleet(4)
 	for _, server := range servers[:2] {
-		b.Begin(start, Dispatch{ID: "waiting-" + server.ID, Server: server.ID, PromptTokens: 30_000, AnswerTokens: 800,
+		table.Begin(start, Dispatch{ID: "waiting-" + server.ID, Server: server.ID, PromptTokens: 30_000, AnswerTokens: 800,
 			Gap: time.Second, Target: 400 * time.Millisecond, Life: 15 * time.Second}, engine, 0)
 	}
-	choice := choose(t, b, longQuery(servers, 200_000))
+	choice := choose(t, table, longQuery(servers, 200_000))
 	require.NotContains(t, usedServers(choice), "s00")
 	require.NotContains(t, usedServers(choice), "s01")
 }
@@ -193,31 +193,31 @@
 // three quarters of its time allow it. After that it is refused: the answers that it would
 // make late are worth more than its own late one. Beside a single short answer it is sent.
 func TestALatePromptWaitsWhileItWouldCostOthersMuch(t *testing.T) {
-	b, servers := newBook(), fleet(2)
+	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
-		addAnswer(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 100_000))
+		addAnswer(table, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 100_000))
 	}
 	q := longQuery(servers, 140_000)
 	q.Target = time.Millisecond
-	require.Positive(t, choose(t, b, q).Wait)
+	require.Positive(t, choose(t, table, q).Wait)
 	q.Remaining = 1800 * time.Millisecond
-	_, refusal := b.Choose(start, q)
+	_, refusal := table.Choose(start, q)
 	require.Equal(t, Overloaded, refusal)
 
-	b = newBook()
-	addAnswer(b, "short", "s00", shortQuery(servers))
-	choice := choose(t, b, q)
+	table = newTable()
+	addAnswer(table, "short", "s00", shortQuery(servers))
+	choice := choose(t, table, q)
 	require.Zero(t, choice.Wait)
 }
 
 // The memory of both servers is taken. The prompt is refused at once: held back, it
 // would be read when its target is long past and make others late.
 func TestAPromptWithoutMemoryIsRefusedAtOnce(t *testing.T) {
-	b, servers := newBook(), fleet(2)
+	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
-		addAnswer(b, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 250_000))
+		addAnswer(table, fmt.Sprintf("w%d", i), server.ID, longQuery(servers, 250_000))
 	}
-	_, refusal := b.Choose(start, longQuery(servers, 200_000))
+	_, refusal := table.Choose(start, longQuery(servers, 200_000))
 	require.Equal(t, NoMemory, refusal)
 }
 
@@ -225,15 +225,15 @@
 // wait there past its target is refused at once, so that those before it are served
 // in time; while a slot is free none is.
 func TestAShortPromptBeyondTheSlotsIsRefused(t *testing.T) {
-	b, servers := newBook(), fleet(1)
+	table, servers := newTable(), fleet(1)
 	for i := range 15 {
-		addAnswer(b, fmt.Sprintf("w%d", i), "s00", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("w%d", i), "s00", shortQuery(servers))
 	}
-	choose(t, b, shortQuery(servers))
+	choose(t, table, shortQuery(servers))
 	for i := range 12 {
-		addAnswer(b, fmt.Sprintf("queued%d", i), "s00", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("queued%d", i), "s00", shortQuery(servers))
 	}
-	choice, refusal := b.Choose(start, shortQuery(servers))
+	choice, refusal := table.Choose(start, shortQuery(servers))
 	require.Equal(t, Overloaded, refusal)
 	require.Greater(t, choice.Predicted, 450*time.Millisecond)
 }
@@ -241,60 +241,60 @@
 // An entry is about to end. A request is refused whose answer may take longer than that, also one whose
 // server writes slowly beside others; without an end in sight all are taken.
 func TestAnAnswerThatMayOutlastTheEntryIsRefused(t *testing.T) {
-	b, servers := newBook(), fleet(1)
+	table, servers := newTable(), fleet(1)
 	q := shortQuery(servers)
 	q.Life = 4 * time.Second
-	choice := choose(t, b, q)
+	choice := choose(t, table, q)
 	require.InDelta(t, 32*51*0.85, choice.Answering.Milliseconds(), 100, "1,600 tokens are 32 passes of 51 steps")
 	q.Life = choice.Predicted + 2*choice.Answering - time.Millisecond
-	_, refusal := b.Choose(start, q)
+	_, refusal := table.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
 	q.Life = 4 * time.Second
 	for i := range 8 {
-		addAnswer(b, fmt.Sprint("long", i), "s00", longQuery(servers, 30_000))
+		addAnswer(table, fmt.Sprint("long", i), "s00", longQuery(servers, 30_000))
 	}
-	_, refusal = b.Choose(start, q)
+	_, refusal = table.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
 	q.Life = 0
-	choose(t, b, q)
+	choose(t, table, q)
 }
 
 func TestWhatCanNotBeInTimeIsRefusedAtOnce(t *testing.T) {
 	q := longQuery(fleet(1), 250_000)
 	q.Remaining = 2 * time.Second
-	_, refusal := newBook().Choose(start, q)
+	_, refusal := newTable().Choose(start, q)
 	require.Equal(t, TooLate, refusal)
 }
 
 // A worker goes up and down by turns. Each failed connection in a row doubles the
 // time for which it gets nothing, so that its return does not bring it a flood.
-func TestAServerThatFlapsIsLeftAloneForLonger(t *testing.T) {
-	b, servers := newBook(), fleet(2)
-	pause := func() time.Duration { return b.servers["s00"].health.backoffUntil.Sub(start) }
-	b.Unreachable(start, "s00", 0.5)
+func TestBackoffOfAFlappingServerDoubles(t *testing.T) {
+	table, servers := newTable(), fleet(2)
+	pause := func() time.Duration { return table.servers["s00"].health.backoffUntil.Sub(start) }
+	table.Unreachable(start, "s00", 0.5)
 	first := pause()
-	b.Unreachable(start, "s00", 0.5)
+	table.Unreachable(start, "s00", 0.5)
 	require.Equal(t, 2*first, pause())
-	require.Equal(t, "s01", choose(t, b, shortQuery(servers)).Server.ID)
-	b.Unreachable(start, "s01", 0.5)
-	_, refusal := b.Choose(start, shortQuery(servers))
+	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
+	table.Unreachable(start, "s01", 0.5)
+	_, refusal := table.Choose(start, shortQuery(servers))
 	require.Empty(t, refusal, "with nothing else left it is tried all the same")
-	b.Succeeded(start, "s00")
-	require.Equal(t, "s00", choose(t, b, shortQuery(servers)).Server.ID)
+	table.Succeeded(start, "s00")
+	require.Equal(t, "s00", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
 // A worker whose health answers are good fails every second request. What counts is
 // the results: others are preferred while it does, and it comes back after.
 func TestFailuresOutweighPackingAndAreForgotten(t *testing.T) {
-	b, servers := newBook(), fleet(2)
+	table, servers := newTable(), fleet(2)
 	for range 5 {
-		b.Failed(start, "s00")
+		table.Failed(start, "s00")
 	}
 	for i := range 4 {
-		addAnswer(b, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
+		addAnswer(table, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
 	}
-	require.Equal(t, "s01", choose(t, b, shortQuery(servers)).Server.ID)
-	later, refusal := b.Choose(start.Add(time.Minute), shortQuery(servers))
+	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
+	later, refusal := table.Choose(start.Add(time.Minute), shortQuery(servers))
 	require.Empty(t, refusal)
 	require.Equal(t, "s00", later.Server.ID)
 }
@@ -302,49 +302,49 @@
 // Another entry is killed in the midst of its requests and never tells of their
 // ends: they leave the book when their time is over.
 func TestDispatchesOfADeadEntryExpire(t *testing.T) {
-	b, servers := newBook(), fleet(1)
-	addAnswer(b, "lost", "s00", shortQuery(servers))
-	require.Equal(t, 1, b.Active())
-	b.Expire(start.Add(11 * time.Second))
-	require.Zero(t, b.Active())
-	require.Zero(t, b.servers["s00"].memoryUsed())
+	table, servers := newTable(), fleet(1)
+	addAnswer(table, "lost", "s00", shortQuery(servers))
+	require.Equal(t, 1, table.Active())
+	table.Expire(start.Add(11 * time.Second))
+	require.Zero(t, table.Active())
+	require.Zero(t, table.servers["s00"].memoryUsed())
 }
 
 func TestAPausedProcessForgetsLoads(t *testing.T) {
-	b := newBook()
-	addAnswer(b, "old", "s00", shortQuery(fleet(1)))
-	b.Awoke()
-	require.Zero(t, b.Active())
-	b.End(start, "old")
-	b.FirstEvent(start, "old")
+	table := newTable()
+	addAnswer(table, "old", "s00", shortQuery(fleet(1)))
+	table.Awoke()
+	require.Zero(t, table.Active())
+	table.End(start, "old")
+	table.FirstEvent(start, "old")
 }
 
 func TestPlainRequestsGoWhereTheFewestRun(t *testing.T) {
-	b, servers := newBook(), fleet(3)
+	table, servers := newTable(), fleet(3)
 	q := Query{Servers: servers, Remaining: time.Second}
 	for i := range 2 {
-		b.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, Life: time.Second}, nil, 0)
+		table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, Life: time.Second}, nil, 0)
 	}
-	require.Equal(t, "s02", choose(t, b, q).Server.ID)
+	require.Equal(t, "s02", choose(t, table, q).Server.ID)
 	q.Exclude = []string{"s02"}
-	require.NotEqual(t, "s02", choose(t, b, q).Server.ID)
-	_, refusal := b.Choose(start, Query{})
+	require.NotEqual(t, "s02", choose(t, table, q).Server.ID)
+	_, refusal := table.Choose(start, Query{})
 	require.Equal(t, NoServer, refusal)
 }
 
 // A server goes down, and all entries of a zone meet it at the same moment. The first that
 // does tells the others; each then leaves it alone for a time of its own, so that one of
 // them finds out whether it is back.
-func TestEntriesTellOfAServerThatTakesNothing(t *testing.T) {
+func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
-	told := newBook()
+	told := newTable()
 	told.UnreachableFrom(start, "s00", 0)
 	choice, refusal := told.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
 	told.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 1)
 	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "what others met at the same moment adds nothing")
-	later := newBook()
+	later := newTable()
 	later.UnreachableFrom(start, "s00", 1)
 	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
 }
@@ -352,28 +352,28 @@
 // A server is back, and one entry's request has its first event there. The others hear of it
 // and use the server at once; a request that began before the failure shows nothing.
 func TestAFirstEventShowsThatAServerIsBack(t *testing.T) {
-	b, servers := newBook(), fleet(1)
-	begin(b, start, "before", "s00")
-	b.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 0.5)
-	b.FirstEvent(start.Add(20*time.Millisecond), "before")
+	table, servers := newTable(), fleet(1)
+	begin(table, start, "before", "s00")
+	table.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 0.5)
+	table.FirstEvent(start.Add(20*time.Millisecond), "before")
 	at := start.Add(30 * time.Millisecond)
-	require.True(t, at.Before(b.servers["s00"].health.backoffUntil))
-	begin(b, start.Add(40*time.Millisecond), "after", "s00")
-	b.FirstEvent(start.Add(90*time.Millisecond), "after")
-	choice, _ := b.Choose(start.Add(100*time.Millisecond), shortQuery(servers))
+	require.True(t, at.Before(table.servers["s00"].health.backoffUntil))
+	begin(table, start.Add(40*time.Millisecond), "after", "s00")
+	table.FirstEvent(start.Add(90*time.Millisecond), "after")
+	choice, _ := table.Choose(start.Add(100*time.Millisecond), shortQuery(servers))
 	require.False(t, choice.Unreachable)
 }
 
 // Long answers paused beside single short ones, and long prompts found hardly a server that wrote nothing: a short
 // prompt went to an idle server as soon as another was read where short answers are written. It can be in time at both.
 func TestAShortPromptLeavesAnIdleServerToLongReads(t *testing.T) {
-	b, servers := newBook(), fleet(4)
+	table, servers := newTable(), fleet(4)
 	for i := range 3 {
-		addAnswer(b, fmt.Sprint("written", i), "s01", shortQuery(servers))
+		addAnswer(table, fmt.Sprint("written", i), "s01", shortQuery(servers))
 	}
-	b.Begin(start, Dispatch{ID: "read", Server: "s01", PromptTokens: 5000, AnswerTokens: 1600, Gap: 250 * time.Millisecond,
+	table.Begin(start, Dispatch{ID: "read", Server: "s01", PromptTokens: 5000, AnswerTokens: 1600, Gap: 250 * time.Millisecond,
 		Target: 300 * time.Millisecond, Life: 10 * time.Second}, engine, 0)
-	choice := choose(t, b, shortQuery(servers))
+	choice := choose(t, table, shortQuery(servers))
 	require.Equal(t, "s01", choice.Server.ID)
 	require.Less(t, choice.Predicted, 250*time.Millisecond)
 }
--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -74,8 +74,8 @@
 
 // Move says whether a request without a first event is better sent to another server: its
 // own is stalled, and another one would begin before the stall is believed to be over.
-func (b *Book) Move(now time.Time, server string, q Query) bool {
-	s := b.servers[server]
+func (t *Book) Move(now time.Time, server string, q Query) bool {
+	s := t.servers[server]
 	if s == nil {
 		return false
 	}
@@ -85,6 +85,6 @@
 		return false
 	}
 	q.Exclude = append([]string{server}, q.Exclude...)
-	choice, refusal := b.Choose(now, q)
+	choice, refusal := t.Choose(now, q)
 	return refusal == "" && choice.Wait == 0 && choice.Predicted < stall
 }
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -9,79 +9,79 @@
 )
 
 // begin books a dispatch of a short prompt.
-func begin(b *Book, at time.Time, id, server string) {
+func begin(table *Book, at time.Time, id, server string) {
 	q := shortQuery(nil)
-	b.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 40*time.Millisecond)
+	table.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 40*time.Millisecond)
 }
 
 // All entries lose power while a server reads a prompt of 700,000 tokens. It goes on
 // reading for seconds for nobody; the started entries' books are empty, and the server
 // looks idle. Its first short prompt gets no first event. From when that is overdue others
 // are used, and it is taken for stalled until it answers.
-func TestAServerThatWorksForNobodyIsAvoided(t *testing.T) {
-	b, servers := newBook(), fleet(3)
-	begin(b, start, "first", "s00")
+func TestAStalledServerIsAvoided(t *testing.T) {
+	table, servers := newTable(), fleet(3)
+	begin(table, start, "first", "s00")
 	q := shortQuery(servers)
-	early, refusal := b.Choose(start.Add(50*time.Millisecond), q)
+	early, refusal := table.Choose(start.Add(50*time.Millisecond), q)
 	require.Empty(t, refusal)
 	require.Equal(t, "s00", early.Server.ID, "it looks idle")
 	overdue := start.Add(400 * time.Millisecond)
 	for i := range 10 {
 		q.Tie = float64(i) / 10
-		choice, refusal := b.Choose(overdue, q)
+		choice, refusal := table.Choose(overdue, q)
 		require.Empty(t, refusal)
 		require.NotEqual(t, "s00", choice.Server.ID)
 	}
-	require.True(t, b.Move(overdue, "s00", q), "what waits there goes elsewhere")
-	b.FirstEvent(overdue, "first")
-	require.False(t, b.Move(overdue, "s00", q))
-	require.Zero(t, b.servers["s00"].stall(overdue))
+	require.True(t, table.Move(overdue, "s00", q), "what waits there goes elsewhere")
+	table.FirstEvent(overdue, "first")
+	require.False(t, table.Move(overdue, "s00", q))
+	require.Zero(t, table.servers["s00"].stall(overdue))
 }
 
 // A request is lost on its way or muted by its server, while those after it are answered:
 // the server is not stalled.
 func TestALostRequestDoesNotStallItsServer(t *testing.T) {
-	b := newBook()
-	begin(b, start, "lost", "s00")
-	begin(b, start.Add(10*time.Millisecond), "next", "s00")
-	b.FirstEvent(start.Add(90*time.Millisecond), "next")
-	require.Zero(t, b.servers["s00"].stall(start.Add(time.Second)))
+	table := newTable()
+	begin(table, start, "lost", "s00")
+	begin(table, start.Add(10*time.Millisecond), "next", "s00")
+	table.FirstEvent(start.Add(90*time.Millisecond), "next")
+	require.Zero(t, table.servers["s00"].stall(start.Add(time.Second)))
 }
 
 // All servers are as stalled as this one, or nothing else is left: moving would only cost
 // another read.
-func TestNobodyMovesToWhereItIsNoBetter(t *testing.T) {
-	b, servers := newBook(), fleet(2)
+func TestNoRedispatchToAnEquallyStalledServer(t *testing.T) {
+	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
-		begin(b, start, fmt.Sprint("r", i), server.ID)
+		begin(table, start, fmt.Sprint("r", i), server.ID)
 	}
 	at := start.Add(300 * time.Millisecond)
-	require.False(t, b.Move(at, "s00", shortQuery(servers)))
-	require.False(t, b.Move(at, "s00", shortQuery(servers[:1])))
-	require.False(t, b.Move(at, "unknown", shortQuery(servers)))
+	require.False(t, table.Move(at, "s00", shortQuery(servers)))
+	require.False(t, table.Move(at, "s00", shortQuery(servers[:1])))
+	require.False(t, table.Move(at, "unknown", shortQuery(servers)))
 }
 
 // A divided prompt would lose what is read of it already; a plain service has no reads.
-func TestOnlyUndividedPromptsMove(t *testing.T) {
-	b := newBook()
-	require.Positive(t, MoveCheck(choose(t, b, shortQuery(fleet(2))), engine))
-	require.Zero(t, MoveCheck(choose(t, b, longQuery(fleet(16), 154_000)), engine))
+func TestOnlyUndividedPromptsAreRedispatched(t *testing.T) {
+	table := newTable()
+	require.Positive(t, MoveCheck(choose(t, table, shortQuery(fleet(2))), engine))
+	require.Zero(t, MoveCheck(choose(t, table, longQuery(fleet(16), 154_000)), engine))
 	require.Zero(t, MoveCheck(Choice{}, nil))
 }
 
 // Sixty callers come at the same moment. One server writes answers alike, the others are
 // idle: spread, all are in time. Packed one behind the other where answers are written, the
 // last ones would be late.
-func TestAHerdOfShortPromptsIsSpread(t *testing.T) {
-	b, servers := newBook(), fleet(16)
+func TestABurstOfShortPromptsIsSpread(t *testing.T) {
+	table, servers := newTable(), fleet(16)
 	for i := range 9 {
-		addAnswer(b, fmt.Sprint("before", i), "s00", shortQuery(servers))
+		addAnswer(table, fmt.Sprint("before", i), "s00", shortQuery(servers))
 	}
 	most := time.Duration(0)
 	used := map[string]bool{}
 	for i := range 60 {
-		choice := choose(t, b, shortQuery(servers))
-		begin(b, start, fmt.Sprint("r", i), choice.Server.ID)
+		choice := choose(t, table, shortQuery(servers))
+		begin(table, start, fmt.Sprint("r", i), choice.Server.ID)
 		used[choice.Server.ID] = true
 		most = max(most, choice.Predicted)
 	}
@@ -91,8 +91,8 @@
 
 // An entry has just started. A server that has not answered yet may be full of what another
 // entry left there: only answers that are being written draw others to their server.
-func TestOnlyWrittenAnswersDrawOthers(t *testing.T) {
-	chosen, written, servers := newBook(), newBook(), fleet(3)
+func TestOnlyAnswersBeingWrittenAttractOthers(t *testing.T) {
+	chosen, written, servers := newTable(), newTable(), fleet(3)
 	for i := range 6 {
 		begin(chosen, start, fmt.Sprint("r", i), "s02")
 		addAnswer(written, fmt.Sprint("r", i), "s02", shortQuery(servers))
@@ -108,29 +108,29 @@
 // eleven seconds and can wait no longer: read on all servers at once it would make all those
 // answers pause for seconds, for one late answer. It is refused, and says when to return.
 func TestALatePromptDoesNotStallAllAnswers(t *testing.T) {
-	b, servers := newBook(), fleet(16)
+	table, servers := newTable(), fleet(16)
 	for i := range 120 {
-		addAnswer(b, fmt.Sprint("short", i), servers[i%12].ID, shortQuery(servers))
+		addAnswer(table, fmt.Sprint("short", i), servers[i%12].ID, shortQuery(servers))
 	}
 	q := longQuery(servers, 590_000)
 	q.Target, q.Remaining = time.Millisecond, 2900*time.Millisecond
-	choice, refusal := b.Choose(start, q)
+	choice, refusal := table.Choose(start, q)
 	require.Equal(t, Overloaded, refusal)
 	require.Positive(t, choice.RetryAfter)
 
 	q.Target = 3 * time.Second
-	_, refusal = newBook().Choose(start, q)
+	_, refusal = newTable().Choose(start, q)
 	require.Empty(t, refusal, "on idle servers it is read")
 }
 
 // Seventeen requests are at a server of sixteen slots: one of them waits for a slot and can
 // have no first event yet. That is no stall; the next ones are not refused for it.
 func TestWaitingForASlotIsNoStall(t *testing.T) {
-	b := newBook()
+	table := newTable()
 	for i := range engine.Slots {
-		addAnswer(b, fmt.Sprint("w", i), "s00", shortQuery(nil))
+		addAnswer(table, fmt.Sprint("w", i), "s00", shortQuery(nil))
 	}
-	begin(b, start, "waits", "s00")
-	b.servers["s00"].advance(start.Add(2 * time.Second))
-	require.Zero(t, b.servers["s00"].stall(start.Add(2*time.Second)))
+	begin(table, start, "waits", "s00")
+	table.servers["s00"].advance(start.Add(2 * time.Second))
+	require.Zero(t, table.servers["s00"].stall(start.Add(2*time.Second)))
 }
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -44,50 +44,50 @@
 }
 
 // currentFailureRate is the believed share of requests that fail here.
-func (t *serverHealth) currentFailureRate(now time.Time) float64 {
-	if t.failureRate == 0 {
+func (h *serverHealth) currentFailureRate(now time.Time) float64 {
+	if h.failureRate == 0 {
 		return 0
 	}
-	return t.failureRate * math.Exp2(-now.Sub(t.updatedAt).Seconds()/failureHalfLife.Seconds())
+	return h.failureRate * math.Exp2(-now.Sub(h.updatedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-func (t *serverHealth) failed(now time.Time) {
-	share := t.currentFailureRate(now)
-	t.failureRate, t.updatedAt = share+(1-share)*failureWeight, now
+func (h *serverHealth) failed(now time.Time) {
+	share := h.currentFailureRate(now)
+	h.failureRate, h.updatedAt = share+(1-share)*failureWeight, now
 }
 
-func (t *serverHealth) succeeded(now time.Time) {
-	t.failureRate, t.updatedAt = t.currentFailureRate(now)*(1-successWeight), now
-	t.misses, t.backoffUntil = 0, time.Time{}
+func (h *serverHealth) succeeded(now time.Time) {
+	h.failureRate, h.updatedAt = h.currentFailureRate(now)*(1-successWeight), now
+	h.misses, h.backoffUntil = 0, time.Time{}
 }
 
 // unreachable leaves the server alone for a while: for a pause that doubles with each miss
 // in a row, stretched or cut by up to a quarter as draw says. Without that all entries, which
 // tell each other of such servers, would try one again at the same moment.
-func (t *serverHealth) unreachable(now time.Time, draw float64) {
-	t.failed(now)
-	pause := min(backoffBase<<min(t.misses, 8), backoffMax)
-	t.misses++
-	t.missedAt = now
-	t.backoffUntil = now.Add(time.Duration(float64(pause) * (1 - backoffJitter + 2*backoffJitter*draw)))
+func (h *serverHealth) unreachable(now time.Time, draw float64) {
+	h.failed(now)
+	pause := min(backoffBase<<min(h.misses, 8), backoffMax)
+	h.misses++
+	h.missedAt = now
+	h.backoffUntil = now.Add(time.Duration(float64(pause) * (1 - backoffJitter + 2*backoffJitter*draw)))
 }
 
 // answered takes in that a request that began at a time has its first event here: the server
 // works again. What began before the last miss says nothing of the time after it.
-func (t *serverHealth) answered(began time.Time) {
-	if began.After(t.missedAt) {
-		t.misses, t.backoffUntil = 0, time.Time{}
+func (h *serverHealth) answered(began time.Time) {
+	if began.After(h.missedAt) {
+		h.misses, h.backoffUntil = 0, time.Time{}
 	}
 }
 
 // inBackoff says whether the server gets nothing for now, since it took no requests lately.
-func (t *serverHealth) inBackoff(now time.Time) bool { return now.Before(t.backoffUntil) }
+func (h *serverHealth) inBackoff(now time.Time) bool { return now.Before(h.backoffUntil) }
 
-func (t *serverHealth) slowdown() float64 {
-	if t.latencyRatio < 1 {
+func (h *serverHealth) slowdown() float64 {
+	if h.latencyRatio < 1 {
 		return 1
 	}
-	return math.Min(t.latencyRatio, maxSlowdown)
+	return math.Min(h.latencyRatio, maxSlowdown)
 }
 
 // observeLatency compares an actual time to the first event with the predicted one.
@@ -100,23 +100,23 @@
 }
 
 // Succeeded books a whole answer of a server.
-func (b *Book) Succeeded(now time.Time, id string) { b.server(id, nil).health.succeeded(now) }
+func (t *Book) Succeeded(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
 
 // Failed books a failure of a server.
-func (b *Book) Failed(now time.Time, id string) { b.server(id, nil).health.failed(now) }
+func (t *Book) Failed(now time.Time, id string) { t.server(id, nil).health.failed(now) }
 
 // Unreachable books that a server takes no requests: no connection to it could be made, it
 // broke off before its answer, or it said that it did not run the request. draw is a random
 // number from 0 to 1.
-func (b *Book) Unreachable(now time.Time, id string, draw float64) {
-	b.server(id, nil).health.unreachable(now, draw)
+func (t *Book) Unreachable(now time.Time, id string, draw float64) {
+	t.server(id, nil).health.unreachable(now, draw)
 }
 
 // UnreachableFrom books that another entry has met such a server. One that is left alone
 // already is left alone no longer for it, since the entries that meet it at the same moment
 // all tell of it.
-func (b *Book) UnreachableFrom(now time.Time, id string, draw float64) {
-	s := b.server(id, nil)
+func (t *Book) UnreachableFrom(now time.Time, id string, draw float64) {
+	s := t.server(id, nil)
 	if s.health.inBackoff(now) {
 		return
 	}
@@ -125,7 +125,7 @@
 
 // Awoke forgets what was believed before this process was suspended: loads and
 // failures have gone on without it.
-func (b *Book) Awoke() {
-	b.servers = map[string]*server{}
-	b.active = map[string]*activeDispatch{}
+func (t *Book) Awoke() {
+	t.servers = map[string]*server{}
+	t.active = map[string]*activeDispatch{}
 }
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -11,42 +11,42 @@
 // servers unheard. This one keeps away from those as long as others will do, and uses
 // them when the rest would be late.
 func TestServersOfSilentEntriesAreAvoided(t *testing.T) {
-	b, servers := newBook(), fleet(4)
+	table, servers := newTable(), fleet(4)
 	q := shortQuery(servers)
 	q.Avoid = map[string]bool{"s00": true, "s01": true}
 	for tie := range 8 {
 		q.Tie = float64(tie) / 8
-		require.NotContains(t, []string{"s00", "s01"}, choose(t, b, q).Server.ID)
+		require.NotContains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 	}
 	for _, server := range servers[2:] {
-		b.Begin(start, Dispatch{ID: "long-" + server.ID, Server: server.ID, PromptTokens: 150_000, AnswerTokens: 800,
+		table.Begin(start, Dispatch{ID: "long-" + server.ID, Server: server.ID, PromptTokens: 150_000, AnswerTokens: 800,
 			Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
 	}
-	require.Contains(t, []string{"s00", "s01"}, choose(t, b, q).Server.ID)
+	require.Contains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 }
 
 // An entry starts while another one has work under way. It is told of what is open and
 // of its first events, with the times that are left, and books the same loads.
-func TestWhatIsOpenCanBeTold(t *testing.T) {
-	b, servers := newBook(), fleet(2)
-	addAnswer(b, "answering", "s00", shortQuery(servers))
-	b.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
-	b.BeginFrom(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
+func TestAPeerCanRecordOpenDispatches(t *testing.T) {
+	table, servers := newTable(), fleet(2)
+	addAnswer(table, "answering", "s00", shortQuery(servers))
+	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
+	table.BeginFrom(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
-	begun, first := b.Open(later)
+	begun, first := table.Open(later)
 	require.Equal(t, []string{"answering"}, first)
 	require.Len(t, begun, 2, "only its own")
 	require.Equal(t, 14*time.Second, begun[1].Life)
 	require.Equal(t, 2*time.Second, begun[1].Target)
 
-	started := newBook()
+	started := newTable()
 	for _, d := range begun {
 		started.BeginFrom(later, "b", d, engine)
 	}
 	for _, id := range first {
 		started.FirstEvent(later, id)
 	}
-	require.Equal(t, b.servers["s00"].memoryUsed(), started.servers["s00"].memoryUsed())
+	require.Equal(t, table.servers["s00"].memoryUsed(), started.servers["s00"].memoryUsed())
 	require.Equal(t, 1, started.servers["s00"].batch().Answers)
 	started.EndFrom(later, "b")
 	require.Zero(t, started.Active())
