--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -6,7 +6,7 @@
 // wait for a slot. A burst beyond the slots is then served in time as far as they
 // go; queued at the engines, each late answer would take its slot from a fresh one
 // and all of them would be late, for as long as callers come back.
-func (t *Book) overloaded(best Choice, q Query) bool {
+func (t *LoadTable) overloaded(best Choice, q Query) bool {
 	limit := time.Duration(t.options.ShedShare * float64(q.Target))
 	return q.PromptTokens <= t.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > minTarget
 }
@@ -24,7 +24,7 @@
 // tooCostly says whether a late long prompt that can wait no longer would cost others more
 // than its late answer is worth. At the end of its time it would otherwise be read on up to
 // all servers at once, and every answer that is written there pauses until it is read.
-func (t *Book) tooCostly(best Choice, q Query) bool {
+func (t *LoadTable) tooCostly(best Choice, q Query) bool {
 	if q.PromptTokens <= t.options.ShortTokens || best.Predicted <= q.Target {
 		return false
 	}
@@ -35,7 +35,7 @@
 // them, would lose too much by its read. A prompt that can still be in time goes unless
 // others lose more than it does by being late; one that is late anyway waits for a
 // moment at which it costs hardly anything, as long as enough of its time is left.
-func (t *Book) waitFor(best Choice, q Query) time.Duration {
+func (t *LoadTable) waitFor(best Choice, q Query) time.Duration {
 	next := best.Predicted + waitInterval
 	if q.PromptTokens <= t.options.ShortTokens || next > q.Remaining*3/4 {
 		return 0
--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -8,7 +8,7 @@
 
 // busyTable returns a book in which each server has some short answers under way, and each
 // eighth one the part of a long prompt.
-func busyTable(servers int) *Book {
+func busyTable(servers int) *LoadTable {
 	table := newTable()
 	for i := range servers {
 		server := fmt.Sprintf("s%02d", i)
--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -58,8 +58,8 @@
 	answering bool
 }
 
-// Book is not safe for concurrent use.
-type Book struct {
+// LoadTable is not safe for concurrent use.
+type LoadTable struct {
 	options Options
 	servers map[string]*server
 	active  map[string]*activeDispatch
@@ -67,11 +67,11 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(options Options) *Book {
-	return &Book{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
+func NewBook(options Options) *LoadTable {
+	return &LoadTable{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
 }
 
-func (t *Book) server(id string, engine *enginemodel.Engine) *server {
+func (t *LoadTable) server(id string, engine *enginemodel.Engine) *server {
 	s := t.servers[id]
 	if s == nil {
 		s = &server{id: id}
@@ -84,7 +84,7 @@
 }
 
 // Retain drops what is believed of the servers that are gone.
-func (t *Book) Retain(known func(id string) bool) {
+func (t *LoadTable) Retain(known func(id string) bool) {
 	for id := range t.servers {
 		if !known(id) {
 			delete(t.servers, id)
@@ -93,16 +93,16 @@
 }
 
 // Begin books a dispatch of this entry; engine is nil for a plain service.
-func (t *Book) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
+func (t *LoadTable) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
 	t.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
 }
 
 // BeginFrom books a dispatch that another entry tells of.
-func (t *Book) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
+func (t *LoadTable) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
 	t.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
 }
 
-func (t *Book) begin(now time.Time, a *activeDispatch, engine *enginemodel.Engine) {
+func (t *LoadTable) begin(now time.Time, a *activeDispatch, engine *enginemodel.Engine) {
 	d := &a.dispatch
 	if t.active[d.ID] != nil {
 		return
@@ -125,7 +125,7 @@
 }
 
 // FirstEvent books that the prompt was read and the answer has begun.
-func (t *Book) FirstEvent(now time.Time, id string) {
+func (t *LoadTable) FirstEvent(now time.Time, id string) {
 	a := t.active[id]
 	if a == nil {
 		return
@@ -160,7 +160,7 @@
 }
 
 // End books that a dispatch is over.
-func (t *Book) End(now time.Time, id string) {
+func (t *LoadTable) End(now time.Time, id string) {
 	a := t.active[id]
 	if a == nil {
 		return
@@ -176,7 +176,7 @@
 }
 
 // EndFrom books that all that another entry told of is over: it has started anew.
-func (t *Book) EndFrom(now time.Time, from string) {
+func (t *LoadTable) EndFrom(now time.Time, from string) {
 	for id, a := range t.active {
 		if a.peer == from {
 			t.End(now, id)
@@ -186,7 +186,7 @@
 
 // Expire ends the dispatches whose time is over. Another entry that was killed or
 // cut off never tells of their ends.
-func (t *Book) Expire(now time.Time) {
+func (t *LoadTable) Expire(now time.Time) {
 	for id, a := range t.active {
 		if now.After(a.expires) {
 			t.End(now, id)
@@ -323,7 +323,7 @@
 // Open returns this entry's own dispatches that are under way, with what is left of
 // their times, and which of them have their first event. Another entry that has missed
 // them takes them in like new ones.
-func (t *Book) Open(now time.Time) (begun []Dispatch, first []string) {
+func (t *LoadTable) Open(now time.Time) (begun []Dispatch, first []string) {
 	for _, id := range slices.Sorted(maps.Keys(t.active)) {
 		a := t.active[id]
 		if a.peer != "" || !now.Before(a.expires) {
@@ -344,7 +344,7 @@
 
 // OwnAt returns how many of this entry's own dispatches are under way at servers for which a condition holds, helpers
 // among them.
-func (t *Book) OwnAt(holds func(id string) bool) int {
+func (t *LoadTable) OwnAt(holds func(id string) bool) int {
 	count := 0
 	for _, a := range t.active {
 		if a.peer == "" && (holds(a.dispatch.Server) || slices.ContainsFunc(a.dispatch.Helpers, holds)) {
@@ -355,4 +355,4 @@
 }
 
 // Active returns how many dispatches are booked.
-func (t *Book) Active() int { return len(t.active) }
+func (t *LoadTable) Active() int { return len(t.active) }
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -108,7 +108,7 @@
 const minTarget = time.Millisecond
 
 // Choose picks servers for a request. The refusal is empty if there is a choice.
-func (t *Book) Choose(now time.Time, q Query) (Choice, Refusal) {
+func (t *LoadTable) Choose(now time.Time, q Query) (Choice, Refusal) {
 	q.Target = max(q.Target, minTarget)
 	choice, refusal := t.choose(now, q)
 	if refusal != "" {
@@ -117,7 +117,7 @@
 	return choice, refusal
 }
 
-func (t *Book) choose(now time.Time, q Query) (Choice, Refusal) {
+func (t *LoadTable) choose(now time.Time, q Query) (Choice, Refusal) {
 	candidates := t.candidates(now, q)
 	if len(candidates) == 0 {
 		return Choice{}, NoServer
@@ -155,7 +155,7 @@
 // that wait at its server. More than the usual ones take part where these would read
 // for more than half of the time left, or for longer than the target while others
 // have nothing to read.
-func (t *Book) maxParts(candidates []*candidate, q Query) int {
+func (t *LoadTable) maxParts(candidates []*candidate, q Query) int {
 	usual := t.options.UsualParts
 	reading := enginemodel.Millis(q.Engine.ReadMs(q.PromptTokens, usual))
 	most := usual
@@ -194,7 +194,7 @@
 	return counts
 }
 
-func (t *Book) candidates(now time.Time, q Query) []*candidate {
+func (t *LoadTable) candidates(now time.Time, q Query) []*candidate {
 	// One allocation for all: a choice among 135 servers took 146.
 	all := make([]candidate, len(q.Servers))
 	found, available := make([]*candidate, 0, len(all)), make([]*candidate, 0, len(all))
@@ -222,7 +222,7 @@
 const failureLoss = 0.6
 
 // assess fills in what a server is worth for a request.
-func (t *Book) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
+func (t *LoadTable) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
 	s := t.server(listed.Start(), q.Engine)
 	s.advance(now)
 	*c = candidate{Server: listed, state: s, requests: s.requests()}
@@ -261,7 +261,7 @@
 
 // choosePlain picks a plain service's server: trusted, near, and with the least
 // requests for its slots.
-func (t *Book) choosePlain(now time.Time, candidates []*candidate, q Query) Choice {
+func (t *LoadTable) choosePlain(now time.Time, candidates []*candidate, q Query) Choice {
 	best, lowest := candidates[0], math.Inf(1)
 	for i, c := range candidates {
 		slots := float64(max(c.Slots, 1))
--- a/core/placement/crowding_test.go
+++ b/core/placement/crowding_test.go
@@ -14,7 +14,7 @@
 // the entry; with a few servers free it goes at once.
 func TestALongPromptLeavesServersToTheNextOnes(t *testing.T) {
 	servers := fleet(8)
-	crowded := func(busy int) *Book {
+	crowded := func(busy int) *LoadTable {
 		table := newTable()
 		for i := range busy {
 			table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, PromptTokens: 90_000, AnswerTokens: 800,
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -8,7 +8,7 @@
 )
 
 // value is a request's value in units of a short one.
-func (t *Book) value(promptTokens int64) float64 {
+func (t *LoadTable) value(promptTokens int64) float64 {
 	return 1 + float64(promptTokens)/t.options.TokensPerValue
 }
 
@@ -16,7 +16,7 @@
 // long, by their value. Pauses that are too long already count no more. An answer that is about to
 // begin counts like one that is being written: its first event comes while the new read waits, and the
 // read makes its first pause.
-func (t *Book) gapLoss(c *candidate, readMs float64, split bool) float64 {
+func (t *LoadTable) gapLoss(c *candidate, readMs float64, split bool) float64 {
 	sum := 0.0
 	for _, w := range c.state.workItems {
 		gap := w.dispatch.Gap
@@ -44,7 +44,7 @@
 // to the reading of long prompts. The gain shrinks with the part of the target that the choice would
 // use up: when many callers come back at once, packing would put their reads one behind the other on
 // one server while others are idle.
-func (t *Book) answerLoss(c *candidate, q Query) float64 {
+func (t *LoadTable) answerLoss(c *candidate, q Query) float64 {
 	slots := float64(q.Engine.Slots)
 	share := float64(c.requests) / slots
 	if share >= 1 {
@@ -84,14 +84,14 @@
 }
 
 // queueLoss spreads equal choices by what waits there.
-func (t *Book) queueLoss(q Query, c *candidate, readMs float64) float64 {
+func (t *LoadTable) queueLoss(q Query, c *candidate, readMs float64) float64 {
 	return t.value(q.PromptTokens) * t.options.LateLoss * 0.2 * (t.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
 }
 
 // delayLosses are what a part costs the reads that wait at a server: an engine reads the newest part
 // first, so all of them come later by as much. Without it, each new long prompt pushes the earlier
 // ones back until none is in time.
-func (t *Book) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
+func (t *LoadTable) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
 	var found []delayLoss
 	ahead := c.passMs
 	for _, w := range c.state.prefillOrder() {
@@ -112,7 +112,7 @@
 // firstEventMs predicts when a part read here is done and the next event comes.
 // The backlog counts also for a divided prompt, which engines read before it: the
 // parts that come after it do the same to it.
-func (t *Book) firstEventMs(c *candidate, q Query, readMs float64) float64 {
+func (t *LoadTable) firstEventMs(c *candidate, q Query, readMs float64) float64 {
 	readMs *= c.state.health.slowdown()
 	wait := c.backlogMs
 	if over := c.requests - q.Engine.Slots + 1; over > 0 {
@@ -129,7 +129,7 @@
 
 // lateLoss is the expected loss of a request whose first event is predicted, with
 // a slope around the target because predictions err.
-func (t *Book) lateLoss(q Query, predicted time.Duration) float64 {
+func (t *LoadTable) lateLoss(q Query, predicted time.Duration) float64 {
 	value := t.value(q.PromptTokens)
 	loss := value * t.options.LateLoss * lateProbability(predicted, time.Duration(t.options.TargetShare*float64(q.Target)))
 	if predicted > q.Remaining {
@@ -150,7 +150,7 @@
 // crowding is what a read is expected to cost the requests that come next: as long as
 // some servers have little to read they go there, and the fewer of those there are, the
 // more of the next ones are late.
-func (t *Book) crowding(candidates []*candidate, q Query) float64 {
+func (t *LoadTable) crowding(candidates []*candidate, q Query) float64 {
 	busy := 0.0
 	for _, c := range candidates {
 		busy += math.Min(c.backlogMs/busyBacklogMs, 1)
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -10,7 +10,7 @@
 )
 
 // chooseParts finds the best servers for a prompt read in a number of parts.
-func (t *Book) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
+func (t *LoadTable) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
 	readMs := q.Engine.ReadMs(q.PromptTokens, parts)
 	ranked := t.rank(now, candidates, q, readMs, parts > 1)
 	first := t.pickFirst(ranked, q, parts)
@@ -116,7 +116,7 @@
 }
 
 // rank orders servers by what a read there would cost.
-func (t *Book) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
+func (t *LoadTable) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
 	all := make([]ranked, 0, len(candidates))
 	for i, c := range candidates {
 		slowed := readMs * c.state.health.slowdown()
@@ -145,7 +145,7 @@
 // memory is spread over reservations by the best one. It returns -1 if a prompt that
 // would fit an empty server fits none now: spread as well, it would keep memory from
 // prompts that are read at less cost.
-func (t *Book) pickFirst(all []ranked, q Query, parts int) int {
+func (t *LoadTable) pickFirst(all []ranked, q Query, parts int) int {
 	need := q.PromptTokens + q.AnswerTokens
 	if need <= int64(t.options.MemoryShare*float64(q.Engine.MemoryTokens)) {
 		return bestFirst(all, need)
@@ -176,7 +176,7 @@
 // reserveMemory divides the memory of a prompt that is larger than the first server's free
 // memory over reservations at all chosen servers. It returns none if the first
 // server holds it all.
-func (t *Book) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
+func (t *LoadTable) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
 	need := q.PromptTokens + q.AnswerTokens
 	if chosen[0].free >= need {
 		return nil, true
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -24,7 +24,7 @@
 	return servers
 }
 
-func newTable() *Book { return NewBook(DefaultOptions("here")) }
+func newTable() *LoadTable { return NewBook(DefaultOptions("here")) }
 
 func shortQuery(servers []directory.Server) Query {
 	return Query{Servers: servers, Engine: engine, PromptTokens: 5000, AnswerTokens: 1600, Target: 300 * time.Millisecond,
@@ -36,12 +36,12 @@
 }
 
 // addAnswer books an answer that a server is writing.
-func addAnswer(table *Book, id, server string, q Query) {
+func addAnswer(table *LoadTable, id, server string, q Query) {
 	table.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
 	table.FirstEvent(start, id)
 }
 
-func choose(t *testing.T, table *Book, q Query) Choice {
+func choose(t *testing.T, table *LoadTable, q Query) Choice {
 	t.Helper()
 	choice, refusal := table.Choose(start, q)
 	require.Empty(t, refusal)
@@ -85,7 +85,7 @@
 
 // aboutToAnswer books a prompt that a server is about to answer: its part there is read, another server still
 // reads one.
-func aboutToAnswer(table *Book, id, server, helper string, q Query) {
+func aboutToAnswer(table *LoadTable, id, server, helper string, q Query) {
 	table.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
 		Target: q.Target, Life: q.Remaining}, engine, 0)
 	for _, w := range table.servers[server].workItems {
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -9,7 +9,7 @@
 )
 
 // begin books a dispatch of a short prompt.
-func begin(table *Book, at time.Time, id, server string) {
+func begin(table *LoadTable, at time.Time, id, server string) {
 	q := shortQuery(nil)
 	table.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 40*time.Millisecond)
 }
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -100,22 +100,22 @@
 }
 
 // Succeeded books a whole answer of a server.
-func (t *Book) Succeeded(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
+func (t *LoadTable) Succeeded(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
 
 // Failed books a failure of a server.
-func (t *Book) Failed(now time.Time, id string) { t.server(id, nil).health.failed(now) }
+func (t *LoadTable) Failed(now time.Time, id string) { t.server(id, nil).health.failed(now) }
 
 // Unreachable books that a server takes no requests: no connection to it could be made, it
 // broke off before its answer, or it said that it did not run the request. draw is a random
 // number from 0 to 1.
-func (t *Book) Unreachable(now time.Time, id string, draw float64) {
+func (t *LoadTable) Unreachable(now time.Time, id string, draw float64) {
 	t.server(id, nil).health.unreachable(now, draw)
 }
 
 // UnreachableFrom books that another entry has met such a server. One that is left alone
 // already is left alone no longer for it, since the entries that meet it at the same moment
 // all tell of it.
-func (t *Book) UnreachableFrom(now time.Time, id string, draw float64) {
+func (t *LoadTable) UnreachableFrom(now time.Time, id string, draw float64) {
 	s := t.server(id, nil)
 	if s.health.inBackoff(now) {
 		return
@@ -125,7 +125,7 @@
 
 // Awoke forgets what was believed before this process was suspended: loads and
 // failures have gone on without it.
-func (t *Book) Awoke() {
+func (t *LoadTable) Awoke() {
 	t.servers = map[string]*server{}
 	t.active = map[string]*activeDispatch{}
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -93,7 +93,7 @@
 	// evacuation is the zones that get no new work, emptied those of them at which nothing of this entry is under way.
 	evacuation evacuation.Zones
 	emptied    map[string]bool
-	book       *placement.Book
+	book       *placement.LoadTable
 	// cold bounds what servers get while they are cold.
 	cold *coldstart.Limiter
 	// grewAt is when a server was added to the list that it did not hold when it was read whole.
--- a/proof/forwarding/day.go
+++ b/proof/forwarding/day.go
@@ -27,7 +27,7 @@
 	picks   *rand.Rand
 	now     float64
 	queue   events
-	entries []*placement.Book
+	entries []*placement.LoadTable
 	listed  []directory.Server
 	engines map[string]*enginemodel.Batcher
 	// jobs are the tries that engines work on, by their identifiers.
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -129,7 +129,7 @@
 	for _, helper := range choice.Helpers {
 		dispatch.Helpers = append(dispatch.Helpers, helper.ID)
 	}
-	d.everywhere(r.entry, func(b *placement.Book, own bool) {
+	d.everywhere(r.entry, func(b *placement.LoadTable, own bool) {
 		if own {
 			b.Begin(d.clock(), dispatch, &d.site.Engine, choice.Predicted)
 			return
@@ -140,7 +140,7 @@
 
 // everywhere does something at an entry now and at the others of its part when the news
 // has reached them. News to or from an entry that is cut off are lost.
-func (d *day) everywhere(entry int, do func(b *placement.Book, own bool)) {
+func (d *day) everywhere(entry int, do func(b *placement.LoadTable, own bool)) {
 	do(d.entries[entry], true)
 	sent := enginemodel.Millis(d.now)
 	if d.site.cutOff(entry, sent) {
@@ -235,7 +235,7 @@
 	}
 	r.events++
 	if r.events == r.written+1 {
-		d.everywhere(r.entry, func(b *placement.Book, _ bool) { b.FirstEvent(d.clock(), id) })
+		d.everywhere(r.entry, func(b *placement.LoadTable, _ bool) { b.FirstEvent(d.clock(), id) })
 	}
 	if r.events == 1 {
 		r.firstMs = d.now - r.arrived
@@ -307,5 +307,5 @@
 	id := r.id
 	delete(d.jobs, id)
 	r.id = ""
-	d.everywhere(r.entry, func(b *placement.Book, _ bool) { b.End(d.clock(), id) })
+	d.everywhere(r.entry, func(b *placement.LoadTable, _ bool) { b.End(d.clock(), id) })
 }
