--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -66,8 +66,8 @@
 	packing packing
 }
 
-// NewBook returns an empty book.
-func NewBook(options Options) *LoadTable {
+// NewLoadTable returns an empty book.
+func NewLoadTable(options Options) *LoadTable {
 	return &LoadTable{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
 }
 
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -24,7 +24,7 @@
 	return servers
 }
 
-func newTable() *LoadTable { return NewBook(DefaultOptions("here")) }
+func newTable() *LoadTable { return NewLoadTable(DefaultOptions("here")) }
 
 func shortQuery(servers []directory.Server) Query {
 	return Query{Servers: servers, Engine: engine, PromptTokens: 5000, AnswerTokens: 1600, Target: 300 * time.Millisecond,
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -119,7 +119,7 @@
 	settings := options.Settings
 	s := &Server{
 		options: options, settings: settings, loaded: settings, log: options.Log, incarnation: uuid.NewString()[:incarnationLength], registry: metrics.NewRegistry(),
-		directory: directory.New(directory.Options{}), book: placement.NewBook(placement.DefaultOptions(settings.Zone)),
+		directory: directory.New(directory.Options{}), book: placement.NewLoadTable(placement.DefaultOptions(settings.Zone)),
 		cold: coldstart.NewLimiter(), divisions: map[string]parts.Division{}, started: make(chan struct{}),
 		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewWatch(), apart: quarantine.NewApart(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pause: membership.NewPauseDetector(pauseLimit),
--- a/proof/forwarding/day.go
+++ b/proof/forwarding/day.go
@@ -107,7 +107,7 @@
 		jobs: map[string]*request{}, away: map[int]bool{}, down: map[string]bool{}, result: &Result{Classes: make([]Outcome, len(site.Classes))}}
 	for i := range site.Entries {
 		options.Zone = zoneName(i % site.Zones)
-		d.entries = append(d.entries, placement.NewBook(options))
+		d.entries = append(d.entries, placement.NewLoadTable(options))
 	}
 	for i := range site.Engines {
 		server := directory.Server{ID: fmt.Sprintf("e%03d", i), Service: "engines", Zone: zoneName(i % site.Zones), Slots: site.Engine.Slots}
--- a/proof/forwarding/trouble.go
+++ b/proof/forwarding/trouble.go
@@ -112,7 +112,7 @@
 		d.away[entry] = false
 		options := d.options
 		options.Zone = zoneName(entry % d.site.Zones)
-		d.entries[entry] = placement.NewBook(options)
+		d.entries[entry] = placement.NewLoadTable(options)
 	}
 	d.endOrphans()
 	for entry := range count {
