--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -320,10 +320,10 @@
 	return sum
 }
 
-// Open returns this entry's own dispatches that are under way, with what is left of
+// OpenDispatches returns this entry's own dispatches that are under way, with what is left of
 // their times, and which of them have their first event. Another entry that has missed
 // them takes them in like new ones.
-func (t *LoadTable) Open(now time.Time) (begun []Dispatch, first []string) {
+func (t *LoadTable) OpenDispatches(now time.Time) (begun []Dispatch, first []string) {
 	for _, id := range slices.Sorted(maps.Keys(t.active)) {
 		a := t.active[id]
 		if a.peer != "" || !now.Before(a.expires) {
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -33,7 +33,7 @@
 	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
 	table.BeginFrom(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
-	begun, first := table.Open(later)
+	begun, first := table.OpenDispatches(later)
 	require.Equal(t, []string{"answering"}, first)
 	require.Len(t, begun, 2, "only its own")
 	require.Equal(t, 14*time.Second, begun[1].Life)
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -192,7 +192,7 @@
 // here. It would send prompts to servers that are full until those have ended.
 func (p *peerExchange) tellOpen(now time.Time, target string) {
 	p.s.mu.Lock()
-	begun, first := p.s.book.Open(now)
+	begun, first := p.s.book.OpenDispatches(now)
 	p.s.mu.Unlock()
 	targets := []string{target}
 	for part := range slices.Chunk(begun, maxDispatches) {
