--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -342,9 +342,9 @@
 	return begun, first
 }
 
-// OwnAt returns how many of this entry's own dispatches are under way at servers for which a condition holds, helpers
+// CountOwnAt returns how many of this entry's own dispatches are under way at servers for which a condition holds, helpers
 // among them.
-func (t *LoadTable) OwnAt(holds func(id string) bool) int {
+func (t *LoadTable) CountOwnAt(holds func(id string) bool) int {
 	count := 0
 	for _, a := range t.active {
 		if a.peer == "" && (holds(a.dispatch.Server) || slices.ContainsFunc(a.dispatch.Helpers, holds)) {
--- a/entry/gateway/evacuation.go
+++ b/entry/gateway/evacuation.go
@@ -73,7 +73,7 @@
 func (s *Server) openInEvacuated() map[string]int {
 	open := map[string]int{}
 	for _, zone := range s.evacuation.Evacuated() {
-		open[zone] = s.book.OwnAt(func(start string) bool {
+		open[zone] = s.book.CountOwnAt(func(start string) bool {
 			server, known := s.directory.Lookup(start)
 			return known && server.Zone == zone
 		})
