--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -354,5 +354,5 @@
 	return count
 }
 
-// Active returns how many dispatches are booked.
-func (t *LoadTable) Active() int { return len(t.active) }
+// ActiveCount returns how many dispatches are booked.
+func (t *LoadTable) ActiveCount() int { return len(t.active) }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -304,9 +304,9 @@
 func TestDispatchesOfADeadEntryExpire(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	addAnswer(table, "lost", "s00", shortQuery(servers))
-	require.Equal(t, 1, table.Active())
+	require.Equal(t, 1, table.ActiveCount())
 	table.Expire(start.Add(11 * time.Second))
-	require.Zero(t, table.Active())
+	require.Zero(t, table.ActiveCount())
 	require.Zero(t, table.servers["s00"].memoryUsed())
 }
 
@@ -314,7 +314,7 @@
 	table := newTable()
 	addAnswer(table, "old", "s00", shortQuery(fleet(1)))
 	table.Awoke()
-	require.Zero(t, table.Active())
+	require.Zero(t, table.ActiveCount())
 	table.End(start, "old")
 	table.FirstEvent(start, "old")
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -55,7 +55,7 @@
 	return func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.book.Active() == count
+		return s.book.ActiveCount() == count
 	}
 }
 
