--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -97,8 +97,8 @@
 	t.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
 }
 
-// BeginFrom books a dispatch that another entry tells of.
-func (t *LoadTable) BeginFrom(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
+// BeginPeerDispatch books a dispatch that another entry tells of.
+func (t *LoadTable) BeginPeerDispatch(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
 	t.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
 }
 
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -31,7 +31,7 @@
 	table, servers := newTable(), fleet(2)
 	addAnswer(table, "answering", "s00", shortQuery(servers))
 	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
-	table.BeginFrom(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
+	table.BeginPeerDispatch(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
 	begun, first := table.OpenDispatches(later)
 	require.Equal(t, []string{"answering"}, first)
@@ -41,7 +41,7 @@
 
 	started := newTable()
 	for _, d := range begun {
-		started.BeginFrom(later, "b", d, engine)
+		started.BeginPeerDispatch(later, "b", d, engine)
 	}
 	for _, id := range first {
 		started.FirstEvent(later, id)
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -204,7 +204,7 @@
 		if refusal == "" && choice.Wait == 0 {
 			place.Server, place.Helpers, place.Held, place.Predicted = choice.Server.Start(), directory.Starts(choice.Helpers), choice.Held, choice.Predicted
 			d.Server, d.Helpers, d.Held = place.Server, place.Helpers, place.Held
-			s.book.BeginFrom(now, from, d, service.Engine)
+			s.book.BeginPeerDispatch(now, from, d, service.Engine)
 		}
 	}
 	s.mu.Unlock()
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -172,7 +172,7 @@
 	}
 	for _, d := range m.Begun {
 		if engine, ok := s.engineOf(d.Server); ok {
-			s.book.BeginFrom(now, m.From, d, engine)
+			s.book.BeginPeerDispatch(now, m.From, d, engine)
 		}
 	}
 	for _, server := range m.Unreachable {
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -134,7 +134,7 @@
 			b.Begin(d.clock(), dispatch, &d.site.Engine, choice.Predicted)
 			return
 		}
-		b.BeginFrom(d.clock(), entryName(r.entry), dispatch, &d.site.Engine)
+		b.BeginPeerDispatch(d.clock(), entryName(r.entry), dispatch, &d.site.Engine)
 	})
 }
 
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -64,7 +64,7 @@
 	{"requests cross only to more room", "core/parts/crossing.go", "return other >= own+crossGain", "return other >= 0", "arbutusdeck/core/parts", "TestRequestsCross"},
 	{"a zone without servers asks another one", "entry/gateway/crossing.go", "		if far, ok := e.askElsewhere(ctx, now); ok {\n", "		if far, ok := e.askElsewhere(ctx, now); false && ok {\n", gatewayPkg, "TestAZoneWithoutServers"},
 	{"a server that can't be reached is no place", "entry/gateway/crossing.go", "choice.Unreachable || ", "", gatewayPkg, "TestAZoneWithoutServers"},
-	{"a placed request is in the book", "entry/gateway/crossing.go", "			s.book.BeginFrom(now, from, d, service.Engine)\n", "", gatewayPkg, "TestAPlaceThatIsNotHeard"},
+	{"a placed request is in the book", "entry/gateway/crossing.go", "			s.book.BeginPeerDispatch(now, from, d, service.Engine)\n", "", gatewayPkg, "TestAPlaceThatIsNotHeard"},
 	{"requests wait for an entry that starts", "entry/gateway/front.go", "	e.awaitStart()\n", "", gatewayPkg, "TestARequestWaitsForAnEntry"},
 	{"any server is better than none", "entry/gateway/crossing.go", "	if refusal == placement.NoServer {", "	if false {", gatewayPkg, "TestWithoutServersAndNeighbours"},
 	{"entries keep to their zone", "entry/gateway/run.go", "	if service.Engine != nil && s.isDivided(service.Name) {", "	if false {", gatewayPkg, "TestEntriesKeepToTheServers"},
