--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// EndFrom books that all that another entry told of is over: it has started anew.
-func (t *LoadTable) EndFrom(now time.Time, from string) {
+// EndPeerDispatches books that all that another entry told of is over: it has started anew.
+func (t *LoadTable) EndPeerDispatches(now time.Time, from string) {
 	for id, a := range t.active {
 		if a.peer == from {
 			t.End(now, id)
--- a/core/placement/packing_test.go
+++ b/core/placement/packing_test.go
@@ -20,7 +20,7 @@
 		for k := range 17 {
 			table.BeginPeerDispatch(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Life: q.Remaining}, engine)
 		}
-		table.EndFrom(start, "other")
+		table.EndPeerDispatches(start, "other")
 	}
 	require.Equal(t, "s00", choose(t, table, q).Server.ID)
 }
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -48,6 +48,6 @@
 	}
 	require.Equal(t, table.servers["s00"].memoryUsed(), started.servers["s00"].memoryUsed())
 	require.Equal(t, 1, started.servers["s00"].batch().Answers)
-	started.EndFrom(later, "b")
+	started.EndPeerDispatches(later, "b")
 	require.Zero(t, started.ActiveCount())
 }
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if restarted {
-		s.book.EndFrom(now, m.From)
+		s.book.EndPeerDispatches(now, m.From)
 	}
 	for _, d := range m.Begun {
 		if engine, ok := s.engineOf(d.Server); ok {
--- a/proof/forwarding/trouble.go
+++ b/proof/forwarding/trouble.go
@@ -117,7 +117,7 @@
 	d.endOrphans()
 	for entry := range count {
 		for other := count; other < d.site.Entries; other++ {
-			d.entries[other].EndFrom(d.clock(), entryName(entry))
+			d.entries[other].EndPeerDispatches(d.clock(), entryName(entry))
 		}
 	}
 }
