--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -313,7 +313,7 @@
 func TestAPausedProcessForgetsLoads(t *testing.T) {
 	table := newTable()
 	addAnswer(table, "old", "s00", shortQuery(fleet(1)))
-	table.Awoke()
+	table.Reset()
 	require.Zero(t, table.ActiveCount())
 	table.End(start, "old")
 	table.FirstEvent(start, "old")
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -123,9 +123,9 @@
 	s.health.unreachable(now, draw)
 }
 
-// Awoke forgets what was believed before this process was suspended: loads and
+// Reset forgets what was believed before this process was suspended: loads and
 // failures have gone on without it.
-func (t *LoadTable) Awoke() {
+func (t *LoadTable) Reset() {
 	t.servers = map[string]*server{}
 	t.active = map[string]*activeDispatch{}
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -310,7 +310,7 @@
 	s.mu.Lock()
 	gap := s.pause.Tick(boottime(now))
 	if gap > 0 {
-		s.book.Awoke()
+		s.book.Reset()
 		s.cold.Awoke()
 	}
 	s.mu.Unlock()
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -121,7 +121,7 @@
 	{"a server's own failure is delivered", "entry/gateway/answers.go", "	if e.failure != nil && !e.begun {", "	if false {", gatewayPkg, "TestAServersOwnFailure"},
 	{"settings are compared with what was loaded", "entry/gateway/settingsloop.go", "	var last []byte\n", "	time.Sleep(time.Second)\n	last, _ := os.ReadFile(s.options.SettingsPath)\n", gatewayPkg, "TestSettingsThatChange"},
 	{"connections end in silence", "entry/gateway/server.go", "netopts.ControlFor(serverSilence)", "netopts.Control", gatewayPkg, "TestConnectionsToServers"},
-	{"a suspended host forgets loads", "entry/gateway/server.go", "		s.book.Awoke()\n", "", gatewayPkg, "TestASuspendedHost"},
+	{"a suspended host forgets loads", "entry/gateway/server.go", "		s.book.Reset()\n", "", gatewayPkg, "TestASuspendedHost"},
 	{"an answer of another request", "entry/gateway/try.go", "	if answer.ID != \"\" && answer.ID != e.info.ID {", "	if false {", gatewayPkg, "TestAnIdempotent"},
 	{"an unsigned or encoded success", "entry/gateway/try.go", "	if success && (!answer.Signed || answer.Encoded) {", "	if false {", gatewayPkg, "TestAnIdempotent"},
 	{"a shortened answer", "entry/gateway/try.go", "bufferedAnswer+1))\n	if err != nil {", "bufferedAnswer+1))\n	if err != nil && len(body) == 0 {", gatewayPkg, "TestAnIdempotent"},
