--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -279,7 +279,7 @@
 	table.Unreachable(start, "s01", 0.5)
 	_, refusal := table.Choose(start, shortQuery(servers))
 	require.Empty(t, refusal, "with nothing else left it is tried all the same")
-	table.Succeeded(start, "s00")
+	table.RecordSuccess(start, "s00")
 	require.Equal(t, "s00", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -99,8 +99,8 @@
 	s.health.latencyRatio += (ratio - s.health.latencyRatio) * latencyWeight
 }
 
-// Succeeded books a whole answer of a server.
-func (t *LoadTable) Succeeded(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
+// RecordSuccess books a whole answer of a server.
+func (t *LoadTable) RecordSuccess(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
 
 // Failed books a failure of a server.
 func (t *LoadTable) Failed(now time.Time, id string) { t.server(id, nil).health.failed(now) }
--- a/entry/gateway/book.go
+++ b/entry/gateway/book.go
@@ -20,7 +20,7 @@
 func (s *Server) serverSucceeded(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Succeeded(time.Now(), server)
+	s.book.RecordSuccess(time.Now(), server)
 }
 
 func (s *Server) serverFailed(server string) {
