--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -288,7 +288,7 @@
 func TestFailuresOutweighPackingAndAreForgotten(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for range 5 {
-		table.Failed(start, "s00")
+		table.RecordFailure(start, "s00")
 	}
 	for i := range 4 {
 		addAnswer(table, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -102,8 +102,8 @@
 // RecordSuccess books a whole answer of a server.
 func (t *LoadTable) RecordSuccess(now time.Time, id string) { t.server(id, nil).health.succeeded(now) }
 
-// Failed books a failure of a server.
-func (t *LoadTable) Failed(now time.Time, id string) { t.server(id, nil).health.failed(now) }
+// RecordFailure books a failure of a server.
+func (t *LoadTable) RecordFailure(now time.Time, id string) { t.server(id, nil).health.failed(now) }
 
 // Unreachable books that a server takes no requests: no connection to it could be made, it
 // broke off before its answer, or it said that it did not run the request. draw is a random
--- a/entry/gateway/book.go
+++ b/entry/gateway/book.go
@@ -26,7 +26,7 @@
 func (s *Server) serverFailed(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Failed(time.Now(), server)
+	s.book.RecordFailure(time.Now(), server)
 }
 
 // superseded says whether a later start of a server is known.
--- a/proof/forwarding/trouble.go
+++ b/proof/forwarding/trouble.go
@@ -133,7 +133,7 @@
 		d.engines[listed.ID] = enginemodel.NewBatcher(d.site.Engine)
 		for _, r := range d.running() {
 			if r.id != "" && r.choice.Server.ID == listed.ID {
-				d.entries[r.entry].Failed(d.clock(), listed.ID)
+				d.entries[r.entry].RecordFailure(d.clock(), listed.ID)
 				d.again(r, listed.ID)
 			}
 		}
