--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -271,12 +271,12 @@
 func TestBackoffOfAFlappingServerDoubles(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	pause := func() time.Duration { return table.servers["s00"].health.backoffUntil.Sub(start) }
-	table.Unreachable(start, "s00", 0.5)
+	table.MarkUnreachable(start, "s00", 0.5)
 	first := pause()
-	table.Unreachable(start, "s00", 0.5)
+	table.MarkUnreachable(start, "s00", 0.5)
 	require.Equal(t, 2*first, pause())
 	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
-	table.Unreachable(start, "s01", 0.5)
+	table.MarkUnreachable(start, "s01", 0.5)
 	_, refusal := table.Choose(start, shortQuery(servers))
 	require.Empty(t, refusal, "with nothing else left it is tried all the same")
 	table.RecordSuccess(start, "s00")
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -105,10 +105,10 @@
 // RecordFailure books a failure of a server.
 func (t *LoadTable) RecordFailure(now time.Time, id string) { t.server(id, nil).health.failed(now) }
 
-// Unreachable books that a server takes no requests: no connection to it could be made, it
+// MarkUnreachable books that a server takes no requests: no connection to it could be made, it
 // broke off before its answer, or it said that it did not run the request. draw is a random
 // number from 0 to 1.
-func (t *LoadTable) Unreachable(now time.Time, id string, draw float64) {
+func (t *LoadTable) MarkUnreachable(now time.Time, id string, draw float64) {
 	t.server(id, nil).health.unreachable(now, draw)
 }
 
--- a/entry/gateway/book.go
+++ b/entry/gateway/book.go
@@ -40,7 +40,7 @@
 // would otherwise each find out with requests of their own.
 func (s *Server) unreachable(server string) {
 	s.mu.Lock()
-	s.book.Unreachable(time.Now(), server, s.random.Float64())
+	s.book.MarkUnreachable(time.Now(), server, s.random.Float64())
 	s.mu.Unlock()
 	s.peers.tell(booking{}, func(m *peering.Message) { m.Unreachable = append(m.Unreachable, server) })
 	s.peers.flushSoon()
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -160,7 +160,7 @@
 		return
 	}
 	if d.down[r.choice.Server.ID] {
-		d.entries[r.entry].Unreachable(d.clock(), r.choice.Server.ID, d.ties.Float64())
+		d.entries[r.entry].MarkUnreachable(d.clock(), r.choice.Server.ID, d.ties.Float64())
 		r.sent--
 		d.again(r, r.choice.Server.ID)
 		return
