--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -338,14 +338,14 @@
 func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
 	told := newTable()
-	told.UnreachableFrom(start, "s00", 0)
+	told.MarkUnreachableByPeer(start, "s00", 0)
 	choice, refusal := told.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
-	told.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 1)
+	told.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
 	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "what others met at the same moment adds nothing")
 	later := newTable()
-	later.UnreachableFrom(start, "s00", 1)
+	later.MarkUnreachableByPeer(start, "s00", 1)
 	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
 }
 
@@ -354,7 +354,7 @@
 func TestAFirstEventShowsThatAServerIsBack(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	begin(table, start, "before", "s00")
-	table.UnreachableFrom(start.Add(10*time.Millisecond), "s00", 0.5)
+	table.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 0.5)
 	table.FirstEvent(start.Add(20*time.Millisecond), "before")
 	at := start.Add(30 * time.Millisecond)
 	require.True(t, at.Before(table.servers["s00"].health.backoffUntil))
--- a/core/placement/trust.go
+++ b/core/placement/trust.go
@@ -112,10 +112,10 @@
 	t.server(id, nil).health.unreachable(now, draw)
 }
 
-// UnreachableFrom books that another entry has met such a server. One that is left alone
+// MarkUnreachableByPeer books that another entry has met such a server. One that is left alone
 // already is left alone no longer for it, since the entries that meet it at the same moment
 // all tell of it.
-func (t *LoadTable) UnreachableFrom(now time.Time, id string, draw float64) {
+func (t *LoadTable) MarkUnreachableByPeer(now time.Time, id string, draw float64) {
 	s := t.server(id, nil)
 	if s.health.inBackoff(now) {
 		return
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -177,7 +177,7 @@
 	}
 	for _, server := range m.Unreachable {
 		if _, ok := s.engineOf(server); ok {
-			s.book.UnreachableFrom(now, server, s.random.Float64())
+			s.book.MarkUnreachableByPeer(now, server, s.random.Float64())
 		}
 	}
 	for _, id := range m.First {
