--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -7,9 +7,9 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// Room is the share of servers that could begin a short prompt at once: they can be
+// SpareCapacity is the share of servers that could begin a short prompt at once: they can be
 // reached, have a slot free, and have less to read than makes next requests avoid them.
-func (t *LoadTable) Room(now time.Time, servers []directory.Server, engine *enginemodel.Engine) float64 {
+func (t *LoadTable) SpareCapacity(now time.Time, servers []directory.Server, engine *enginemodel.Engine) float64 {
 	if len(servers) == 0 || engine == nil {
 		return 0
 	}
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -90,7 +90,7 @@
 	if service == nil {
 		return 0
 	}
-	return s.book.Room(now, s.serversFor(service), service.Engine)
+	return s.book.SpareCapacity(now, s.serversFor(service), service.Engine)
 }
 
 // service returns a service of the configuration in force, or nil.
