--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -72,9 +72,9 @@
 	return choice.Predicted + stallGrace
 }
 
-// Move says whether a request without a first event is better sent to another server: its
+// ShouldRedispatch says whether a request without a first event is better sent to another server: its
 // own is stalled, and another one would begin before the stall is believed to be over.
-func (t *LoadTable) Move(now time.Time, server string, q Query) bool {
+func (t *LoadTable) ShouldRedispatch(now time.Time, server string, q Query) bool {
 	s := t.servers[server]
 	if s == nil {
 		return false
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -32,9 +32,9 @@
 		require.Empty(t, refusal)
 		require.NotEqual(t, "s00", choice.Server.ID)
 	}
-	require.True(t, table.Move(overdue, "s00", q), "what waits there goes elsewhere")
+	require.True(t, table.ShouldRedispatch(overdue, "s00", q), "what waits there goes elsewhere")
 	table.FirstEvent(overdue, "first")
-	require.False(t, table.Move(overdue, "s00", q))
+	require.False(t, table.ShouldRedispatch(overdue, "s00", q))
 	require.Zero(t, table.servers["s00"].stall(overdue))
 }
 
@@ -56,9 +56,9 @@
 		begin(table, start, fmt.Sprint("r", i), server.ID)
 	}
 	at := start.Add(300 * time.Millisecond)
-	require.False(t, table.Move(at, "s00", shortQuery(servers)))
-	require.False(t, table.Move(at, "s00", shortQuery(servers[:1])))
-	require.False(t, table.Move(at, "unknown", shortQuery(servers)))
+	require.False(t, table.ShouldRedispatch(at, "s00", shortQuery(servers)))
+	require.False(t, table.ShouldRedispatch(at, "s00", shortQuery(servers[:1])))
+	require.False(t, table.ShouldRedispatch(at, "unknown", shortQuery(servers)))
 }
 
 // A divided prompt would lose what is read of it already; a plain service has no reads.
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -79,7 +79,7 @@
 func (e *exchange) mayMove(now time.Time, server string, excluded []string) bool {
 	e.s.mu.Lock()
 	defer e.s.mu.Unlock()
-	if !e.s.book.Move(now, server, e.query(now, excluded)) || !e.s.budget(e.service.Name).Take(now) {
+	if !e.s.book.ShouldRedispatch(now, server, e.query(now, excluded)) || !e.s.budget(e.service.Name).Take(now) {
 		return false
 	}
 	e.paid.Store(true)
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -81,7 +81,7 @@
 	if r.over || r.id != id || r.events > r.written {
 		return
 	}
-	if d.entries[r.entry].Move(d.clock(), r.choice.Server.ID, query) {
+	if d.entries[r.entry].ShouldRedispatch(d.clock(), r.choice.Server.ID, query) {
 		d.again(r, r.choice.Server.ID)
 		return
 	}
