--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -62,10 +62,10 @@
 // MoveCheck. A look costs one choice, and a stall shows within tens of milliseconds.
 const MoveInterval = 50 * time.Millisecond
 
-// MoveCheck is when a request that has no first event yet is looked at again: when the
+// RedispatchCheckDelay is when a request that has no first event yet is looked at again: when the
 // event would be overdue. It is zero for a request that stays in any case: a divided
 // prompt, whose reads elsewhere would be lost, and a plain service's.
-func MoveCheck(choice Choice, engine *enginemodel.Engine) time.Duration {
+func RedispatchCheckDelay(choice Choice, engine *enginemodel.Engine) time.Duration {
 	if engine == nil || len(choice.Helpers) > 0 {
 		return 0
 	}
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -64,9 +64,9 @@
 // A divided prompt would lose what is read of it already; a plain service has no reads.
 func TestOnlyUndividedPromptsAreRedispatched(t *testing.T) {
 	table := newTable()
-	require.Positive(t, MoveCheck(choose(t, table, shortQuery(fleet(2))), engine))
-	require.Zero(t, MoveCheck(choose(t, table, longQuery(fleet(16), 154_000)), engine))
-	require.Zero(t, MoveCheck(Choice{}, nil))
+	require.Positive(t, RedispatchCheckDelay(choose(t, table, shortQuery(fleet(2))), engine))
+	require.Zero(t, RedispatchCheckDelay(choose(t, table, longQuery(fleet(16), 154_000)), engine))
+	require.Zero(t, RedispatchCheckDelay(Choice{}, nil))
 }
 
 // Sixty callers come at the same moment. One server writes answers alike, the others are
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -51,7 +51,7 @@
 // watchStall begins to watch a try that is about to be sent; cancel breaks it off.
 func (e *exchange) watchStall(ctx context.Context, choice placement.Choice, cancel context.CancelFunc) *stallWatch {
 	watch := &stallWatch{}
-	check := placement.MoveCheck(choice, e.service.Engine)
+	check := placement.RedispatchCheckDelay(choice, e.service.Engine)
 	if check == 0 || e.begun || !e.core.MayMove() {
 		return watch
 	}
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -70,7 +70,7 @@
 
 // watchStall moves a request to another server if its own is stalled.
 func (d *day) watchStall(r *request, id string, query placement.Query) {
-	check := placement.MoveCheck(r.choice, query.Engine)
+	check := placement.RedispatchCheckDelay(r.choice, query.Engine)
 	if check == 0 || r.sent >= maxSends {
 		return
 	}
