--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -58,9 +58,9 @@
 	return s.backlogMs() + s.stall(now).Seconds()*msPerSecond
 }
 
-// MoveInterval is how often a request without a first event is looked at again after
+// RedispatchCheckInterval is how often a request without a first event is looked at again after
 // MoveCheck. A look costs one choice, and a stall shows within tens of milliseconds.
-const MoveInterval = 50 * time.Millisecond
+const RedispatchCheckInterval = 50 * time.Millisecond
 
 // RedispatchCheckDelay is when a request that has no first event yet is looked at again: when the
 // event would be overdue. It is zero for a request that stays in any case: a divided
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -67,7 +67,7 @@
 			cancel()
 			return
 		}
-		watch.after(placement.MoveInterval, look)
+		watch.after(placement.RedispatchCheckInterval, look)
 	}
 	watch.after(check, look)
 	return watch
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -85,7 +85,7 @@
 		d.again(r, r.choice.Server.ID)
 		return
 	}
-	d.at(d.now+ms(placement.MoveInterval), func() { d.lookForStall(r, id, query) })
+	d.at(d.now+ms(placement.RedispatchCheckInterval), func() { d.lookForStall(r, id, query) })
 }
 
 // refuse answers a request that was not run. Its caller comes back once, when it was told to,
