--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -50,7 +50,7 @@
 	// RetryAfter is when a refused caller should come back.
 	RetryAfter time.Duration
 	// Known is what was believed of Server, for the log.
-	Known Known
+	Known ServerLoad
 	// Wait asks to choose again after this time in place of sending now.
 	Wait time.Duration
 	// Unreachable says that no connection to Server could be made lately.
@@ -63,8 +63,8 @@
 	slotsTaken bool
 }
 
-// Known is what is believed of a server when it is chosen.
-type Known struct {
+// ServerLoad is what is believed of a server when it is chosen.
+type ServerLoad struct {
 	// BacklogMs is the reading that waits there, in milliseconds.
 	BacklogMs float64
 	// Requests run or wait there.
@@ -251,8 +251,8 @@
 	return enginemodel.Millis(q.Engine.AnswerMs(q.AnswerTokens, batch) * c.state.health.slowdown())
 }
 
-func (c *candidate) load(now time.Time) Known {
-	known := Known{BacklogMs: c.backlogMs, Requests: c.requests}
+func (c *candidate) load(now time.Time) ServerLoad {
+	known := ServerLoad{BacklogMs: c.backlogMs, Requests: c.requests}
 	if !c.state.updatedAt.IsZero() {
 		known.Age = now.Sub(c.state.updatedAt)
 	}
