--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -49,8 +49,8 @@
 	Loss float64
 	// RetryAfter is when a refused caller should come back.
 	RetryAfter time.Duration
-	// Known is what was believed of Server, for the log.
-	Known ServerLoad
+	// Load is what was believed of Server, for the log.
+	Load ServerLoad
 	// Wait asks to choose again after this time in place of sending now.
 	Wait time.Duration
 	// Unreachable says that no connection to Server could be made lately.
@@ -272,7 +272,7 @@
 			best, lowest = c, loss
 		}
 	}
-	return Choice{Server: best.Server, Known: best.load(now), Unreachable: best.state.health.inBackoff(now), Loss: lowest}
+	return Choice{Server: best.Server, Load: best.load(now), Unreachable: best.state.health.inBackoff(now), Loss: lowest}
 }
 
 // At returns the server that reads a part: 0 is Server, then the helpers.
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -75,7 +75,7 @@
 	w.eventually("the new start is known", func() bool { return w.available(s, "engines")[0].Born == secondBirth })
 	choice := w.choose(s)
 	require.Equal(t, startOf(worker), choice.Server.Start())
-	require.Zero(t, choice.Known.Requests)
+	require.Zero(t, choice.Load.Requests)
 	require.Less(t, choice.Loss, 0.3, "its failures are the dead start's")
 	end()
 	require.Equal(t, 200, (<-done).status)
@@ -108,10 +108,10 @@
 	third := secondBirth + 500
 	s.takeNews(time.Now(), begun("early", third), false)
 	require.True(t, s.booked(1)())
-	require.Zero(t, w.choose(s).Known.Requests, "the start that is known here has nothing to do")
+	require.Zero(t, w.choose(s).Load.Requests, "the start that is known here has nothing to do")
 	w.reborn(worker, third)
 	w.eventually("the third start is known", func() bool { return w.available(s, "engines")[0].Born == third })
-	require.Equal(t, 1, w.choose(s).Known.Requests)
+	require.Equal(t, 1, w.choose(s).Load.Requests)
 }
 
 // A server that holds a part of a prompt in a reservation crashes and is back. The
