--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -38,9 +38,9 @@
 type Choice struct {
 	Server  directory.Server
 	Helpers []directory.Server
-	// Held is the reservations at Server and each of Helpers in tokens; empty
+	// Reserved is the reservations at Server and each of Helpers in tokens; empty
 	// where none are needed.
-	Held []int64
+	Reserved []int64
 	// Predicted is the expected time to the first event.
 	Predicted time.Duration
 	// Answering is the expected time from the first event to the last one.
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return Choice{}, false
 	}
-	choice := Choice{Server: chosen[0].Server, Load: chosen[0].load(now), Unreachable: chosen[0].state.health.inBackoff(now), Held: held,
+	choice := Choice{Server: chosen[0].Server, Load: chosen[0].load(now), Unreachable: chosen[0].state.health.inBackoff(now), Reserved: held,
 		othersLoss: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
 	slowest := 0.0
 	for _, c := range chosen {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -62,7 +62,7 @@
 	choice := choose(t, newTable(), longQuery(fleet(16), 154_000))
 	require.Greater(t, len(choice.Helpers), 1)
 	require.Less(t, choice.Predicted, 2*time.Second)
-	require.Empty(t, choice.Held, "one server holds it")
+	require.Empty(t, choice.Reserved, "one server holds it")
 	require.Len(t, usedServers(choice), len(choice.Helpers)+1, "every server reads one part")
 }
 
@@ -147,9 +147,9 @@
 func TestAPromptLargerThanAServerIsHeldInReservations(t *testing.T) {
 	q := longQuery(fleet(16), 500_000)
 	choice := choose(t, newTable(), q)
-	require.Len(t, choice.Held, len(choice.Helpers)+1)
+	require.Len(t, choice.Reserved, len(choice.Helpers)+1)
 	sum := int64(0)
-	for _, tokens := range choice.Held {
+	for _, tokens := range choice.Reserved {
 		require.LessOrEqual(t, tokens, engine.MemoryTokens)
 		sum += tokens
 	}
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -125,7 +125,7 @@
 	w.reborn(other, firstBirth)
 	s := w.serve()
 	servers := w.available(s, "engines")
-	r, err := s.reserve(t.Context(), "r1", placement.Choice{Server: servers[0], Helpers: servers[1:], Held: []int64{1000, 1000}})
+	r, err := s.reserve(t.Context(), "r1", placement.Choice{Server: servers[0], Helpers: servers[1:], Reserved: []int64{1000, 1000}})
 	require.NoError(t, err)
 	w.reborn(worker, secondBirth)
 	w.eventually("the new start is known", func() bool { return s.superseded(servers[0]) })
--- a/entry/gateway/reservation.go
+++ b/entry/gateway/reservation.go
@@ -70,7 +70,7 @@
 	idle := s.settings.ReservationIdle.D()
 	r := &reservation{s: s, choice: choice, id: id, hold: min(reservationHold, idle/2), lapse: time.Now().Add(unusedLapse(idle)),
 		begun: make(chan struct{}), cancel: func() {}}
-	for i, tokens := range choice.Held {
+	for i, tokens := range choice.Reserved {
 		if tokens > 0 {
 			r.holding = append(r.holding, held{choice.At(i), tokens})
 		}
@@ -219,7 +219,7 @@
 	var helpers []platform.Helper
 	for i := range len(r.choice.Helpers) + 1 {
 		server := r.choice.At(i)
-		held := len(r.choice.Held) > 0 && r.choice.Held[i] > 0
+		held := len(r.choice.Reserved) > 0 && r.choice.Reserved[i] > 0
 		if i == 0 && !held {
 			continue
 		}
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -115,7 +115,7 @@
 const callerReturns = 1
 
 func (d *day) reserve(choice placement.Choice) bool {
-	for i, tokens := range choice.Held {
+	for i, tokens := range choice.Reserved {
 		if tokens > 0 && !d.engines[choice.At(i).ID].Fits(tokens) {
 			return false
 		}
@@ -124,7 +124,7 @@
 }
 
 func (d *day) tell(r *request, choice placement.Choice) {
-	dispatch := placement.Dispatch{ID: r.id, Server: choice.Server.ID, Held: choice.Held, PromptTokens: r.prompt, AnswerTokens: r.hint,
+	dispatch := placement.Dispatch{ID: r.id, Server: choice.Server.ID, Held: choice.Reserved, PromptTokens: r.prompt, AnswerTokens: r.hint,
 		Gap: r.class.Gap, Target: r.class.Target - enginemodel.Millis(d.now-r.arrived), Life: r.class.Deadline}
 	for _, helper := range choice.Helpers {
 		dispatch.Helpers = append(dispatch.Helpers, helper.ID)
@@ -167,8 +167,8 @@
 	}
 	for i := range r.partsDue {
 		job := enginemodel.Job{ID: r.id, PromptTokens: r.prompt, Parts: r.partsDue, Helping: i > 0, AnswerTokens: max(r.answer-int64(r.written*d.site.Engine.Stride), 1), Urgency: urgency(r.prompt)}
-		if len(r.choice.Held) > 0 {
-			job.Spread, job.Reserved = true, r.choice.Held[i]
+		if len(r.choice.Reserved) > 0 {
+			job.Spread, job.Reserved = true, r.choice.Reserved[i]
 		}
 		d.drive(r.choice.At(i).ID, func(b *enginemodel.Batcher) { b.Submit(d.now, job) })
 	}
