--- a/core/peering/codec.go
+++ b/core/peering/codec.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if m.Place != nil {
-		given := placement.Dispatch{Helpers: m.Place.Helpers, Held: m.Place.Held}
+		given := placement.Dispatch{Helpers: m.Place.Helpers, Reserved: m.Place.Held}
 		if err := given.Check(); err != nil {
 			return fmt.Errorf("a place for request %s: %w", m.Place.ID, err)
 		}
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -20,7 +20,7 @@
 func TestAMessageIsReadAsItWasWritten(t *testing.T) {
 	m := usualMessage()
 	m.First, m.Ended, m.Known, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
-	m.Begun[0].Held = []int64{200_000, 0}
+	m.Begun[0].Reserved = []int64{200_000, 0}
 	data, err := Encode(m)
 	require.NoError(t, err)
 	read, err := Decode(data)
@@ -62,7 +62,7 @@
 // took it in ended, all of them, and again after their start: what is open is told anew.
 func TestAMessageThatMakesNoSenseIsRefused(t *testing.T) {
 	for name, breaks := range map[string]func(*Message){
-		"held at fewer servers": func(m *Message) { m.Begun[0].Held = []int64{1} },
+		"held at fewer servers": func(m *Message) { m.Begun[0].Reserved = []int64{1} },
 		"negative tokens":       func(m *Message) { m.Begun[0].PromptTokens = -1 },
 		"too many tokens":       func(m *Message) { m.Begun[0].AnswerTokens = 1 << 40 },
 		"too long":              func(m *Message) { m.Begun[0].Life = 1 << 60 },
--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -293,7 +293,7 @@
 // context is how many tokens each step of the answer has to look at here: the
 // largest part of a prompt that is spread over reservations, else all of it.
 func (w *workItem) context() int64 {
-	if len(w.dispatch.Held) > 0 {
+	if len(w.dispatch.Reserved) > 0 {
 		return w.dispatch.PromptTokens / int64(w.dispatch.parts())
 	}
 	return w.dispatch.PromptTokens
--- a/core/placement/dispatch.go
+++ b/core/placement/dispatch.go
@@ -12,9 +12,9 @@
 	Server string `cbor:"2,keyasint,omitempty"`
 	// Helpers read parts of the prompt.
 	Helpers []string `cbor:"3,keyasint,omitempty"`
-	// Held is what Server and each of Helpers keep in reservations, in tokens;
+	// Reserved is what Server and each of Helpers keep in reservations, in tokens;
 	// empty where the whole prompt stays at Server.
-	Held []int64 `cbor:"4,keyasint,omitempty"`
+	Reserved []int64 `cbor:"4,keyasint,omitempty"`
 	// PromptTokens is 0 for a plain service's request.
 	PromptTokens int64 `cbor:"5,keyasint,omitempty"`
 	// AnswerTokens is the expected length of the answer.
@@ -43,10 +43,10 @@
 	if len(d.Helpers) > maxHelpers {
 		return fmt.Errorf("%d helpers: %d at the most", len(d.Helpers), maxHelpers)
 	}
-	if len(d.Held) > 0 && len(d.Held) != d.parts() {
-		return fmt.Errorf("memory held at %d servers of %d", len(d.Held), d.parts())
+	if len(d.Reserved) > 0 && len(d.Reserved) != d.parts() {
+		return fmt.Errorf("memory held at %d servers of %d", len(d.Reserved), d.parts())
 	}
-	for _, tokens := range append([]int64{d.PromptTokens, d.AnswerTokens}, d.Held...) {
+	for _, tokens := range append([]int64{d.PromptTokens, d.AnswerTokens}, d.Reserved...) {
 		if tokens < 0 || tokens > maxTokens {
 			return fmt.Errorf("%d tokens: 0 to %d", tokens, maxTokens)
 		}
@@ -65,11 +65,11 @@
 // memoryAt returns the memory that the dispatch takes on its server (index 0) or a
 // helper, in tokens.
 func (d *Dispatch) memoryAt(index int) int64 {
-	if len(d.Held) == 0 {
+	if len(d.Reserved) == 0 {
 		if index == 0 {
 			return d.PromptTokens + d.AnswerTokens
 		}
 		return 0
 	}
-	return d.Held[index]
+	return d.Reserved[index]
 }
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -203,7 +203,7 @@
 		s.noteChosen(now, choice, refusal)
 		if refusal == "" && choice.Wait == 0 {
 			place.Server, place.Helpers, place.Held, place.Predicted = choice.Server.Start(), directory.Starts(choice.Helpers), choice.Reserved, choice.Predicted
-			d.Server, d.Helpers, d.Held = place.Server, place.Helpers, place.Held
+			d.Server, d.Helpers, d.Reserved = place.Server, place.Helpers, place.Held
 			s.book.BeginPeerDispatch(now, from, d, service.Engine)
 		}
 	}
