--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -23,8 +23,8 @@
 	// Target is when the first event is expected, counted from now.
 	Target time.Duration
 	Gap    time.Duration
-	// HoldLimit is how long reserved memory may wait for the first event; 0 for any time.
-	HoldLimit time.Duration
+	// ReservationTimeout is how long reserved memory may wait for the first event; 0 for any time.
+	ReservationTimeout time.Duration
 	// Remaining is the time that the request has left.
 	Remaining time.Duration
 	// Life is how long the entry that asks still runs; 0 if its end is not known.
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -37,7 +37,7 @@
 	}
 	choice.Predicted = enginemodel.Millis(slowest) + t.options.NetworkTime
 	choice.Answering = chosen[0].answering(q, parts)
-	if held != nil && q.HoldLimit > 0 && choice.Predicted > q.HoldLimit {
+	if held != nil && q.ReservationTimeout > 0 && choice.Predicted > q.ReservationTimeout {
 		return Choice{}, false
 	}
 	choice.Loss = group.loss + t.lateLoss(q, choice.Predicted) + float64(parts)*t.options.PartLoss
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -167,11 +167,11 @@
 	q := longQuery(fleet(4), 700_000)
 	choice := choose(t, newTable(), q)
 	require.Greater(t, choice.Predicted, 9*time.Second)
-	q.HoldLimit = 9 * time.Second
+	q.ReservationTimeout = 9 * time.Second
 	_, refusal := newTable().Choose(start, q)
 	require.Equal(t, NoMemory, refusal)
 	q.Servers = fleet(16)
-	require.Less(t, choose(t, newTable(), q).Predicted, q.HoldLimit)
+	require.Less(t, choose(t, newTable(), q).Predicted, q.ReservationTimeout)
 }
 
 // Two of four servers still have a quarter of a second to read for prompts whose time
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -94,7 +94,7 @@
 	{"only written answers draw others", "core/placement/loss.go", "			if w.writing {\n", "			if w.index == 0 {\n", placementPkg, "TestOnlyAnswersBeingWritten"},
 	{"a target that is due can be compared", "core/placement/choose.go", "	q.Target = max(q.Target, minTarget)\n", "", placementPkg, "TestAPromptThatIsDue"},
 	{"a herd is spread", "core/placement/loss.go", "	gain *= math.Max(1-used, 0)\n", "	gain *= math.Max(1, 0*used)\n", placementPkg, "TestABurstOfShortPrompts"},
-	{"a reservation ends before it counts as unused", "core/placement/parts.go", "choice.Predicted > q.HoldLimit", "false", placementPkg, "TestAReservationEnds"},
+	{"a reservation ends before it counts as unused", "core/placement/parts.go", "choice.Predicted > q.ReservationTimeout", "false", placementPkg, "TestAReservationEnds"},
 	{"slots that are exceeded are filled less", "core/placement/packing.go", "		p.share = max(p.share-packShareStep, minPackShare)\n", "", placementPkg, "TestServersAreFilledLess"},
 	{"idle servers are left to long reads", "core/placement/loss.go", "		open = t.options.OpenLoss * t.value(q.PromptTokens)\n", "", placementPkg, "TestAShortPromptLeavesAnIdle"},
 	{"short answers are packed", "core/placement/loss.go", "	return open + gain*float64(others-alike)", "	return 0", placementPkg, "TestShortAnswersArePacked"},
