--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -43,8 +43,8 @@
 	Reserved []int64
 	// Predicted is the expected time to the first event.
 	Predicted time.Duration
-	// Answering is the expected time from the first event to the last one.
-	Answering time.Duration
+	// AnswerTime is the expected time from the first event to the last one.
+	AnswerTime time.Duration
 	// Loss is the expected loss of the request and of others, for the log.
 	Loss float64
 	// RetryAfter is when a refused caller should come back.
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -36,7 +36,7 @@
 		choice.Helpers = append(choice.Helpers, c.Server)
 	}
 	choice.Predicted = enginemodel.Millis(slowest) + t.options.NetworkTime
-	choice.Answering = chosen[0].answering(q, parts)
+	choice.AnswerTime = chosen[0].answering(q, parts)
 	if held != nil && q.ReservationTimeout > 0 && choice.Predicted > q.ReservationTimeout {
 		return Choice{}, false
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -245,8 +245,8 @@
 	q := shortQuery(servers)
 	q.Life = 4 * time.Second
 	choice := choose(t, table, q)
-	require.InDelta(t, 32*51*0.85, choice.Answering.Milliseconds(), 100, "1,600 tokens are 32 passes of 51 steps")
-	q.Life = choice.Predicted + 2*choice.Answering - time.Millisecond
+	require.InDelta(t, 32*51*0.85, choice.AnswerTime.Milliseconds(), 100, "1,600 tokens are 32 passes of 51 steps")
+	q.Life = choice.Predicted + 2*choice.AnswerTime - time.Millisecond
 	_, refusal := table.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
 	q.Life = 4 * time.Second
