--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -18,7 +18,7 @@
 // outlasts says whether an answer may not be over when the entry that asks ends. Another entry can write
 // it to its end; here it would be cut off.
 func outlasts(best Choice, q Query) bool {
-	return q.Life > 0 && best.Predicted+answerTimeFactor*best.AnswerTime > q.Life
+	return q.EntryLifetime > 0 && best.Predicted+answerTimeFactor*best.AnswerTime > q.EntryLifetime
 }
 
 // tooCostly says whether a late long prompt that can wait no longer would cost others more
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -27,8 +27,8 @@
 	ReservationTimeout time.Duration
 	// Remaining is the time that the request has left.
 	Remaining time.Duration
-	// Life is how long the entry that asks still runs; 0 if its end is not known.
-	Life time.Duration
+	// EntryLifetime is how long the entry that asks still runs; 0 if its end is not known.
+	EntryLifetime time.Duration
 	// Tie is a random number from 0 to 1 that breaks ties between equal servers,
 	// so that entries without news of each other don't all choose the same.
 	Tie float64
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -243,19 +243,19 @@
 func TestAnAnswerThatMayOutlastTheEntryIsRefused(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	q := shortQuery(servers)
-	q.Life = 4 * time.Second
+	q.EntryLifetime = 4 * time.Second
 	choice := choose(t, table, q)
 	require.InDelta(t, 32*51*0.85, choice.AnswerTime.Milliseconds(), 100, "1,600 tokens are 32 passes of 51 steps")
-	q.Life = choice.Predicted + 2*choice.AnswerTime - time.Millisecond
+	q.EntryLifetime = choice.Predicted + 2*choice.AnswerTime - time.Millisecond
 	_, refusal := table.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
-	q.Life = 4 * time.Second
+	q.EntryLifetime = 4 * time.Second
 	for i := range 8 {
 		addAnswer(table, fmt.Sprint("long", i), "s00", longQuery(servers, 30_000))
 	}
 	_, refusal = table.Choose(start, q)
 	require.Equal(t, Outlasts, refusal)
-	q.Life = 0
+	q.EntryLifetime = 0
 	choose(t, table, q)
 }
 
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -138,7 +138,7 @@
 	return placement.Query{Engine: e.service.Engine, Exclude: excluded, PromptTokens: e.info.PromptTokens,
 		AnswerTokens: e.answerTokens(), Gap: e.route.EventGap, Tie: e.draw,
 		Target: e.route.Target - now.Sub(e.arrived), Remaining: e.deadline.Sub(now) - answerMargin,
-		Life: e.s.life(now), ReservationTimeout: unusedLimit(e.s.settings.ReservationIdle.D()),
+		EntryLifetime: e.s.life(now), ReservationTimeout: unusedLimit(e.s.settings.ReservationIdle.D()),
 		Servers: servers, Avoid: e.s.peers.unheard(now, servers)}
 }
 
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -145,7 +145,7 @@
 	{"a stop leaves time for answers", "core/lifecycle/manager.go", "	m.awaitAnswers()\n", "", "arbutusdeck/core/lifecycle", "TestTheLimitOfAStop"},
 	{"the last bytes are written before the exit", "core/process/run.go", "server.Shutdown(ctx)", "ctx.Err()", "arbutusdeck/core/process", "TestTheLastAnswer"},
 	{"no answer outlasts the entry", "core/placement/choose.go", "refusal == \"\" && outlasts(best, q)", "false", placementPkg, "TestAnAnswerThatMayOutlast"},
-	{"an entry that stops knows how long it lives", "entry/gateway/run.go", "Life: e.s.life(now), ", "", gatewayPkg, "TestAnEntryThatStopsRefuses"},
+	{"an entry that stops knows how long it lives", "entry/gateway/run.go", "EntryLifetime: e.s.life(now), ", "", gatewayPkg, "TestAnEntryThatStopsRefuses"},
 	{"an answer that may be cut is better than none", "entry/gateway/stop.go", "!known || wait > 0 {\n		return 0", "!known || wait > 0 {\n		return time.Nanosecond", gatewayPkg, "TestAnEntryThatStopsRefuses"},
 	{"a connection is not idle while a request arrives", "entry/gateway/connections.go", "		c.use, c.since = useArriving, time.Now()\n", "", gatewayPkg, "TestAConnectionIsNotIdle"},
 	{"what crosses the close is not read", "entry/gateway/connections.go", "n > 0 && !c.arrives()", "n < 0 && !c.arrives()", gatewayPkg, "TestARequestThatCrosses"},
