--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -32,7 +32,7 @@
 			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				b.ReportAllocs()
 				for i := range b.N {
-					q.Tie = float64(i%10) / 10
+					q.TieBreak = float64(i%10) / 10
 					table.Choose(start.Add(100*time.Millisecond), q)
 				}
 			})
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -29,9 +29,9 @@
 	Remaining time.Duration
 	// EntryLifetime is how long the entry that asks still runs; 0 if its end is not known.
 	EntryLifetime time.Duration
-	// Tie is a random number from 0 to 1 that breaks ties between equal servers,
+	// TieBreak is a random number from 0 to 1 that breaks ties between equal servers,
 	// so that entries without news of each other don't all choose the same.
-	Tie float64
+	TieBreak float64
 }
 
 // Choice is where a request goes.
@@ -265,7 +265,7 @@
 	best, lowest := candidates[0], math.Inf(1)
 	for i, c := range candidates {
 		slots := float64(max(c.Slots, 1))
-		tie := math.Mod(float64(i)/float64(len(candidates))+q.Tie, 1) * tieLoss
+		tie := math.Mod(float64(i)/float64(len(candidates))+q.TieBreak, 1) * tieLoss
 		busy := float64(c.requests) / slots
 		loss := c.loss + busy*busy + tie
 		if loss < lowest {
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -130,7 +130,7 @@
 		}
 		// The tie-break turns the order of equal servers round by a random
 		// place.
-		tie := math.Mod(float64(i)/float64(len(candidates))+q.Tie, 1) * tieLoss
+		tie := math.Mod(float64(i)/float64(len(candidates))+q.TieBreak, 1) * tieLoss
 		order := helper + t.queueLoss(q, c, readMs) + tie
 		all = append(all, ranked{candidate: c, loss: helper + t.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
 	}
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, "s00", early.Server.ID, "it looks idle")
 	overdue := start.Add(400 * time.Millisecond)
 	for i := range 10 {
-		q.Tie = float64(i) / 10
+		q.TieBreak = float64(i) / 10
 		choice, refusal := table.Choose(overdue, q)
 		require.Empty(t, refusal)
 		require.NotEqual(t, "s00", choice.Server.ID)
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -15,7 +15,7 @@
 	q := shortQuery(servers)
 	q.Avoid = map[string]bool{"s00": true, "s01": true}
 	for tie := range 8 {
-		q.Tie = float64(tie) / 8
+		q.TieBreak = float64(tie) / 8
 		require.NotContains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 	}
 	for _, server := range servers[2:] {
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -197,7 +197,7 @@
 	if service != nil && service.Engine != nil && s.isDivided(ask.Service) {
 		servers := s.serversFor(service)
 		query := placement.Query{Engine: service.Engine, Exclude: slices.Concat(ask.Exclude, s.tooCold(now, service, servers)), PromptTokens: d.PromptTokens, AnswerTokens: d.AnswerTokens, Gap: d.Gap,
-			Tie: s.random.Float64(), Target: d.Target, Remaining: ask.Remaining, ReservationTimeout: unusedLimit(s.settings.ReservationIdle.D()),
+			TieBreak: s.random.Float64(), Target: d.Target, Remaining: ask.Remaining, ReservationTimeout: unusedLimit(s.settings.ReservationIdle.D()),
 			Servers: servers}
 		choice, refusal := s.book.Choose(now, query)
 		s.noteChosen(now, choice, refusal)
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -136,7 +136,7 @@
 	servers := e.s.serversFor(e.service)
 	excluded = slices.Concat(excluded, e.s.tooCold(now, e.service, servers))
 	return placement.Query{Engine: e.service.Engine, Exclude: excluded, PromptTokens: e.info.PromptTokens,
-		AnswerTokens: e.answerTokens(), Gap: e.route.EventGap, Tie: e.draw,
+		AnswerTokens: e.answerTokens(), Gap: e.route.EventGap, TieBreak: e.draw,
 		Target: e.route.Target - now.Sub(e.arrived), Remaining: e.deadline.Sub(now) - answerMargin,
 		EntryLifetime: e.s.life(now), ReservationTimeout: unusedLimit(e.s.settings.ReservationIdle.D()),
 		Servers: servers, Avoid: e.s.peers.unheard(now, servers)}
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -36,7 +36,7 @@
 	book := d.entries[r.entry]
 	waited := enginemodel.Millis(d.now - r.arrived)
 	query := placement.Query{Servers: d.listedFor(r.entry), Avoid: d.avoided(r.entry), Engine: &d.site.Engine, Exclude: r.excluded, PromptTokens: r.prompt, AnswerTokens: r.hint,
-		Target: max(r.class.Target-waited, time.Millisecond), Gap: r.class.Gap, Remaining: r.class.Deadline - waited, Tie: d.ties.Float64()}
+		Target: max(r.class.Target-waited, time.Millisecond), Gap: r.class.Gap, Remaining: r.class.Deadline - waited, TieBreak: d.ties.Float64()}
 	choice, refusal := book.Choose(d.clock(), query)
 	if refusal != "" {
 		d.refuse(r, choice.RetryAfter)
