--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -275,8 +275,8 @@
 	return Choice{Server: best.Server, Load: best.load(now), Unreachable: best.state.health.inBackoff(now), Loss: lowest}
 }
 
-// At returns the server that reads a part: 0 is Server, then the helpers.
-func (c *Choice) At(index int) directory.Server {
+// ServerAt returns the server that reads a part: 0 is Server, then the helpers.
+func (c *Choice) ServerAt(index int) directory.Server {
 	if index == 0 {
 		return c.Server
 	}
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -84,7 +84,7 @@
 	}
 	var far []string
 	for i := range len(choice.Helpers) + 1 {
-		zone := choice.At(i).Zone
+		zone := choice.ServerAt(i).Zone
 		if zone != p.s.settings.Zone && !slices.Contains(far, zone) {
 			far = append(far, zone)
 		}
--- a/entry/gateway/reservation.go
+++ b/entry/gateway/reservation.go
@@ -72,7 +72,7 @@
 		begun: make(chan struct{}), cancel: func() {}}
 	for i, tokens := range choice.Reserved {
 		if tokens > 0 {
-			r.holding = append(r.holding, held{choice.At(i), tokens})
+			r.holding = append(r.holding, held{choice.ServerAt(i), tokens})
 		}
 	}
 	if len(r.holding) == 0 {
@@ -218,7 +218,7 @@
 func (r *reservation) helpers() []platform.Helper {
 	var helpers []platform.Helper
 	for i := range len(r.choice.Helpers) + 1 {
-		server := r.choice.At(i)
+		server := r.choice.ServerAt(i)
 		held := len(r.choice.Reserved) > 0 && r.choice.Reserved[i] > 0
 		if i == 0 && !held {
 			continue
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -116,7 +116,7 @@
 
 func (d *day) reserve(choice placement.Choice) bool {
 	for i, tokens := range choice.Reserved {
-		if tokens > 0 && !d.engines[choice.At(i).ID].Fits(tokens) {
+		if tokens > 0 && !d.engines[choice.ServerAt(i).ID].Fits(tokens) {
 			return false
 		}
 	}
@@ -170,7 +170,7 @@
 		if len(r.choice.Reserved) > 0 {
 			job.Spread, job.Reserved = true, r.choice.Reserved[i]
 		}
-		d.drive(r.choice.At(i).ID, func(b *enginemodel.Batcher) { b.Submit(d.now, job) })
+		d.drive(r.choice.ServerAt(i).ID, func(b *enginemodel.Batcher) { b.Submit(d.now, job) })
 	}
 }
 
@@ -289,7 +289,7 @@
 // cancelAt ends a try at all engines that read it.
 func (d *day) cancelAt(choice placement.Choice, id string) {
 	for i := range len(choice.Helpers) + 1 {
-		d.engines[choice.At(i).ID].Cancel(id)
+		d.engines[choice.ServerAt(i).ID].Cancel(id)
 	}
 }
 
