--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -14,7 +14,7 @@
 func usualMessage() Message {
 	return Message{From: "10.1.0.40:8229", Incarnation: "5f1c07a2", Version: 18, Revision: 1234,
 		Begun: []placement.Dispatch{{ID: "2kq0x1v9m4c7z", Server: "i-3888e856cb", Helpers: []string{"i-4097e082f0"}, PromptTokens: 27_000, AnswerTokens: 1600,
-			Gap: 600 * time.Millisecond, Target: 1500 * time.Millisecond, Life: 10 * time.Second}}}
+			Gap: 600 * time.Millisecond, Target: 1500 * time.Millisecond, Lifetime: 10 * time.Second}}}
 }
 
 func TestAMessageIsReadAsItWasWritten(t *testing.T) {
@@ -65,7 +65,7 @@
 		"held at fewer servers": func(m *Message) { m.Begun[0].Reserved = []int64{1} },
 		"negative tokens":       func(m *Message) { m.Begun[0].PromptTokens = -1 },
 		"too many tokens":       func(m *Message) { m.Begun[0].AnswerTokens = 1 << 40 },
-		"too long":              func(m *Message) { m.Begun[0].Life = 1 << 60 },
+		"too long":              func(m *Message) { m.Begun[0].Lifetime = 1 << 60 },
 		"too many entries":      func(m *Message) { m.Entries = maxEntries + 1 },
 		"less than none":        func(m *Message) { m.Zones = []ZoneSummary{{Entries: -1}} },
 		"from the future":       func(m *Message) { m.Zones = []ZoneSummary{{Age: -1}} },
--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -18,7 +18,7 @@
 			table.FirstEvent(start.Add(50*time.Millisecond), id)
 		}
 		if i%8 == 0 {
-			table.Begin(start, Dispatch{ID: server + "-long", Server: server, PromptTokens: 200_000, AnswerTokens: 1000, Gap: time.Second, Target: 4 * time.Second, Life: time.Minute}, engine, time.Second)
+			table.Begin(start, Dispatch{ID: server + "-long", Server: server, PromptTokens: 200_000, AnswerTokens: 1000, Gap: time.Second, Target: 4 * time.Second, Lifetime: time.Minute}, engine, time.Second)
 		}
 	}
 	return table
--- a/core/placement/book.go
+++ b/core/placement/book.go
@@ -107,7 +107,7 @@
 	if t.active[d.ID] != nil {
 		return
 	}
-	a.began, a.expires = now, now.Add(d.Life)
+	a.began, a.expires = now, now.Add(d.Lifetime)
 	t.active[d.ID] = a
 	for index, id := range append([]string{d.Server}, d.Helpers...) {
 		s := t.server(id, engine)
@@ -330,7 +330,7 @@
 			continue
 		}
 		d := a.dispatch
-		d.Life = a.expires.Sub(now)
+		d.Lifetime = a.expires.Sub(now)
 		if d.Target > 0 {
 			d.Target = max(d.Target-now.Sub(a.began), time.Millisecond)
 		}
--- a/core/placement/crowding_test.go
+++ b/core/placement/crowding_test.go
@@ -18,7 +18,7 @@
 		table := newTable()
 		for i := range busy {
 			table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, PromptTokens: 90_000, AnswerTokens: 800,
-				Gap: time.Second, Target: 10 * time.Second, Life: 15 * time.Second}, engine, 0)
+				Gap: time.Second, Target: 10 * time.Second, Lifetime: 15 * time.Second}, engine, 0)
 		}
 		return table
 	}
--- a/core/placement/dispatch.go
+++ b/core/placement/dispatch.go
@@ -23,8 +23,8 @@
 	Gap time.Duration `cbor:"7,keyasint,omitempty"`
 	// Target is when the first event is expected, counted from now on.
 	Target time.Duration `cbor:"8,keyasint,omitempty"`
-	// Life bounds how long the request may last from now on.
-	Life time.Duration `cbor:"9,keyasint,omitempty"`
+	// Lifetime bounds how long the request may last from now on.
+	Lifetime time.Duration `cbor:"9,keyasint,omitempty"`
 }
 
 // Bounds of what a dispatch may tell.
@@ -51,7 +51,7 @@
 			return fmt.Errorf("%d tokens: 0 to %d", tokens, maxTokens)
 		}
 	}
-	for _, length := range []time.Duration{d.Gap, d.Target, d.Life} {
+	for _, length := range []time.Duration{d.Gap, d.Target, d.Lifetime} {
 		if length.Abs() > maxTime { // one that has just passed is below 0
 			return fmt.Errorf("a time of %s: %s at the most", length, maxTime)
 		}
--- a/core/placement/packing_test.go
+++ b/core/placement/packing_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, "s01", choose(t, table, q).Server.ID, "13 of 16 slots are taken")
 	for i := range 6 { // others overran s02
 		for k := range 17 {
-			table.BeginPeerDispatch(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Life: q.Remaining}, engine)
+			table.BeginPeerDispatch(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Lifetime: q.Remaining}, engine)
 		}
 		table.EndPeerDispatches(start, "other")
 	}
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -37,7 +37,7 @@
 
 // addAnswer books an answer that a server is writing.
 func addAnswer(table *LoadTable, id, server string, q Query) {
-	table.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
+	table.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 0)
 	table.FirstEvent(start, id)
 }
 
@@ -87,7 +87,7 @@
 // reads one.
 func aboutToAnswer(table *LoadTable, id, server, helper string, q Query) {
 	table.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
-		Target: q.Target, Life: q.Remaining}, engine, 0)
+		Target: q.Target, Lifetime: q.Remaining}, engine, 0)
 	for _, w := range table.servers[server].workItems {
 		w.prefillMs = 0
 	}
@@ -106,7 +106,7 @@
 func TestAReadThatGoesFirstMakesNoPauseLonger(t *testing.T) {
 	table := newTable()
 	q := longQuery(fleet(1), 200_000)
-	table.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 0)
+	table.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 0)
 	c := &candidate{}
 	table.assess(start, q, q.Servers[0], c)
 	require.Zero(t, table.gapLoss(c, 2000, true))
@@ -138,7 +138,7 @@
 		addAnswer(table, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
 	}
 	require.Equal(t, "s00", choose(t, table, shortQuery(servers)).Server.ID)
-	table.Begin(start, Dispatch{ID: "long", Server: "s00", PromptTokens: 154_000, AnswerTokens: 800, Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
+	table.Begin(start, Dispatch{ID: "long", Server: "s00", PromptTokens: 154_000, AnswerTokens: 800, Gap: time.Second, Target: 3 * time.Second, Lifetime: 15 * time.Second}, engine, 0)
 	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
@@ -181,7 +181,7 @@
 	table, servers := newTable(), fleet(4)
 	for _, server := range servers[:2] {
 		table.Begin(start, Dispatch{ID: "waiting-" + server.ID, Server: server.ID, PromptTokens: 30_000, AnswerTokens: 800,
-			Gap: time.Second, Target: 400 * time.Millisecond, Life: 15 * time.Second}, engine, 0)
+			Gap: time.Second, Target: 400 * time.Millisecond, Lifetime: 15 * time.Second}, engine, 0)
 	}
 	choice := choose(t, table, longQuery(servers, 200_000))
 	require.NotContains(t, usedServers(choice), "s00")
@@ -323,7 +323,7 @@
 	table, servers := newTable(), fleet(3)
 	q := Query{Servers: servers, Remaining: time.Second}
 	for i := range 2 {
-		table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, Life: time.Second}, nil, 0)
+		table.Begin(start, Dispatch{ID: fmt.Sprint(i), Server: servers[i].ID, Lifetime: time.Second}, nil, 0)
 	}
 	require.Equal(t, "s02", choose(t, table, q).Server.ID)
 	q.Exclude = []string{"s02"}
@@ -372,7 +372,7 @@
 		addAnswer(table, fmt.Sprint("written", i), "s01", shortQuery(servers))
 	}
 	table.Begin(start, Dispatch{ID: "read", Server: "s01", PromptTokens: 5000, AnswerTokens: 1600, Gap: 250 * time.Millisecond,
-		Target: 300 * time.Millisecond, Life: 10 * time.Second}, engine, 0)
+		Target: 300 * time.Millisecond, Lifetime: 10 * time.Second}, engine, 0)
 	choice := choose(t, table, shortQuery(servers))
 	require.Equal(t, "s01", choice.Server.ID)
 	require.Less(t, choice.Predicted, 250*time.Millisecond)
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -11,7 +11,7 @@
 // begin books a dispatch of a short prompt.
 func begin(table *LoadTable, at time.Time, id, server string) {
 	q := shortQuery(nil)
-	table.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Life: q.Remaining}, engine, 40*time.Millisecond)
+	table.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 40*time.Millisecond)
 }
 
 // All entries lose power while a server reads a prompt of 700,000 tokens. It goes on
--- a/core/placement/unheard_test.go
+++ b/core/placement/unheard_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, server := range servers[2:] {
 		table.Begin(start, Dispatch{ID: "long-" + server.ID, Server: server.ID, PromptTokens: 150_000, AnswerTokens: 800,
-			Gap: time.Second, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
+			Gap: time.Second, Target: 3 * time.Second, Lifetime: 15 * time.Second}, engine, 0)
 	}
 	require.Contains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 }
@@ -30,13 +30,13 @@
 func TestAPeerCanRecordOpenDispatches(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	addAnswer(table, "answering", "s00", shortQuery(servers))
-	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Life: 15 * time.Second}, engine, 0)
-	table.BeginPeerDispatch(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Life: 9 * time.Second}, engine)
+	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Lifetime: 15 * time.Second}, engine, 0)
+	table.BeginPeerDispatch(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Lifetime: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
 	begun, first := table.OpenDispatches(later)
 	require.Equal(t, []string{"answering"}, first)
 	require.Len(t, begun, 2, "only its own")
-	require.Equal(t, 14*time.Second, begun[1].Life)
+	require.Equal(t, 14*time.Second, begun[1].Lifetime)
 	require.Equal(t, 2*time.Second, begun[1].Target)
 
 	started := newTable()
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -77,7 +77,7 @@
 	busy := peering.Message{From: "127.0.0.1:1", Incarnation: "x"}
 	for _, server := range w.available(here, "engines") {
 		if server.Zone == "here" {
-			busy.Begun = append(busy.Begun, placement.Dispatch{ID: server.ID, Server: server.Start(), PromptTokens: 8000, Life: time.Minute})
+			busy.Begun = append(busy.Begun, placement.Dispatch{ID: server.ID, Server: server.Start(), PromptTokens: 8000, Lifetime: time.Minute})
 		}
 	}
 	here.takeNews(time.Now(), busy, false)
@@ -220,7 +220,7 @@
 	w.zonesOfServers("here", "there")
 	here, there := w.twoZones()
 	ask := peering.Ask{Service: "engines", Remaining: 10 * time.Second,
-		Dispatch: placement.Dispatch{ID: "late", PromptTokens: 2000, AnswerTokens: 500, Gap: time.Second, Target: time.Second, Life: time.Minute}}
+		Dispatch: placement.Dispatch{ID: "late", PromptTokens: 2000, AnswerTokens: 500, Gap: time.Second, Target: time.Second, Lifetime: time.Minute}}
 	there.answerAsk(time.Now(), here.settings.PeerAddress, ask)
 	require.True(t, there.booked(1)())
 	ask.Dispatch.ID = "lost"
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -24,7 +24,7 @@
 // seedMessages are messages of each kind.
 func seedMessages() []peering.Message {
 	d := placement.Dispatch{ID: "d", Server: "i-0", Helpers: []string{"i-1"}, PromptTokens: 200_000, AnswerTokens: 500, Gap: time.Second, Target: time.Second,
-		Life: time.Minute, Reserved: []int64{1, 2}}
+		Lifetime: time.Minute, Reserved: []int64{1, 2}}
 	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
 	told.SetRoom(0.5)
 	told.SetRecordsSum(7)
@@ -100,7 +100,7 @@
 	return placement.Dispatch{ID: rapid.SampledFrom([]string{"", "d", "e"}).Draw(t, "id"), Server: servers.Draw(t, "server"),
 		Helpers: rapid.SliceOfN(servers, 0, 3).Draw(t, "helpers"), Reserved: rapid.SliceOfN(rapid.SampledFrom(extremes), 0, 5).Draw(t, "held"),
 		PromptTokens: number("prompt"), AnswerTokens: number("answer"), Gap: time.Duration(number("gap")), Target: time.Duration(number("target")),
-		Life: time.Duration(number("life"))}
+		Lifetime: time.Duration(number("life"))}
 }
 
 // An entry of another version, or one with a fault, tells of requests with numbers that make no
@@ -115,7 +115,7 @@
 			d := drawDispatch(r)
 			place := peering.Place{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Held: d.Reserved, Predicted: d.Target}
 			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Begun: []placement.Dispatch{d},
-				First: []string{d.ID}, Ask: &peering.Ask{Service: "engines", Dispatch: d, Remaining: d.Life, Exclude: d.Helpers}, Place: &place}
+				First: []string{d.ID}, Ask: &peering.Ask{Service: "engines", Dispatch: d, Remaining: d.Lifetime, Exclude: d.Helpers}, Place: &place}
 			if rapid.Bool().Draw(r, "ended") {
 				m.Ended = []string{d.ID}
 			}
--- a/entry/gateway/silence_test.go
+++ b/entry/gateway/silence_test.go
@@ -118,7 +118,7 @@
 	s := New(Options{Settings: newWorld(t).settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
 	now := time.Now()
 	s.lookForPause(now)
-	s.book.Begin(now, placement.Dispatch{ID: "a", Server: "i-1", Life: time.Minute}, nil, 0)
+	s.book.Begin(now, placement.Dispatch{ID: "a", Server: "i-1", Lifetime: time.Minute}, nil, 0)
 	s.lookForPause(now)
 	require.True(t, s.booked(1)(), "no pause")
 	s.pause.Tick(boottime(now).Add(-3 * time.Second))
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -232,7 +232,7 @@
 
 // dispatch is what the book and the other entries are told of a try.
 func (e *exchange) dispatch(choice placement.Choice) placement.Dispatch {
-	d := placement.Dispatch{ID: e.takePlaced(choice), Server: choice.Server.Start(), Reserved: choice.Reserved, Life: time.Until(e.deadline)}
+	d := placement.Dispatch{ID: e.takePlaced(choice), Server: choice.Server.Start(), Reserved: choice.Reserved, Lifetime: time.Until(e.deadline)}
 	if e.service.Engine != nil {
 		d.PromptTokens, d.AnswerTokens, d.Gap = e.info.PromptTokens, e.answerTokens(), e.route.EventGap
 		d.Target = max(e.route.Target-time.Since(e.arrived), time.Millisecond)
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -125,7 +125,7 @@
 
 func (d *day) tell(r *request, choice placement.Choice) {
 	dispatch := placement.Dispatch{ID: r.id, Server: choice.Server.ID, Reserved: choice.Reserved, PromptTokens: r.prompt, AnswerTokens: r.hint,
-		Gap: r.class.Gap, Target: r.class.Target - enginemodel.Millis(d.now-r.arrived), Life: r.class.Deadline}
+		Gap: r.class.Gap, Target: r.class.Target - enginemodel.Millis(d.now-r.arrived), Lifetime: r.class.Deadline}
 	for _, helper := range choice.Helpers {
 		dispatch.Helpers = append(dispatch.Helpers, helper.ID)
 	}
