--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// overloaded says whether a short prompt is refused because it would be late by the
-// wait for a slot. A burst beyond the slots is then served in time as far as they
-// go; queued at the engines, each late answer would take its slot from a fresh one
-// and all of them would be late, for as long as callers come back.
+// overloaded reports whether a short prompt is refused because waiting for a slot would make it late. In a
+// burst that exceeds the slots, the requests that fit are then served in time. Queued at the engines, each
+// late answer would take its slot from a new request, and all of them would be late for as long as callers
+// retry.
 func (t *LoadTable) overloaded(best Choice, q Query) bool {
 	limit := time.Duration(t.options.ShedShare * float64(q.Target))
 	return q.PromptTokens <= t.options.ShortTokens && best.slotsTaken && best.Predicted > limit && q.Target > minTarget
 }
 
-// answerTimeFactor is how much longer than expected an answer may take: callers' estimates of its length are
-// often off by as much, and reads beside it make passes longer.
+// answerTimeFactor is the factor by which an answer may take longer than predicted: callers' estimates of its
+// length are often off by as much, and concurrent prefills lengthen passes.
 const answerTimeFactor = 2
 
-// outlasts says whether an answer may not be over when the entry that asks ends. Another entry can write
-// it to its end; here it would be cut off.
+// outlasts reports whether the answer may still be in progress when the entry that asks shuts down. Another
+// entry can stream it to its end; here it would be cut off.
 func outlasts(best Choice, q Query) bool {
 	return q.EntryLifetime > 0 && best.Predicted+answerTimeFactor*best.AnswerTime > q.EntryLifetime
 }
 
-// tooCostly says whether a late long prompt that can wait no longer would cost others more
-// than its late answer is worth. At the end of its time it would otherwise be read on up to
-// all servers at once, and every answer that is written there pauses until it is read.
+// tooCostly reports whether a late long prompt that can wait no longer would cost other requests more than
+// its late answer is worth. Near its deadline it would otherwise be prefilled on up to all servers at once,
+// and every answer that is being written there pauses until the prefill is done.
 func (t *LoadTable) tooCostly(best Choice, q Query) bool {
 	if q.PromptTokens <= t.options.ShortTokens || best.Predicted <= q.Target {
 		return false
@@ -31,10 +31,10 @@
 	return best.othersLoss > t.options.CrowdShare*(1-t.options.LateLoss)*t.value(q.PromptTokens)
 }
 
-// waitFor holds a prompt back at the entry while others, those that come next among
-// them, would lose too much by its read. A prompt that can still be in time goes unless
-// others lose more than it does by being late; one that is late anyway waits for a
-// moment at which it costs hardly anything, as long as enough of its time is left.
+// waitFor returns how long a prompt waits at the entry because its prefill would cost other requests too
+// much, including the expected next ones. A prompt that can still be in time is sent unless others lose more
+// than it loses by being late. A prompt that is late anyway waits until its prefill costs little, as long as
+// it has enough time left.
 func (t *LoadTable) waitFor(best Choice, q Query) time.Duration {
 	next := best.Predicted + waitInterval
 	if q.PromptTokens <= t.options.ShortTokens || next > q.Remaining*3/4 {
@@ -50,22 +50,21 @@
 	return 0
 }
 
-// waitInterval is how long a request that waits at the entry lets pass before it
-// chooses again.
+// waitInterval is the time after which a request that waits at the entry chooses again.
 const waitInterval = 50 * time.Millisecond
 
-// Times after which refused callers come back.
+// Retry delays of refused requests.
 const (
-	// serverRetryAfter is the time in which a list of servers that is empty or lost is read
-	// anew.
+	// serverRetryAfter is the time in which an empty or lost server list is read again.
 	serverRetryAfter = 500 * time.Millisecond
-	// memoryRetryAfter is some answers' time: memory is freed when they end.
+	// memoryRetryAfter is the time of a few answers: memory is freed when they end.
 	memoryRetryAfter = time.Second
-	// slotRetryAfter is the same for slots; a longer prediction goes before it.
+	// slotRetryAfter is the time of a few answers, which free their slots; a longer prediction takes
+	// precedence.
 	slotRetryAfter = time.Second
 )
 
-// retryAfter is when the backlog that a refused request met will have been worked off.
+// retryAfter returns the time in which the backlog that caused the refusal should be worked off.
 func retryAfter(refusal Refusal, met Choice) time.Duration {
 	switch refusal {
 	case TooLate:
--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// busyTable returns a book in which each server has some short answers under way, and each
-// eighth one the part of a long prompt.
+// busyTable returns a load table in which each server writes some short answers, and each eighth one
+// prefills a long prompt.
 func busyTable(servers int) *LoadTable {
 	table := newTable()
 	for i := range servers {
@@ -24,7 +24,7 @@
 	return table
 }
 
-// BenchmarkChoose is the time of one choice among all servers.
+// BenchmarkChoose measures one choice among all servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, servers := range []int{16, 27, 54, 135, 810} {
 		table, listed := busyTable(servers), fleet(servers)
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkLoadTable is the time of a begin, a first event and an end of a request.
+// BenchmarkLoadTable measures the begin, the first event and the end of a request.
 func BenchmarkLoadTable(b *testing.B) {
 	for _, servers := range []int{27, 135} {
 		table := busyTable(servers)
--- a/core/placement/room.go
+++ b/core/placement/capacity.go
@@ -7,8 +7,8 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// SpareCapacity is the share of servers that could begin a short prompt at once: they can be
-// reached, have a slot free, and have less to read than makes next requests avoid them.
+// SpareCapacity returns the share of servers that could begin a short prompt at once: they are not in
+// backoff, have a free slot, and have less backlog than makes the next requests avoid them.
 func (t *LoadTable) SpareCapacity(now time.Time, servers []directory.Server, engine *enginemodel.Engine) float64 {
 	if len(servers) == 0 || engine == nil {
 		return 0
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -9,105 +9,105 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// Query is a request that needs a server.
+// Query describes a request that needs a server.
 type Query struct {
 	Servers []directory.Server
 	Engine  *enginemodel.Engine
-	// Exclude are servers that were tried in vain.
+	// Exclude lists the incarnations of servers that must not be chosen, such as those already tried.
 	Exclude []string
-	// Avoid are servers that other entries may use unheard.
+	// Avoid holds the servers that suspect peers may use without this entry hearing of it.
 	Avoid map[string]bool
 	// PromptTokens is 0 for a plain service.
 	PromptTokens int64
 	AnswerTokens int64
-	// Target is when the first event is expected, counted from now.
+	// Target is the time from now within which the first event is expected.
 	Target time.Duration
 	Gap    time.Duration
-	// ReservationTimeout is how long reserved memory may wait for the first event; 0 for any time.
+	// ReservationTimeout bounds how long reserved memory may wait for the first event; 0 means no bound.
 	ReservationTimeout time.Duration
-	// Remaining is the time that the request has left.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	// EntryLifetime is how long the entry that asks still runs; 0 if its end is not known.
 	EntryLifetime time.Duration
-	// TieBreak is a random number from 0 to 1 that breaks ties between equal servers,
-	// so that entries without news of each other don't all choose the same.
+	// TieBreak is a random number from 0 to 1 that breaks ties between equal servers, so that entries that
+	// don't know of each other's choices don't all choose the same server.
 	TieBreak float64
 }
 
-// Choice is where a request goes.
+// Choice is the placement of a request.
 type Choice struct {
 	Server  directory.Server
 	Helpers []directory.Server
-	// Reserved is the reservations at Server and each of Helpers in tokens; empty
-	// where none are needed.
+	// Reserved lists the reservations at Server and each of Helpers in tokens; empty where none are needed.
 	Reserved []int64
-	// Predicted is the expected time to the first event.
+	// Predicted is the predicted time to the first event.
 	Predicted time.Duration
-	// AnswerTime is the expected time from the first event to the last one.
+	// AnswerTime is the predicted time from the first event to the last one.
 	AnswerTime time.Duration
 	// Loss is the expected loss of the request and of others, for the log.
 	Loss float64
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
-	// Load is what was believed of Server, for the log.
+	// Load is the load of Server at the choice, for the log.
 	Load ServerLoad
-	// Wait asks to choose again after this time in place of sending now.
+	// Wait, if positive, is the time after which to choose again instead of sending now.
 	Wait time.Duration
-	// Unreachable says that no connection to Server could be made lately.
+	// Unreachable is set if Server is in backoff because it took no requests lately.
 	Unreachable bool
 	// othersLoss is the part of Loss that other requests bear.
 	othersLoss float64
-	// crowding is what the read is expected to cost the requests that come next.
+	// crowding is the expected loss of the next requests by this prefill.
 	crowding float64
-	// slotsTaken says that all slots of the server are taken.
+	// slotsTaken is set if all slots of the server are in use.
 	slotsTaken bool
 }
 
-// ServerLoad is what is believed of a server when it is chosen.
+// ServerLoad is the known load of a server at a choice.
 type ServerLoad struct {
-	// BacklogMs is the reading that waits there, in milliseconds.
+	// BacklogMs is the waiting prefill, in milliseconds.
 	BacklogMs float64
-	// Requests run or wait there.
+	// Requests counts the requests that run or wait there.
 	Requests int
-	// Age is how old the newest news of it is; 0 if there was none yet.
+	// Age is the time since the latest update on the server; 0 if there was none yet.
 	Age time.Duration
 }
 
-// Refusal is why there is no choice.
+// Refusal is the reason why no server was chosen.
 type Refusal string
 
-// Reasons of a Refusal.
+// Refusal reasons.
 const (
-	// NoServer: no server of the service is known and trusted.
+	// NoServer means that no server of the service is available.
 	NoServer Refusal = "no_server"
-	// NoMemory: no group of servers has the memory for the prompt.
+	// NoMemory means that no group of servers has the memory for the prompt.
 	NoMemory Refusal = "no_memory"
-	// TooLate: the first event would come after the request's time.
+	// TooLate means that the first event would come after the request's deadline.
 	TooLate Refusal = "too_late"
-	// Overloaded: all slots are taken and a short answer would be late; it would
-	// make the next ones late as well.
+	// Overloaded means that admitting the request would make others late: a short prompt while all slots are
+	// taken, or a late long prompt that would cost others more than it is worth.
 	Overloaded Refusal = "overloaded"
-	// Outlasts: the answer would not be over when the entry that asks ends.
+	// Outlasts means that the answer would not be complete when the entry that asks shuts down.
 	Outlasts Refusal = "outlasts"
 )
 
-// candidate is a server during one choice.
+// candidate is a server under consideration for one choice.
 type candidate struct {
 	directory.Server
 	state *server
-	// backlogMs is what waits to be read, batch what is being written.
+	// backlogMs is the waiting prefill, batch the answers that are being written.
 	backlogMs float64
 	batch     enginemodel.Batch
 	passMs    float64
 	requests  int
 	free      int64
-	loss      float64 // distrust and distance
+	loss      float64 // expected failures, other zone, stale load
 }
 
-// minTarget stands for the target of a request whose first event is due: losses are counted in targets.
+// minTarget replaces the target of a request whose first event is already due: losses are relative to the
+// target.
 const minTarget = time.Millisecond
 
-// Choose picks servers for a request. The refusal is empty if there is a choice.
+// Choose selects the servers for a request. The refusal is empty if there is a choice.
 func (t *LoadTable) Choose(now time.Time, q Query) (Choice, Refusal) {
 	q.Target = max(q.Target, minTarget)
 	choice, refusal := t.choose(now, q)
@@ -151,10 +151,9 @@
 	return best, refusal
 }
 
-// maxParts bounds the servers that read a prompt: every part goes before the reads
-// that wait at its server. More than the usual ones take part where these would read
-// for more than half of the time left, or for longer than the target while others
-// have nothing to read.
+// maxParts bounds the number of servers that prefill a prompt, because every part is prefilled before the
+// prompts that wait at its server. More than UsualParts take part only where these would need more than half
+// of the time left, or would exceed the target while other servers are idle.
 func (t *LoadTable) maxParts(candidates []*candidate, q Query) int {
 	usual := t.options.UsualParts
 	reading := enginemodel.Millis(q.Engine.ReadMs(q.PromptTokens, usual))
@@ -168,7 +167,7 @@
 	return min(most, len(candidates))
 }
 
-// countIdle counts the servers at which no read waits.
+// countIdle returns the number of servers without a prefill backlog.
 func countIdle(candidates []*candidate) int {
 	count := 0
 	for _, c := range candidates {
@@ -179,11 +178,11 @@
 	return count
 }
 
-// minPartTokens is the smallest part that a prompt is divided into: below it the
-// steps of its chunks and the hand-over cost more than the reading.
+// minPartTokens is the smallest part that a prompt is divided into. Below it, the steps of its chunks and the
+// hand-over cost more than the prefill.
 const minPartTokens = 4000
 
-// partCounts returns the numbers of parts worth trying.
+// partCounts returns the numbers of parts to evaluate.
 func partCounts(promptTokens int64, most int) []int {
 	counts := []int{1}
 	for _, parts := range []int{2, 3, 4, 6, 8, 10, 12, 14, 16} {
@@ -195,7 +194,7 @@
 }
 
 func (t *LoadTable) candidates(now time.Time, q Query) []*candidate {
-	// One allocation for all: a choice among 135 servers took 146.
+	// One allocation for all candidates: with one for each, a choice among 135 servers took 146.
 	all := make([]candidate, len(q.Servers))
 	found, available := make([]*candidate, 0, len(all)), make([]*candidate, 0, len(all))
 	for i, listed := range q.Servers {
@@ -209,19 +208,19 @@
 			available = append(available, c)
 		}
 	}
-	// Servers that could not be reached lately come in only if nothing else is
-	// left: they may be back, and refusing would be worse than trying.
+	// Servers in backoff are candidates only if there are no others: they may be back, and refusing would be
+	// worse than trying.
 	if len(available) > 0 {
 		return available
 	}
 	return found
 }
 
-// failureLoss is the share of a request's value that a failing server loses:
-// part of the failures is mended by another try.
+// failureLoss is the share of a request's value that is lost when its server fails it; a retry elsewhere
+// recovers part of the failures.
 const failureLoss = 0.6
 
-// assess fills in what a server is worth for a request.
+// assess fills in a candidate's load and its loss for a request.
 func (t *LoadTable) assess(now time.Time, q Query, listed directory.Server, c *candidate) {
 	s := t.server(listed.Start(), q.Engine)
 	s.advance(now)
@@ -243,7 +242,8 @@
 	}
 }
 
-// answering is the expected time in which the server writes the answer, beside those that it writes.
+// answering returns the predicted time in which the server writes the answer, along with the answers that it
+// already writes.
 func (c *candidate) answering(q Query, parts int) time.Duration {
 	batch := c.batch
 	batch.Answers++
@@ -252,15 +252,15 @@
 }
 
 func (c *candidate) load(now time.Time) ServerLoad {
-	known := ServerLoad{BacklogMs: c.backlogMs, Requests: c.requests}
+	load := ServerLoad{BacklogMs: c.backlogMs, Requests: c.requests}
 	if !c.state.updatedAt.IsZero() {
-		known.Age = now.Sub(c.state.updatedAt)
+		load.Age = now.Sub(c.state.updatedAt)
 	}
-	return known
+	return load
 }
 
-// choosePlain picks a plain service's server: trusted, near, and with the least
-// requests for its slots.
+// choosePlain selects a server of a plain service: healthy, in the own zone, and with the fewest requests per
+// slot.
 func (t *LoadTable) choosePlain(now time.Time, candidates []*candidate, q Query) Choice {
 	best, lowest := candidates[0], math.Inf(1)
 	for i, c := range candidates {
@@ -275,7 +275,7 @@
 	return Choice{Server: best.Server, Load: best.load(now), Unreachable: best.state.health.inBackoff(now), Loss: lowest}
 }
 
-// ServerAt returns the server that reads a part: 0 is Server, then the helpers.
+// ServerAt returns the server of a part: 0 is Server, then the helpers.
 func (c *Choice) ServerAt(index int) directory.Server {
 	if index == 0 {
 		return c.Server
--- a/core/placement/crowding_test.go
+++ b/core/placement/crowding_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Long prompts come faster than the servers read them: on all but one a second's
-// reading waits. The next one could still be in time and would harm nobody who is
-// there, but short prompts that come next would find no server to go to. It waits at
-// the entry; with a few servers free it goes at once.
+// Long prompts arrive faster than the servers prefill them: all but one have a backlog of a second. The next
+// one could be in time and would delay no present request, but the next short prompts would find no free
+// server. It has to wait at the entry; with a few servers free it is sent at once.
 func TestALongPromptLeavesServersToTheNextOnes(t *testing.T) {
 	servers := fleet(8)
 	crowded := func(busy int) *LoadTable {
--- a/core/placement/dispatch.go
+++ b/core/placement/dispatch.go
@@ -5,65 +5,63 @@
 	"time"
 )
 
-// Dispatch is one request that was sent to a server. Entries tell each other of
-// their dispatches.
+// Dispatch is one request that was sent to a server. Entries report their dispatches to their peers.
 type Dispatch struct {
 	ID     string `cbor:"1,keyasint,omitempty"`
 	Server string `cbor:"2,keyasint,omitempty"`
-	// Helpers read parts of the prompt.
+	// Helpers prefill parts of the prompt.
 	Helpers []string `cbor:"3,keyasint,omitempty"`
-	// Reserved is what Server and each of Helpers keep in reservations, in tokens;
-	// empty where the whole prompt stays at Server.
+	// Reserved lists the reservations at Server and each of Helpers, in tokens; empty where Server holds the
+	// whole prompt.
 	Reserved []int64 `cbor:"4,keyasint,omitempty"`
 	// PromptTokens is 0 for a plain service's request.
 	PromptTokens int64 `cbor:"5,keyasint,omitempty"`
 	// AnswerTokens is the expected length of the answer.
 	AnswerTokens int64 `cbor:"6,keyasint,omitempty"`
-	// Gap is the longest pause between events that the caller expects.
+	// Gap is the longest pause between events that the caller accepts.
 	Gap time.Duration `cbor:"7,keyasint,omitempty"`
-	// Target is when the first event is expected, counted from now on.
+	// Target is the time from now within which the first event is expected.
 	Target time.Duration `cbor:"8,keyasint,omitempty"`
 	// Lifetime bounds how long the request may last from now on.
 	Lifetime time.Duration `cbor:"9,keyasint,omitempty"`
 }
 
-// Bounds of what a dispatch may tell.
+// Bounds of the values in a dispatch.
 const (
-	// maxTokens bounds its tokens, as those that callers name.
+	// maxTokens bounds token counts, as for those that callers send.
 	maxTokens = 1<<31 - 1
-	// maxTime bounds its times: longer than any route waits.
+	// maxTime bounds durations; it is longer than any route's timeout.
 	maxTime = 24 * time.Hour
-	// maxHelpers is more than engines take, which is sixteen.
+	// maxHelpers is above the limit of the engines, which is sixteen.
 	maxHelpers = 64
 )
 
-// Check returns an error that names the first value that makes no sense. What an entry sends
-// goes to all others: a dispatch of which they can't make sense must not end them all.
+// Check returns an error that names the first invalid value. A dispatch goes to all peers, so one with
+// invalid values must not crash them.
 func (d *Dispatch) Check() error {
 	if len(d.Helpers) > maxHelpers {
-		return fmt.Errorf("%d helpers: %d at the most", len(d.Helpers), maxHelpers)
+		return fmt.Errorf("%d helpers exceed the limit of %d", len(d.Helpers), maxHelpers)
 	}
 	if len(d.Reserved) > 0 && len(d.Reserved) != d.parts() {
-		return fmt.Errorf("memory held at %d servers of %d", len(d.Reserved), d.parts())
+		return fmt.Errorf("%d reservations for %d servers", len(d.Reserved), d.parts())
 	}
 	for _, tokens := range append([]int64{d.PromptTokens, d.AnswerTokens}, d.Reserved...) {
 		if tokens < 0 || tokens > maxTokens {
-			return fmt.Errorf("%d tokens: 0 to %d", tokens, maxTokens)
+			return fmt.Errorf("%d tokens are outside 0 to %d", tokens, maxTokens)
 		}
 	}
 	for _, length := range []time.Duration{d.Gap, d.Target, d.Lifetime} {
-		if length.Abs() > maxTime { // one that has just passed is below 0
-			return fmt.Errorf("a time of %s: %s at the most", length, maxTime)
+		if length.Abs() > maxTime { // a target that has just passed is negative
+			return fmt.Errorf("duration %s exceeds the limit of %s", length, maxTime)
 		}
 	}
 	return nil
 }
 
-// parts is how many servers read the prompt.
+// parts returns the number of servers that prefill the prompt.
 func (d *Dispatch) parts() int { return len(d.Helpers) + 1 }
 
-// memoryAt returns the memory that the dispatch takes on its server (index 0) or a
-// helper, in tokens.
+// memoryAt returns the memory that the dispatch takes on its server (index 0) or a helper, in tokens.
 func (d *Dispatch) memoryAt(index int) int64 {
 	if len(d.Reserved) == 0 {
 		if index == 0 {
--- a/core/placement/book.go
+++ b/core/placement/loadtable.go
@@ -1,9 +1,8 @@
-// Package placement decides which backend server runs a request that an entry
-// forwards, and in how many parts a long prompt is read. It keeps a book of what
-// every server is believed to do, from this entry's own dispatches and from those
-// that other entries tell of, and predicts with the engines' published speeds
-// what a choice does to the request itself and to the answers that are being
-// written there. It is pure: times and random numbers are passed in.
+// Package placement decides which backend server runs a request that an entry forwards, and into how many
+// parts a long prompt is divided for prefill. It keeps a load table of all servers, from this entry's own
+// dispatches and from those that its peers report. With the engines' published speeds it predicts how a
+// choice affects the request itself and the answers that are being written. The package does no I/O; times
+// and random numbers are passed in.
 package placement
 
 import (
@@ -15,50 +14,51 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// workItem is one dispatch as one server sees it.
+// workItem is the part of one dispatch that runs at one server.
 type workItem struct {
 	dispatch *Dispatch
 	index    int // 0 at the server itself, else a helper's place
-	// prefillMs is what is left to read here, in milliseconds.
+	// prefillMs is the prefill that is left here, in milliseconds.
 	prefillMs float64
-	// prefillDone is when that came to an end by the book; zero before.
+	// prefillDone is when the prefill ended as predicted; zero before.
 	prefillDone time.Time
-	// writing says that the server writes the answer.
+	// writing is set while the server writes the answer.
 	writing bool
 	memory  int64
 	began   time.Time
 }
 
-// split says that several servers read the prompt.
+// split reports whether several servers prefill the prompt.
 func (w *workItem) split() bool { return len(w.dispatch.Helpers) > 0 }
 
-// server is what is believed of one backend server.
+// server is the load and the health of one backend server as known here.
 type server struct {
 	id        string
 	engine    *enginemodel.Engine
 	workItems []*workItem
-	// advanced is the time up to which readMs was worked off.
+	// advanced is the time up to which prefillMs was worked off.
 	advanced time.Time
-	// updatedAt is when something was last heard of it: a begin, a first event or an end.
+	// updatedAt is the time of the latest begin, first event or end at the server.
 	updatedAt time.Time
-	// lastAnswered is when the newest request began that has its first event.
+	// lastAnswered is the start time of the newest request that has its first event.
 	lastAnswered time.Time
 	health       serverHealth
 }
 
 type activeDispatch struct {
 	dispatch Dispatch
-	// peer is the entry that told of it, empty for this one's own.
+	// peer is the entry that reported the dispatch, empty for this entry's own.
 	peer    string
 	expires time.Time
 	began   time.Time
-	// predicted is the time to the first event that was expected.
+	// predicted is the predicted time to the first event.
 	predicted time.Duration
-	// answering says that the first event has come.
+	// answering is set once the first event has come.
 	answering bool
 }
 
-// LoadTable is not safe for concurrent use.
+// LoadTable records the dispatches that are in progress and predicts each server's load from them. It is not
+// safe for concurrent use.
 type LoadTable struct {
 	options Options
 	servers map[string]*server
@@ -66,7 +66,7 @@
 	packing packing
 }
 
-// NewLoadTable returns an empty book.
+// NewLoadTable returns an empty load table.
 func NewLoadTable(options Options) *LoadTable {
 	return &LoadTable{options: options, packing: packing{options.PackShare}, servers: map[string]*server{}, active: map[string]*activeDispatch{}}
 }
@@ -83,7 +83,7 @@
 	return s
 }
 
-// Retain drops what is believed of the servers that are gone.
+// Retain removes the state of servers that are no longer known.
 func (t *LoadTable) Retain(known func(id string) bool) {
 	for id := range t.servers {
 		if !known(id) {
@@ -92,12 +92,12 @@
 	}
 }
 
-// Begin books a dispatch of this entry; engine is nil for a plain service.
+// Begin records a dispatch of this entry; engine is nil for a plain service.
 func (t *LoadTable) Begin(now time.Time, d Dispatch, engine *enginemodel.Engine, predicted time.Duration) {
 	t.begin(now, &activeDispatch{dispatch: d, predicted: predicted}, engine)
 }
 
-// BeginPeerDispatch books a dispatch that another entry tells of.
+// BeginPeerDispatch records a dispatch that a peer reports.
 func (t *LoadTable) BeginPeerDispatch(now time.Time, from string, d Dispatch, engine *enginemodel.Engine) {
 	t.begin(now, &activeDispatch{dispatch: d, peer: from}, engine)
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// FirstEvent books that the prompt was read and the answer has begun.
+// FirstEvent records that the prompt is prefilled and the answer has begun.
 func (t *LoadTable) FirstEvent(now time.Time, id string) {
 	a := t.active[id]
 	if a == nil {
@@ -159,7 +159,7 @@
 	}
 }
 
-// End books that a dispatch is over.
+// End records that a dispatch has ended.
 func (t *LoadTable) End(now time.Time, id string) {
 	a := t.active[id]
 	if a == nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-// EndPeerDispatches books that all that another entry told of is over: it has started anew.
+// EndPeerDispatches ends all dispatches that a peer reported, since the peer has restarted.
 func (t *LoadTable) EndPeerDispatches(now time.Time, from string) {
 	for id, a := range t.active {
 		if a.peer == from {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Expire ends the dispatches whose time is over. Another entry that was killed or
-// cut off never tells of their ends.
+// Expire ends the dispatches whose lifetime is over. A peer that was killed or is unreachable never reports
+// their ends.
 func (t *LoadTable) Expire(now time.Time) {
 	for id, a := range t.active {
 		if now.After(a.expires) {
@@ -204,7 +204,7 @@
 	s.workItems = kept
 }
 
-// removeFinishedParts forgets parts that are read and hold nothing.
+// removeFinishedParts removes parts that are prefilled and hold no memory.
 func (s *server) removeFinishedParts() {
 	kept := s.workItems[:0]
 	for _, w := range s.workItems {
@@ -215,9 +215,9 @@
 	s.workItems = kept
 }
 
-// advance works the backlog off up to now, in the engine's order. Beside answers
-// only a part of the time goes into reading: a pass takes its steps and the reads
-// that wait, so the reads' share is theirs over the whole.
+// advance works off the backlog up to now, in the engine's order. While answers are written, only a share of
+// the time goes to prefill: a pass consists of its steps and the waiting prefills, so the prefill's share is
+// its part of the whole pass.
 func (s *server) advance(now time.Time) {
 	elapsed := now.Sub(s.advanced).Seconds() * msPerSecond
 	s.advanced = now
@@ -246,14 +246,13 @@
 
 const (
 	msPerSecond = 1000
-	// minPrefillShare keeps a small backlog beside many answers from lasting for
-	// ever in the book: each pass reads all of it.
+	// minPrefillShare makes sure that a small backlog beside many answers ends in the table: each pass
+	// prefills all of it.
 	minPrefillShare = 0.5
 )
 
-// prefillOrder returns the reads that wait, in the order in which the engine takes
-// them: parts of divided prompts go before all others, the newest first; whole
-// prompts follow in the order of their arrival.
+// prefillOrder returns the waiting prefills in the order in which the engine takes them: parts of divided
+// prompts first, the newest first; then undivided prompts in the order of their arrival.
 func (s *server) prefillOrder() []*workItem {
 	order := make([]*workItem, 0, len(s.workItems))
 	for i := len(s.workItems) - 1; i >= 0; i-- {
@@ -269,7 +268,7 @@
 	return order
 }
 
-// backlogMs is what is left to read.
+// backlogMs returns the prefill that is left, in milliseconds.
 func (s *server) backlogMs() float64 {
 	sum := 0.0
 	for _, w := range s.workItems {
@@ -278,7 +277,7 @@
 	return sum
 }
 
-// batch is the answers being written.
+// batch returns the answers that are being written.
 func (s *server) batch() enginemodel.Batch {
 	var batch enginemodel.Batch
 	for _, w := range s.workItems {
@@ -290,8 +289,8 @@
 	return batch
 }
 
-// context is how many tokens each step of the answer has to look at here: the
-// largest part of a prompt that is spread over reservations, else all of it.
+// context returns the number of tokens that each step of the answer attends to here: the share of this server
+// if the prompt is spread over reservations, else the whole prompt.
 func (w *workItem) context() int64 {
 	if len(w.dispatch.Reserved) > 0 {
 		return w.dispatch.PromptTokens / int64(w.dispatch.parts())
@@ -299,8 +298,8 @@
 	return w.dispatch.PromptTokens
 }
 
-// requests is how many requests run or wait here; parts of others' prompts take
-// no slot.
+// requests returns the number of requests that run or wait here. Parts of other servers' prompts take no
+// slot.
 func (s *server) requests() int {
 	count := 0
 	for _, w := range s.workItems {
@@ -311,7 +310,7 @@
 	return count
 }
 
-// memoryUsed is the KV memory that is taken, in tokens.
+// memoryUsed returns the KV memory in use, in tokens.
 func (s *server) memoryUsed() int64 {
 	sum := int64(0)
 	for _, w := range s.workItems {
@@ -320,9 +319,8 @@
 	return sum
 }
 
-// OpenDispatches returns this entry's own dispatches that are under way, with what is left of
-// their times, and which of them have their first event. Another entry that has missed
-// them takes them in like new ones.
+// OpenDispatches returns this entry's own dispatches in progress with their remaining times, and the
+// identifiers of those that have their first event. A peer that has missed them records them like new ones.
 func (t *LoadTable) OpenDispatches(now time.Time) (begun []Dispatch, first []string) {
 	for _, id := range slices.Sorted(maps.Keys(t.active)) {
 		a := t.active[id]
@@ -342,8 +340,8 @@
 	return begun, first
 }
 
-// CountOwnAt returns how many of this entry's own dispatches are under way at servers for which a condition holds, helpers
-// among them.
+// CountOwnAt returns the number of this entry's own dispatches in progress whose server or one of whose
+// helpers satisfies a condition.
 func (t *LoadTable) CountOwnAt(holds func(id string) bool) int {
 	count := 0
 	for _, a := range t.active {
@@ -354,5 +352,5 @@
 	return count
 }
 
-// ActiveCount returns how many dispatches are booked.
+// ActiveCount returns the number of dispatches in progress.
 func (t *LoadTable) ActiveCount() int { return len(t.active) }
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -7,15 +7,15 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// value is a request's value in units of a short one.
+// value returns the value of a request in units of a short one.
 func (t *LoadTable) value(promptTokens int64) float64 {
 	return 1 + float64(promptTokens)/t.options.TokensPerValue
 }
 
-// gapLoss is what a read does to the answers of a server: the chance that it makes their pause too
-// long, by their value. Pauses that are too long already count no more. An answer that is about to
-// begin counts like one that is being written: its first event comes while the new read waits, and the
-// read makes its first pause.
+// gapLoss returns the expected loss of the answers at a server by a prefill: for each answer, its value times
+// the increase in the probability that the prefill makes its gap too long. Gaps that are already too long add
+// nothing. An answer that is about to begin counts like one that is being written: its first event comes
+// while the new prefill waits, and that prefill causes its first gap.
 func (t *LoadTable) gapLoss(c *candidate, readMs float64, split bool) float64 {
 	sum := 0.0
 	for _, w := range c.state.workItems {
@@ -30,20 +30,20 @@
 	return sum
 }
 
-// prefillsBefore says whether a new read is done before a prompt that waits to be read: an engine that
-// writes nothing takes up the newest part at once. The answer's first event is late by it then, and no
-// pause is longer.
+// prefillsBefore reports whether a new part is prefilled before a waiting prompt: an engine that writes no
+// answer takes the newest part at once. That delays the answer's first event but lengthens no gap.
 func (c *candidate) prefillsBefore(w *workItem, split bool) bool {
 	return split && w.prefillMs > 0 && c.batch.Answers == 0
 }
 
-// answerLoss is the cost of writing the answer here: full slots, the first answer at a server that
-// long prompts could be read on, and the gain of packing it beside answers that bear pauses alike.
-// Only answers that are being written draw others: they show that the server works, while one that
-// has just been chosen may be full of work that is not in the book. Packed answers leave whole servers
-// to the reading of long prompts. The gain shrinks with the part of the target that the choice would
-// use up: when many callers come back at once, packing would put their reads one behind the other on
-// one server while others are idle.
+// answerLoss returns the loss of writing the answer at a server: full slots, the first answer on a server
+// that could prefill long prompts, less the gain of packing it with answers that accept similar gaps. Packing
+// leaves whole servers to the prefill of long prompts.
+//
+// Only answers that are being written attract others: they show that the server works, while one that was
+// just dispatched may be at a server that is full of work missing from the load table. The gain shrinks with
+// the share of the target that the choice would use up: when many callers retry at once, packing would queue
+// their prefills on one server while others are idle.
 func (t *LoadTable) answerLoss(c *candidate, q Query) float64 {
 	slots := float64(q.Engine.Slots)
 	share := float64(c.requests) / slots
@@ -75,22 +75,21 @@
 	return open + gain*float64(others-alike)
 }
 
-// similarGapFactor is how far the pauses that two answers bear may lie apart for them
-// to be packed together.
+// similarGapFactor bounds the ratio of the accepted gaps of two answers that are packed together.
 const similarGapFactor = 2
 
 func similarGaps(a, b time.Duration) bool {
 	return a <= similarGapFactor*b && b <= similarGapFactor*a
 }
 
-// queueLoss spreads equal choices by what waits there.
+// queueLoss spreads otherwise equal choices by the predicted time to the first event.
 func (t *LoadTable) queueLoss(q Query, c *candidate, readMs float64) float64 {
 	return t.value(q.PromptTokens) * t.options.LateLoss * 0.2 * (t.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
 }
 
-// delayLosses are what a part costs the reads that wait at a server: an engine reads the newest part
-// first, so all of them come later by as much. Without it, each new long prompt pushes the earlier
-// ones back until none is in time.
+// delayLosses returns the losses of the prompts that wait at a server by a new part: an engine prefills the
+// newest part first, which delays all of them by its length. Without this loss, each new long prompt pushes
+// the earlier ones back until none is in time.
 func (t *LoadTable) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
 	var found []delayLoss
 	ahead := c.passMs
@@ -109,15 +108,15 @@
 	return found
 }
 
-// firstEventMs predicts when a part read here is done and the next event comes.
-// The backlog counts also for a divided prompt, which engines read before it: the
-// parts that come after it do the same to it.
+// firstEventMs predicts the time, in milliseconds, until a part prefilled here is done and the next event
+// comes. The backlog counts for a divided prompt too, although engines prefill its part first: parts that
+// arrive later delay it in the same way.
 func (t *LoadTable) firstEventMs(c *candidate, q Query, readMs float64) float64 {
 	readMs *= c.state.health.slowdown()
 	wait := c.backlogMs
 	if over := c.requests - q.Engine.Slots + 1; over > 0 {
-		// A slot is free when the shortest of the running answers is done; half
-		// of a usual answer's passes is what that takes on the mean.
+		// A slot is free when the shortest of the running answers is complete, on average after half of the
+		// passes of an answer of usual length.
 		passes := float64(q.Engine.UsualAnswer) / float64(q.Engine.Stride) / 2
 		wait += float64(over) / float64(q.Engine.Slots) * passes * c.passMs
 	}
@@ -127,8 +126,8 @@
 	return wait + readMs + q.Engine.StepOverheadMs(q.PromptTokens, 1)
 }
 
-// lateLoss is the expected loss of a request whose first event is predicted, with
-// a slope around the target because predictions err.
+// lateLoss returns the expected loss of a request whose first event is predicted, with a slope around the
+// target because predictions are inexact.
 func (t *LoadTable) lateLoss(q Query, predicted time.Duration) float64 {
 	value := t.value(q.PromptTokens)
 	loss := value * t.options.LateLoss * lateProbability(predicted, time.Duration(t.options.TargetShare*float64(q.Target)))
@@ -138,18 +137,17 @@
 	return loss + value*0.05*predicted.Seconds()/q.Target.Seconds()
 }
 
-// lateProbability is the believed chance that what is predicted for a time comes after a
-// limit: a slope, because predictions err.
+// lateProbability returns the probability that what is predicted for a time comes after a limit: a logistic
+// slope, because predictions are inexact.
 func lateProbability(predicted, limit time.Duration) float64 {
 	return 1 / (1 + math.Exp(-(predicted.Seconds()-limit.Seconds())/(lateSlope*limit.Seconds())))
 }
 
-// lateSlope is the width of the slope as a share of the limit.
+// lateSlope is the width of the slope relative to the limit.
 const lateSlope = 0.06
 
-// crowding is what a read is expected to cost the requests that come next: as long as
-// some servers have little to read they go there, and the fewer of those there are, the
-// more of the next ones are late.
+// crowding returns the expected loss of the next requests by a prefill. They go to servers with little
+// backlog as long as there are any; the fewer there are, the more of the next requests are late.
 func (t *LoadTable) crowding(candidates []*candidate, q Query) float64 {
 	busy := 0.0
 	for _, c := range candidates {
@@ -159,6 +157,5 @@
 	return t.options.WorkPrice * work * busy / float64(len(candidates))
 }
 
-// busyBacklogMs is the reading, in milliseconds, that makes a server one that next requests
-// avoid.
+// busyBacklogMs is the backlog, in milliseconds, from which the next requests avoid a server.
 const busyBacklogMs = 200
--- a/core/placement/packing.go
+++ b/core/placement/packing.go
@@ -1,23 +1,24 @@
 package placement
 
-// packing learns up to which share of a server's slots short answers are packed there. Entries that choose at the
-// same moment have no news of each other, and what they send beyond the slots waits until an answer ends. How often
-// that happens depends on the load, the slots and the age of news, which all differ between deployments.
+// packing adapts the share of a server's slots up to which short answers are packed there. Entries that
+// choose at the same moment don't know of each other's choices, and what they send beyond the slots waits
+// until an answer ends. How often that happens depends on the load, the slots and the staleness of the load
+// table, which differ between deployments.
 type packing struct{ share float64 }
 
 const (
-	// packShareStep is by how much the share falls when a server has more requests than slots.
+	// packShareStep is the decrease of the share when a server has more requests than slots.
 	packShareStep = 0.02
-	// allowedOverflow is the part of the requests, at servers that are packed, that may come beyond the slots.
+	// allowedOverflow is the share of the requests at packed servers that may exceed the slots.
 	allowedOverflow = 0.02
-	// minPackShare and packMost bound the share.
+	// minPackShare and maxPackShare bound the share.
 	minPackShare = 0.6
 	maxPackShare = 0.95
-	// packedThreshold is from which share of its slots on a server counts as packed.
+	// packedThreshold is the share of taken slots from which a server counts as packed.
 	packedThreshold = 0.5
 )
 
-// observe takes in that a request was sent to a server, which has so many requests now.
+// observe updates the share after a dispatch to a server that has this many requests now.
 func (p *packing) observe(requests, slots int) {
 	switch {
 	case float64(requests) < packedThreshold*float64(slots):
--- a/core/placement/packing_test.go
+++ b/core/placement/packing_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Short prompts were late by the wait for a slot. Several entries packed the same server up to nine tenths of its slots at
-// the same moment, without news of each other, and its slots were exceeded again and again.
+// Guards against short prompts that are late because they wait for a slot. Several entries that choose at the
+// same moment pack one server up to nine tenths of its slots without knowing of each other, and its slots are
+// exceeded again and again.
 func TestServersAreFilledLessWhereSlotsAreExceeded(t *testing.T) {
 	table, servers := newTable(), fleet(3)
 	for i := range 13 {
@@ -16,7 +17,7 @@
 	}
 	q := shortQuery(servers)
 	require.Equal(t, "s01", choose(t, table, q).Server.ID, "13 of 16 slots are taken")
-	for i := range 6 { // others overran s02
+	for i := range 6 { // peers exceed the slots of s02
 		for k := range 17 {
 			table.BeginPeerDispatch(start, "other", Dispatch{ID: fmt.Sprint(i, "-", k), Server: "s02", Gap: q.Gap, Lifetime: q.Remaining}, engine)
 		}
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -9,7 +9,7 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// chooseParts finds the best servers for a prompt read in a number of parts.
+// chooseParts selects the best servers for a prompt that is divided into a number of parts.
 func (t *LoadTable) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
 	readMs := q.Engine.ReadMs(q.PromptTokens, parts)
 	ranked := t.rank(now, candidates, q, readMs, parts > 1)
@@ -22,11 +22,11 @@
 		group.add(group.cheapest(ranked))
 	}
 	chosen := group.members
-	held, ok := t.reserveMemory(chosen, q)
+	reserved, ok := t.reserveMemory(chosen, q)
 	if !ok {
 		return Choice{}, false
 	}
-	choice := Choice{Server: chosen[0].Server, Load: chosen[0].load(now), Unreachable: chosen[0].state.health.inBackoff(now), Reserved: held,
+	choice := Choice{Server: chosen[0].Server, Load: chosen[0].load(now), Unreachable: chosen[0].state.health.inBackoff(now), Reserved: reserved,
 		othersLoss: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
 	slowest := 0.0
 	for _, c := range chosen {
@@ -37,7 +37,7 @@
 	}
 	choice.Predicted = enginemodel.Millis(slowest) + t.options.NetworkTime
 	choice.AnswerTime = chosen[0].answering(q, parts)
-	if held != nil && q.ReservationTimeout > 0 && choice.Predicted > q.ReservationTimeout {
+	if reserved != nil && q.ReservationTimeout > 0 && choice.Predicted > q.ReservationTimeout {
 		return Choice{}, false
 	}
 	choice.Loss = group.loss + t.lateLoss(q, choice.Predicted) + float64(parts)*t.options.PartLoss
@@ -46,30 +46,29 @@
 
 type ranked struct {
 	*candidate
-	// loss counts for the server that writes the answer, helperLoss for one
-	// that only reads.
+	// loss applies to the server that writes the answer, helperLoss to one that only prefills.
 	loss, helperLoss float64
-	// delays are the parts of helperLoss that prompts bear which wait here.
+	// delays are the parts of helperLoss that prompts waiting here bear.
 	delays []delayLoss
-	// order ranks the servers: it also counts the wait there, which the whole
-	// choice counts once.
+	// order is the sort key of the servers. It includes the queueing there, which the whole choice counts
+	// only once.
 	order float64
 	taken bool
 }
 
-// delayLoss is what a read costs a prompt that waits at a server.
+// delayLoss is the loss of a waiting prompt by a prefill.
 type delayLoss struct {
 	waiting *Dispatch
 	loss    float64
 }
 
-// group is the servers that read the parts of a prompt.
+// group is the set of servers that prefill the parts of a prompt.
 type group struct {
 	members []*candidate
-	// loss is what the read costs at all of them, others what others bear of it.
+	// loss is the total loss by the prefill, others the part of it that other requests bear.
 	loss, others float64
-	// delayed is what waiting prompts lose by the parts so far. The first event of a divided prompt
-	// follows its last part, wherever: parts at several of its servers delay it once.
+	// delayed holds the losses of waiting prompts by the parts chosen so far. The first event of a divided
+	// prompt follows its last part, wherever that is, so parts at several of its servers delay it once.
 	delayed map[*Dispatch]float64
 }
 
@@ -91,7 +90,7 @@
 	return best
 }
 
-// alreadyCounted is the loss of prompts waiting at a server that other parts cause already.
+// alreadyCounted returns the loss of prompts waiting at a server that other parts of the group already cause.
 func (g *group) alreadyCounted(r *ranked) float64 {
 	sum := 0.0
 	for _, d := range r.delays {
@@ -115,7 +114,7 @@
 	}
 }
 
-// rank orders servers by what a read there would cost.
+// rank sorts the servers by the loss of a prefill there.
 func (t *LoadTable) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
 	all := make([]ranked, 0, len(candidates))
 	for i, c := range candidates {
@@ -128,8 +127,7 @@
 		for _, d := range delays {
 			helper += d.loss
 		}
-		// The tie-break turns the order of equal servers round by a random
-		// place.
+		// The tie-break rotates the order of equal servers by a random offset.
 		tie := math.Mod(float64(i)/float64(len(candidates))+q.TieBreak, 1) * tieLoss
 		order := helper + t.queueLoss(q, c, readMs) + tie
 		all = append(all, ranked{candidate: c, loss: helper + t.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
@@ -140,11 +138,10 @@
 
 const tieLoss = 0.002
 
-// pickFirst returns the place of the server that writes the answer: the best one
-// that has the memory for all of it. A prompt that is larger than any server's
-// memory is spread over reservations by the best one. It returns -1 if a prompt that
-// would fit an empty server fits none now: spread as well, it would keep memory from
-// prompts that are read at less cost.
+// pickFirst returns the index of the server that writes the answer: the best one that has the memory for all
+// of it. A prompt that is larger than any server's memory is spread over reservations by the best one. It
+// returns -1 if a prompt that would fit an empty server fits none now: spreading it as well would take memory
+// from prompts that can be prefilled at less cost.
 func (t *LoadTable) pickFirst(all []ranked, q Query, parts int) int {
 	need := q.PromptTokens + q.AnswerTokens
 	if need <= int64(t.options.MemoryShare*float64(q.Engine.MemoryTokens)) {
@@ -156,7 +153,7 @@
 	return bestFirst(all, 0)
 }
 
-// bestFirst returns the place of the best server with some free memory, or -1.
+// bestFirst returns the index of the best server with the needed free memory, or -1.
 func bestFirst(all []ranked, need int64) int {
 	best := -1
 	for i, r := range all {
@@ -170,21 +167,21 @@
 	return best
 }
 
-// firstOrder ranks a server for writing the answer.
+// firstOrder is the sort key of a server for writing the answer.
 func (r *ranked) firstOrder() float64 { return r.order + r.loss - r.helperLoss }
 
-// reserveMemory divides the memory of a prompt that is larger than the first server's free
-// memory over reservations at all chosen servers. It returns none if the first
-// server holds it all.
+// reserveMemory divides the memory of a prompt that exceeds the first server's free memory into reservations
+// at all chosen servers. It returns nil if the first server holds it all, and false if the servers together
+// lack the memory.
 func (t *LoadTable) reserveMemory(chosen []*candidate, q Query) ([]int64, bool) {
 	need := q.PromptTokens + q.AnswerTokens
 	if chosen[0].free >= need {
 		return nil, true
 	}
-	held := make([]int64, len(chosen))
+	reserved := make([]int64, len(chosen))
 	for i := range chosen {
-		held[i] = min(max(chosen[i].free, 0), need)
-		need -= held[i]
+		reserved[i] = min(max(chosen[i].free, 0), need)
+		need -= reserved[i]
 	}
-	return held, need == 0
+	return reserved, need == 0
 }
--- a/core/placement/parts_test.go
+++ b/core/placement/parts_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Several long prompts were late where one would have sufficed. Each part of a new prompt was sent to the server at
-// which it cost least, and each of them pushed back another waiting prompt, whose first event follows its last part.
+// Guards against several long prompts being late where one would suffice. If each part of a new prompt goes
+// to the server at which it costs least by itself, each delays another waiting prompt, whose first event
+// follows its last part.
 func TestPartsDelayOnePromptRatherThanSeveral(t *testing.T) {
 	divided, other := &Dispatch{ID: "divided"}, &Dispatch{ID: "other"}
 	at := func(waiting *Dispatch, loss, order float64) ranked {
@@ -24,8 +25,9 @@
 	require.InDelta(t, 9, g.others, 1e-9)
 }
 
-// An entry with a fault asks for a place for a long prompt whose first event is due at once. No loss could be compared
-// with another, and the process ended while it looked for the cheapest server.
+// A faulty entry asks for the placement of a long prompt whose first event is already due. Without a minimum
+// target the losses are NaN and can't be compared, and the process crashes in the search for the cheapest
+// server.
 func TestAPromptThatIsDueAtOnceFindsServers(t *testing.T) {
 	for _, target := range []time.Duration{0, -time.Second} {
 		q := longQuery(fleet(3), 200_000)
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -35,7 +35,7 @@
 	return Query{Servers: servers, Engine: engine, PromptTokens: tokens, AnswerTokens: 800, Target: 3 * time.Second, Gap: time.Second, Remaining: 15 * time.Second}
 }
 
-// addAnswer books an answer that a server is writing.
+// addAnswer adds an answer that a server is writing.
 func addAnswer(table *LoadTable, id, server string, q Query) {
 	table.Begin(start, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 0)
 	table.FirstEvent(start, id)
@@ -56,22 +56,22 @@
 	return ids
 }
 
-// One worker needs 3.05 s for 154,000 tokens, past the target of 3 s even when it
-// is idle: the prompt has to be divided.
+// One server needs 3.05 s for 154,000 tokens, more than the target of 3 s even when it is idle: the prompt
+// has to be divided.
 func TestALongPromptIsDividedUntilItIsInTime(t *testing.T) {
 	choice := choose(t, newTable(), longQuery(fleet(16), 154_000))
 	require.Greater(t, len(choice.Helpers), 1)
 	require.Less(t, choice.Predicted, 2*time.Second)
 	require.Empty(t, choice.Reserved, "one server holds it")
-	require.Len(t, usedServers(choice), len(choice.Helpers)+1, "every server reads one part")
+	require.Len(t, usedServers(choice), len(choice.Helpers)+1, "every server prefills one part")
 }
 
 func TestAShortPromptIsNotDivided(t *testing.T) {
 	require.Empty(t, choose(t, newTable(), shortQuery(fleet(16))).Helpers)
 }
 
-// A gloss is being written on three of sixteen servers. An anthology's parts there
-// would stretch its pauses past a quarter of a second; the other thirteen are free.
+// Three of sixteen servers write short answers. Parts of a very long prompt there would lengthen their gaps
+// beyond a quarter of a second; the other thirteen are free.
 func TestPartsKeepAwayFromShortAnswers(t *testing.T) {
 	table, servers := newTable(), fleet(16)
 	for i := range 12 {
@@ -83,8 +83,8 @@
 	}
 }
 
-// aboutToAnswer books a prompt that a server is about to answer: its part there is read, another server still
-// reads one.
+// aboutToAnswer adds a prompt that a server is about to answer: its part there is prefilled, and a helper
+// still prefills another one.
 func aboutToAnswer(table *LoadTable, id, server, helper string, q Query) {
 	table.Begin(start, Dispatch{ID: id, Server: server, Helpers: []string{helper}, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap,
 		Target: q.Target, Lifetime: q.Remaining}, engine, 0)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Long answers paused for seconds, right after their first event. A longer prompt had been sent to their
-// servers some ms before that event, when the book held no answer there.
+// Guards against gaps of seconds right after the first event of a long answer. A longer prompt that is sent to its
+// server some ms before that event finds no answer in the load table there.
 func TestALongReadKeepsAwayFromAnswersThatAreAboutToBegin(t *testing.T) {
 	table, servers := newTable(), fleet(17)
 	aboutToAnswer(table, "long", "s00", "s16", longQuery(servers, 200_000))
@@ -102,7 +102,7 @@
 	require.NotContains(t, usedServers(choice), "s00")
 }
 
-// A part that is read before another prompt's makes that one's first event late, and no pause longer.
+// A part that is prefilled before another prompt delays that prompt's first event but lengthens no gap.
 func TestAReadThatGoesFirstMakesNoPauseLonger(t *testing.T) {
 	table := newTable()
 	q := longQuery(fleet(1), 200_000)
@@ -110,14 +110,14 @@
 	c := &candidate{}
 	table.assess(start, q, q.Servers[0], c)
 	require.Zero(t, table.gapLoss(c, 2000, true))
-	require.Positive(t, table.gapLoss(c, 2000, false), "an undivided prompt is read after it")
+	require.Positive(t, table.gapLoss(c, 2000, false), "an undivided prompt is prefilled after it")
 	addAnswer(table, "written", "s00", q)
 	table.assess(start, q, q.Servers[0], c)
-	require.Positive(t, table.gapLoss(c, 2000, true), "beside an answer a pass takes all reads")
+	require.Positive(t, table.gapLoss(c, 2000, true), "beside an answer a pass takes all prefills")
 }
 
-// Short answers are packed: the thirteenth joins those that are there in place of
-// taking a server that long prompts could be read on.
+// Short answers are packed: another one joins those at their server instead of taking a server that long
+// prompts could be prefilled on.
 func TestShortAnswersArePacked(t *testing.T) {
 	table, servers := newTable(), fleet(16)
 	for i := range 8 {
@@ -130,8 +130,8 @@
 	require.NotEqual(t, "s05", choose(t, table, shortQuery(servers)).Server.ID, "its slots are taken")
 }
 
-// A server writes short answers, which draws others to it, but a long prompt is being
-// read there: a gloss would wait for three seconds.
+// A server that writes short answers attracts others, but it also prefills a long prompt: a short prompt
+// would wait there for three seconds.
 func TestAShortPromptAvoidsAServerThatReads(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for i := range 4 {
@@ -142,8 +142,8 @@
 	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
-// 500,000 tokens fit no single server: they are held in reservations that together
-// have the room, and none of them is larger than a server's memory.
+// 500,000 tokens fit no single server: they are spread over reservations that together suffice, and none of
+// them exceeds a server's memory.
 func TestAPromptLargerThanAServerIsHeldInReservations(t *testing.T) {
 	q := longQuery(fleet(16), 500_000)
 	choice := choose(t, newTable(), q)
@@ -160,9 +160,9 @@
 	require.Equal(t, NoMemory, refusal)
 }
 
-// Four servers have the memory for 700,000 tokens, but read them for twelve seconds. A
-// reservation may wait for nine: the try would be broken off in the midst of the read and
-// the memory would have been kept from others for nothing. Sixteen read them in time.
+// Four servers have the memory for 700,000 tokens, but need twelve seconds for their prefill. A reservation
+// may wait for nine: the attempt would be cancelled during the prefill, and the memory would have been
+// withheld from others for nothing. Sixteen servers are fast enough.
 func TestAReservationEndsBeforeItCountsAsUnused(t *testing.T) {
 	q := longQuery(fleet(4), 700_000)
 	choice := choose(t, newTable(), q)
@@ -174,9 +174,9 @@
 	require.Less(t, choose(t, newTable(), q).Predicted, q.ReservationTimeout)
 }
 
-// Two of four servers still have a quarter of a second to read for prompts whose time
-// is nearly over. An engine reads the newest part first: four parts would serve the
-// new prompt a little earlier and make both of the others late.
+// Two of four servers have a quarter of a second of prefill left for prompts that are nearly due. An engine
+// prefills the newest part first: four parts would serve the new prompt a little earlier and make both others
+// late.
 func TestPartsKeepAwayFromPromptsThatWouldBecomeLate(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	for _, server := range servers[:2] {
@@ -188,10 +188,10 @@
 	require.NotContains(t, usedServers(choice), "s01")
 }
 
-// Both servers write a long answer, and a read of 140,000 tokens would make it
-// pause for too long. A prompt that is late anyway waits at the entry, as long as
-// three quarters of its time allow it. After that it is refused: the answers that it would
-// make late are worth more than its own late one. Beside a single short answer it is sent.
+// Both servers write a long answer, and a prefill of 140,000 tokens would make its gap too long. A prompt
+// that is late anyway waits at the entry until three quarters of its time are used. After that it is refused:
+// the answers that it would delay are worth more than its own late one. Beside a single short answer it is
+// sent.
 func TestALatePromptWaitsWhileItWouldCostOthersMuch(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
@@ -210,8 +210,8 @@
 	require.Zero(t, choice.Wait)
 }
 
-// The memory of both servers is taken. The prompt is refused at once: held back, it
-// would be read when its target is long past and make others late.
+// The memory of both servers is taken. The prompt is refused at once: held back, it would be prefilled long
+// after its target and make others late.
 func TestAPromptWithoutMemoryIsRefusedAtOnce(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
@@ -221,9 +221,9 @@
 	require.Equal(t, NoMemory, refusal)
 }
 
-// A burst takes all slots and a queue forms at the engine. A short prompt that would
-// wait there past its target is refused at once, so that those before it are served
-// in time; while a slot is free none is.
+// A burst takes all slots, and a queue forms at the engine. A short prompt that would wait there past its
+// target is refused at once, so that those before it are served in time; while a slot is free none is
+// refused.
 func TestAShortPromptBeyondTheSlotsIsRefused(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	for i := range 15 {
@@ -238,8 +238,8 @@
 	require.Greater(t, choice.Predicted, 450*time.Millisecond)
 }
 
-// An entry is about to end. A request is refused whose answer may take longer than that, also one whose
-// server writes slowly beside others; without an end in sight all are taken.
+// An entry is about to shut down. A request is refused if its answer may take longer than that, also if only
+// because the server writes slowly beside other answers. Without a known end all requests are accepted.
 func TestAnAnswerThatMayOutlastTheEntryIsRefused(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	q := shortQuery(servers)
@@ -266,8 +266,8 @@
 	require.Equal(t, TooLate, refusal)
 }
 
-// A worker goes up and down by turns. Each failed connection in a row doubles the
-// time for which it gets nothing, so that its return does not bring it a flood.
+// A server flaps. Each consecutive failed connection doubles its backoff, so that it is not flooded on its
+// return.
 func TestBackoffOfAFlappingServerDoubles(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	pause := func() time.Duration { return table.servers["s00"].health.backoffUntil.Sub(start) }
@@ -278,13 +278,13 @@
 	require.Equal(t, "s01", choose(t, table, shortQuery(servers)).Server.ID)
 	table.MarkUnreachable(start, "s01", 0.5)
 	_, refusal := table.Choose(start, shortQuery(servers))
-	require.Empty(t, refusal, "with nothing else left it is tried all the same")
+	require.Empty(t, refusal, "it is tried if no other server is left")
 	table.RecordSuccess(start, "s00")
 	require.Equal(t, "s00", choose(t, table, shortQuery(servers)).Server.ID)
 }
 
-// A worker whose health answers are good fails every second request. What counts is
-// the results: others are preferred while it does, and it comes back after.
+// A server passes its health checks but fails every second request. Other servers are preferred while it
+// does, and it is used again afterwards.
 func TestFailuresOutweighPackingAndAreForgotten(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for range 5 {
@@ -299,8 +299,8 @@
 	require.Equal(t, "s00", later.Server.ID)
 }
 
-// Another entry is killed in the midst of its requests and never tells of their
-// ends: they leave the book when their time is over.
+// A peer is killed with requests in progress and never reports their ends: they are removed when their
+// lifetime is over.
 func TestDispatchesOfADeadEntryExpire(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	addAnswer(table, "lost", "s00", shortQuery(servers))
@@ -332,9 +332,8 @@
 	require.Equal(t, NoServer, refusal)
 }
 
-// A server goes down, and all entries of a zone meet it at the same moment. The first that
-// does tells the others; each then leaves it alone for a time of its own, so that one of
-// them finds out whether it is back.
+// A server goes down, and all entries of a zone notice at the same moment. The first one tells the others,
+// and each backs off for a different time, so that one of them finds out whether the server is back.
 func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
 	told := newTable()
@@ -343,14 +342,14 @@
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
 	told.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
-	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "what others met at the same moment adds nothing")
+	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
 	later := newTable()
 	later.MarkUnreachableByPeer(start, "s00", 1)
 	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
 }
 
-// A server is back, and one entry's request has its first event there. The others hear of it
-// and use the server at once; a request that began before the failure shows nothing.
+// A server is back, and one entry's request has its first event there. The peers hear of it and use the
+// server at once. A request that began before the failure proves nothing.
 func TestAFirstEventShowsThatAServerIsBack(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	begin(table, start, "before", "s00")
@@ -364,8 +363,9 @@
 	require.False(t, choice.Unreachable)
 }
 
-// Long answers paused beside single short ones, and long prompts found hardly a server that wrote nothing: a short
-// prompt went to an idle server as soon as another was read where short answers are written. It can be in time at both.
+// Guards against long gaps of long answers beside single short ones, and against a lack of servers without answers
+// for long prompts: a short prompt must not go to an idle server because another one is being prefilled where short
+// answers are written. It can be in time at both.
 func TestAShortPromptLeavesAnIdleServerToLongReads(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	for i := range 3 {
--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -6,23 +6,22 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// A server can be busy with what no entry knows of: prompts that a killed entry left
-// behind, a hang, a slow start. Nothing fails there, so its trust stays, and by its book it
-// soon looks idle: it would get ever more requests, none of which begins. What gives it away
-// is time: by the book the oldest read is long done and its first event has not come.
+// A server can be busy with work that no entry knows of: prompts that a killed entry left behind, a hang, a
+// slow start. Nothing fails there, so it stays healthy, and by the load table it soon looks idle: it would
+// get ever more requests, none of which begins. Such a stall is detected by time: the oldest prefill should
+// be long done, and its first event has not come.
 
-// stallGrace is what a first event may be late, beyond two passes and the network, before
-// the server counts as stalled.
+// stallGrace is the delay of a first event, beyond two passes and the network, after which the server counts
+// as stalled.
 const stallGrace = 60 * time.Millisecond
 
-// stallFactor is how much longer than it has lasted a stall is expected to last in all: of
-// what has lasted for an unknown time, the best guess is that it will last as long again.
+// stallFactor is the expected total length of a stall relative to its length so far: for a stall that has
+// lasted for some time, the best estimate is that it lasts as long again.
 const stallFactor = 2
 
-// overdue is for how long the oldest first event has been expected here in vain. Requests
-// that began before one that has its first event don't count: they were lost for a reason
-// of their own. Where more requests are known than there are slots, some of them wait for a
-// slot, which the book expects.
+// overdue returns how long the oldest first event has been overdue. Requests that began before one that has
+// its first event don't count: they were lost for a reason of their own. If there are more requests than
+// slots, some of them wait for a slot, as the load table predicts.
 func (s *server) overdue(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	if s.requests() > s.engine.Slots {
@@ -37,7 +36,7 @@
 	return longest
 }
 
-// stall is how much longer the server is believed to work on what is not in the book.
+// stall returns how much longer the server is expected to work on load that is missing from the load table.
 func (s *server) stall(now time.Time) time.Duration {
 	if s.engine == nil {
 		return 0
@@ -53,18 +52,18 @@
 	return max(overdue-expected, 0) * (stallFactor - 1)
 }
 
-// waitingMs is what a new read waits for: the backlog by the book, and the stall.
+// waitingMs returns the wait of a new prefill, in milliseconds: the known backlog and the stall.
 func (s *server) waitingMs(now time.Time) float64 {
 	return s.backlogMs() + s.stall(now).Seconds()*msPerSecond
 }
 
-// RedispatchCheckInterval is how often a request without a first event is looked at again after
-// MoveCheck. A look costs one choice, and a stall shows within tens of milliseconds.
+// RedispatchCheckInterval is the interval at which a request without a first event is checked again after
+// RedispatchCheckDelay. A check costs one choice, and a stall shows within tens of milliseconds.
 const RedispatchCheckInterval = 50 * time.Millisecond
 
-// RedispatchCheckDelay is when a request that has no first event yet is looked at again: when the
-// event would be overdue. It is zero for a request that stays in any case: a divided
-// prompt, whose reads elsewhere would be lost, and a plain service's.
+// RedispatchCheckDelay returns the delay after which a request without a first event is checked: when the
+// event would be overdue. It returns 0 for a request that is never redispatched: a divided prompt, whose
+// prefill at the helpers would be lost, and a request of a plain service.
 func RedispatchCheckDelay(choice Choice, engine *enginemodel.Engine) time.Duration {
 	if engine == nil || len(choice.Helpers) > 0 {
 		return 0
@@ -72,8 +71,8 @@
 	return choice.Predicted + stallGrace
 }
 
-// ShouldRedispatch says whether a request without a first event is better sent to another server: its
-// own is stalled, and another one would begin before the stall is believed to be over.
+// ShouldRedispatch reports whether a request without a first event is better sent to another server: its own
+// is stalled, and another one would begin before the stall is expected to end.
 func (t *LoadTable) ShouldRedispatch(now time.Time, server string, q Query) bool {
 	s := t.servers[server]
 	if s == nil {
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// begin books a dispatch of a short prompt.
+// begin adds a dispatch of a short prompt.
 func begin(table *LoadTable, at time.Time, id, server string) {
 	q := shortQuery(nil)
 	table.Begin(at, Dispatch{ID: id, Server: server, PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 40*time.Millisecond)
 }
 
-// All entries lose power while a server reads a prompt of 700,000 tokens. It goes on
-// reading for seconds for nobody; the started entries' books are empty, and the server
-// looks idle. Its first short prompt gets no first event. From when that is overdue others
-// are used, and it is taken for stalled until it answers.
+// All entries lose power while a server prefills a prompt of 700,000 tokens. It goes on for seconds for no
+// caller; the load tables of the restarted entries are empty, and the server looks idle. Its first short
+// prompt gets no first event. Once that is overdue, the server counts as stalled, and others are used until
+// it answers.
 func TestAStalledServerIsAvoided(t *testing.T) {
 	table, servers := newTable(), fleet(3)
 	begin(table, start, "first", "s00")
@@ -32,14 +32,14 @@
 		require.Empty(t, refusal)
 		require.NotEqual(t, "s00", choice.Server.ID)
 	}
-	require.True(t, table.ShouldRedispatch(overdue, "s00", q), "what waits there goes elsewhere")
+	require.True(t, table.ShouldRedispatch(overdue, "s00", q), "the waiting request is redispatched")
 	table.FirstEvent(overdue, "first")
 	require.False(t, table.ShouldRedispatch(overdue, "s00", q))
 	require.Zero(t, table.servers["s00"].stall(overdue))
 }
 
-// A request is lost on its way or muted by its server, while those after it are answered:
-// the server is not stalled.
+// A request is lost on its way or left unanswered by its server, while later ones are answered: the server is
+// not stalled.
 func TestALostRequestDoesNotStallItsServer(t *testing.T) {
 	table := newTable()
 	begin(table, start, "lost", "s00")
@@ -48,8 +48,7 @@
 	require.Zero(t, table.servers["s00"].stall(start.Add(time.Second)))
 }
 
-// All servers are as stalled as this one, or nothing else is left: moving would only cost
-// another read.
+// All servers are equally stalled, or no other one is left: a redispatch would only cost another prefill.
 func TestNoRedispatchToAnEquallyStalledServer(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for i, server := range servers {
@@ -61,7 +60,7 @@
 	require.False(t, table.ShouldRedispatch(at, "unknown", shortQuery(servers)))
 }
 
-// A divided prompt would lose what is read of it already; a plain service has no reads.
+// A divided prompt would lose the prefill done so far; a request of a plain service has none.
 func TestOnlyUndividedPromptsAreRedispatched(t *testing.T) {
 	table := newTable()
 	require.Positive(t, RedispatchCheckDelay(choose(t, table, shortQuery(fleet(2))), engine))
@@ -69,9 +68,8 @@
 	require.Zero(t, RedispatchCheckDelay(Choice{}, nil))
 }
 
-// Sixty callers come at the same moment. One server writes answers alike, the others are
-// idle: spread, all are in time. Packed one behind the other where answers are written, the
-// last ones would be late.
+// Sixty callers arrive at the same moment. One server writes answers with similar gaps, the others are idle:
+// spread, all requests are in time. Packed on the server with the answers, the last ones would be late.
 func TestABurstOfShortPromptsIsSpread(t *testing.T) {
 	table, servers := newTable(), fleet(16)
 	for i := range 9 {
@@ -89,24 +87,24 @@
 	require.Greater(t, len(used), 10)
 }
 
-// An entry has just started. A server that has not answered yet may be full of what another
-// entry left there: only answers that are being written draw others to their server.
+// An entry has just started. A server that has not answered yet may be full of work that another entry left
+// there, so only answers that are being written attract others.
 func TestOnlyAnswersBeingWrittenAttractOthers(t *testing.T) {
 	chosen, written, servers := newTable(), newTable(), fleet(3)
 	for i := range 6 {
 		begin(chosen, start, fmt.Sprint("r", i), "s02")
 		addAnswer(written, fmt.Sprint("r", i), "s02", shortQuery(servers))
 	}
-	read := start.Add(200 * time.Millisecond) // by the book, all six prompts are
+	read := start.Add(200 * time.Millisecond) // the predicted prefill of all six prompts is done
 	choice, refusal := chosen.Choose(read, shortQuery(servers))
 	require.Empty(t, refusal)
 	require.NotEqual(t, "s02", choice.Server.ID)
 	require.Equal(t, "s02", choose(t, written, shortQuery(servers)).Server.ID)
 }
 
-// Twelve of sixteen servers write short answers. A prompt of 590,000 tokens has waited for
-// eleven seconds and can wait no longer: read on all servers at once it would make all those
-// answers pause for seconds, for one late answer. It is refused, and says when to return.
+// Twelve of sixteen servers write short answers. A prompt of 590,000 tokens has waited for eleven seconds and
+// can wait no longer: its prefill on all servers at once would make all those answers pause for seconds, for
+// one late answer. It is refused with a retry delay.
 func TestALatePromptDoesNotStallAllAnswers(t *testing.T) {
 	table, servers := newTable(), fleet(16)
 	for i := range 120 {
@@ -120,11 +118,11 @@
 
 	q.Target = 3 * time.Second
 	_, refusal = newTable().Choose(start, q)
-	require.Empty(t, refusal, "on idle servers it is read")
+	require.Empty(t, refusal, "on idle servers it is accepted")
 }
 
-// Seventeen requests are at a server of sixteen slots: one of them waits for a slot and can
-// have no first event yet. That is no stall; the next ones are not refused for it.
+// Seventeen requests are at a server of sixteen slots: one of them waits for a slot and can have no first
+// event yet. That is no stall, and the next requests are not refused because of it.
 func TestWaitingForASlotIsNoStall(t *testing.T) {
 	table := newTable()
 	for i := range engine.Slots {
--- a/core/placement/unheard_test.go
+++ b/core/placement/suspect_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry is cut off from another one, which goes on sending prompts to its own
-// servers unheard. This one keeps away from those as long as others will do, and uses
-// them when the rest would be late.
-func TestServersOfSilentEntriesAreAvoided(t *testing.T) {
+// An entry is cut off from a peer, which goes on sending prompts to its own servers unheard. This one avoids
+// those servers as long as others suffice, and uses them when the rest would be late.
+func TestServersOfSuspectPeersAreAvoided(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	q := shortQuery(servers)
 	q.Avoid = map[string]bool{"s00": true, "s01": true}
@@ -25,8 +24,8 @@
 	require.Contains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 }
 
-// An entry starts while another one has work under way. It is told of what is open and
-// of its first events, with the times that are left, and books the same loads.
+// An entry starts while a peer has work in progress. It hears of the open dispatches and their first events,
+// with the remaining times, and records the same loads.
 func TestAPeerCanRecordOpenDispatches(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	addAnswer(table, "answering", "s00", shortQuery(servers))
