--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -31,38 +31,38 @@
 	missingSince time.Time
 }
 
-// departure is how a server was last known when it left.
-type departure struct {
+// removal is how a server was last known when it left.
+type removal struct {
 	revision uint64
-	// born and leaving are those of the start that left. A start that has announced that
+	// startedAtMs and leaving are those of the start that left. A start that has announced that
 	// it leaves stays leaving if a row of it that was written late brings it back.
-	born    int64
-	leaving bool
+	startedAtMs int64
+	draining    bool
 }
 
 // Directory is not safe for concurrent use.
 type Directory struct {
 	options Options
 	entries map[string]*entry
-	// left holds the servers that left, by their identifiers, so that a stale list or a
+	// removed holds the servers that removed, by their identifiers, so that a stale list or a
 	// peer that lags can't bring them back.
-	left map[string]departure
+	removed map[string]removal
 	// evacuated are the zones whose servers take no new work.
 	evacuated map[string]bool
 	changed   bool
-	byName    map[string][]Server
-	byZone    map[zoneOf][]Server
+	byService map[string][]Server
+	byZone    map[serviceZone][]Server
 }
 
-// zoneOf is a service in an availability zone.
-type zoneOf struct{ service, zone string }
+// serviceZone is a service in an availability zone.
+type serviceZone struct{ service, zone string }
 
 // New returns an empty directory.
 func New(options Options) *Directory {
 	if options.ReturnGrace == 0 {
 		options.ReturnGrace = DefaultReturnGrace
 	}
-	return &Directory{options: options, entries: map[string]*entry{}, left: map[string]departure{}, changed: true}
+	return &Directory{options: options, entries: map[string]*entry{}, removed: map[string]removal{}, changed: true}
 }
 
 // Change is one thing that became known, for the trail.
@@ -75,19 +75,19 @@
 // is one of a server that has left since, or of an earlier start than the one known: such
 // a start is dead, and its row was written or delivered late.
 func (d *Directory) Upsert(server Server) (Change, bool) {
-	server.start = server.Start()
-	if left, ok := d.left[server.ID]; ok {
-		if server.Revision <= left.revision || server.Born < left.born {
+	server.incarnationID = server.Start()
+	if removed, ok := d.removed[server.ID]; ok {
+		if server.Revision <= removed.revision || server.Born < removed.startedAtMs {
 			return Change{}, false
 		}
-		server.Leaving = server.Leaving || left.leaving && server.Born == left.born && left.born != 0
-		delete(d.left, server.ID)
+		server.Leaving = server.Leaving || removed.draining && server.Born == removed.startedAtMs && removed.startedAtMs != 0
+		delete(d.removed, server.ID)
 	}
 	known := d.entries[server.ID]
 	if known == nil {
 		d.entries[server.ID] = &entry{Server: server}
 		d.changed = true
-		return Change{server.start, server.Service, "", stateOf(server), "listed", server.Revision}, true
+		return Change{server.incarnationID, server.Service, "", stateOf(server), "listed", server.Revision}, true
 	}
 	if server.Born != 0 && server.Born < known.Born {
 		return Change{}, false
@@ -119,10 +119,10 @@
 	} else {
 		why = "started anew"
 	}
-	restarted := server.start != known.start
+	restarted := server.incarnationID != known.incarnationID
 	known.Server = server
 	d.changed = true
-	return Change{server.start, server.Service, from, stateOf(server), why, server.Revision}, restarted || from != stateOf(server)
+	return Change{server.incarnationID, server.Service, from, stateOf(server), why, server.Revision}, restarted || from != stateOf(server)
 }
 
 // Reject takes in that a row can't be read, or was written by somebody else. Until a
@@ -140,35 +140,35 @@
 	if known != nil && known.Revision > revision {
 		return Change{}, false
 	}
-	left := d.left[id]
-	left.revision = max(left.revision, revision)
+	removed := d.removed[id]
+	removed.revision = max(removed.revision, revision)
 	if known != nil {
-		left.born, left.leaving = known.Born, known.Leaving
+		removed.startedAtMs, removed.draining = known.Born, known.Leaving
 	}
-	d.left[id] = left
+	d.removed[id] = removed
 	if known == nil {
 		return Change{}, false
 	}
 	delete(d.entries, id)
 	d.changed = true
-	return Change{known.start, known.Service, stateOf(known.Server), "gone", "removed", revision}, true
+	return Change{known.incarnationID, known.Service, stateOf(known.Server), "gone", "removed", revision}, true
 }
 
-// massShare is the share of known rows that must be missing at once for them to be
+// lapsedShare is the share of known rows that must be missing at once for them to be
 // taken for lapsed. While the platform is away the rows of all servers lapse; an
 // entry that alone was cut off misses only those of servers that have left, and would
 // send them work for the whole grace.
-const massShare = 0.25
+const lapsedShare = 0.25
 
 // Replace takes in a whole list, read at a revision. afterOutage says that the
 // platform could not be read before: if many rows are missing then, they are given
 // ReturnGrace.
 func (d *Directory) Replace(now time.Time, servers []Server, revision uint64, afterOutage bool) []Change {
-	changes, missing := d.takeList(servers, revision)
-	lapsed := afterOutage && float64(len(missing)) > massShare*float64(len(d.entries))
+	changes, missing := d.applyList(servers, revision)
+	lapsed := afterOutage && float64(len(missing)) > lapsedShare*float64(len(d.entries))
 	for _, id := range missing {
 		if lapsed {
-			d.entries[id].miss(now)
+			d.entries[id].markMissing(now)
 			continue
 		}
 		if change, ok := d.Remove(id, revision); ok {
@@ -183,21 +183,21 @@
 // and the row of a start that has left is believed only once it is written anew.
 func (d *Directory) Restore(now time.Time, servers []Server, revision uint64) []Change {
 	for _, server := range servers {
-		if left, ok := d.left[server.ID]; ok && server.Born <= left.born {
-			left.revision = max(left.revision, server.Revision)
-			d.left[server.ID] = left
+		if removed, ok := d.removed[server.ID]; ok && server.Born <= removed.startedAtMs {
+			removed.revision = max(removed.revision, server.Revision)
+			d.removed[server.ID] = removed
 		}
 	}
-	changes, missing := d.takeList(servers, revision)
+	changes, missing := d.applyList(servers, revision)
 	for _, id := range missing {
-		d.entries[id].miss(now)
+		d.entries[id].markMissing(now)
 	}
 	return changes
 }
 
-// takeList takes in the rows of a list of a revision. It returns also the known servers that the list
+// applyList takes in the rows of a list of a revision. It returns also the known servers that the list
 // should hold and does not.
-func (d *Directory) takeList(servers []Server, revision uint64) (changes []Change, missing []string) {
+func (d *Directory) applyList(servers []Server, revision uint64) (changes []Change, missing []string) {
 	listed := map[string]bool{}
 	for _, server := range servers {
 		listed[server.ID] = true
@@ -213,7 +213,7 @@
 	return changes, missing
 }
 
-func (e *entry) miss(now time.Time) {
+func (e *entry) markMissing(now time.Time) {
 	if e.missingSince.IsZero() {
 		e.missingSince = now
 	}
@@ -271,7 +271,7 @@
 	if d.changed {
 		d.index()
 	}
-	return d.byName[service]
+	return d.byService[service]
 }
 
 // AvailableIn returns those of a service in an availability zone. The slice is shared and
@@ -280,7 +280,7 @@
 	if d.changed {
 		d.index()
 	}
-	return d.byZone[zoneOf{service, zone}]
+	return d.byZone[serviceZone{service, zone}]
 }
 
 // Zones returns how many servers of a service each zone has. Those of evacuated zones count, those that leave do not.
@@ -295,14 +295,14 @@
 }
 
 func (d *Directory) index() {
-	d.byName, d.byZone = map[string][]Server{}, map[zoneOf][]Server{}
+	d.byService, d.byZone = map[string][]Server{}, map[serviceZone][]Server{}
 	for _, id := range d.ids() {
 		known := d.entries[id].Server
 		if !d.TakesWork(known) {
 			continue
 		}
-		place := zoneOf{known.Service, known.Zone}
-		d.byName[known.Service] = append(d.byName[known.Service], known)
+		place := serviceZone{known.Service, known.Zone}
+		d.byService[known.Service] = append(d.byService[known.Service], known)
 		d.byZone[place] = append(d.byZone[place], known)
 	}
 	d.changed = false
@@ -319,11 +319,11 @@
 
 // Left returns the servers that left, with the revisions at which they did.
 func (d *Directory) Left() map[string]uint64 {
-	left := make(map[string]uint64, len(d.left))
-	for id, departure := range d.left {
-		left[id] = departure.revision
+	removed := make(map[string]uint64, len(d.removed))
+	for id, last := range d.removed {
+		removed[id] = last.revision
 	}
-	return left
+	return removed
 }
 
 // Rows returns what is known of some servers, by their identifiers: those that are there,
@@ -334,8 +334,8 @@
 	for _, id := range ids {
 		if known := d.entries[id]; known != nil {
 			servers = append(servers, known.Server)
-		} else if left, ok := d.left[id]; ok {
-			gone = append(gone, Gone{id, left.revision})
+		} else if removed, ok := d.removed[id]; ok {
+			gone = append(gone, Gone{id, removed.revision})
 		}
 	}
 	return servers, gone
@@ -355,7 +355,7 @@
 // comes from an entry that knows none, and means the present start. It returns false for a
 // start that is known to be dead.
 func (d *Directory) Lookup(start string) (Server, bool) {
-	id, born := parseStart(start)
+	id, born := parseIncarnationID(start)
 	server, ok := d.Get(id)
 	if !ok || born != 0 && born < server.Born {
 		return Server{}, false
@@ -365,15 +365,15 @@
 
 // IsCurrent says whether a start is the one that is known now.
 func (d *Directory) IsCurrent(start string) bool {
-	id, _ := parseStart(start)
+	id, _ := parseIncarnationID(start)
 	known := d.entries[id]
-	return known != nil && known.start == start
+	return known != nil && known.incarnationID == start
 }
 
 // Superseded says whether a later start of the same server is known, so that this one is
 // dead for certain. One that is merely not listed may live.
 func (d *Directory) Superseded(start string) bool {
-	id, born := parseStart(start)
+	id, born := parseIncarnationID(start)
 	known := d.entries[id]
 	return known != nil && born != 0 && born < known.Born
 }
--- a/core/directory/start.go
+++ b/core/directory/start.go
@@ -23,8 +23,8 @@
 	SlowFor time.Duration `json:"slowFor,omitempty" cbor:"8,keyasint,omitempty"`
 	// Revision is the platform's revision of the row.
 	Revision uint64 `json:"revision" cbor:"9,keyasint,omitempty"`
-	// start is the name of the start, kept so that a choice need not build it.
-	start string
+	// incarnationID is the name of the incarnationID, kept so that a choice need not build it.
+	incarnationID string
 }
 
 // Start names this start of the server: its identifier, and its birth if it is told.
@@ -32,28 +32,28 @@
 // that nothing of a start that has died counts for the next one under its identifier.
 func (s Server) Start() string {
 	switch {
-	case s.start != "":
-		return s.start
+	case s.incarnationID != "":
+		return s.incarnationID
 	case s.Born == 0:
 		return s.ID
 	}
-	return s.ID + birthMark + strconv.FormatInt(s.Born, birthBase)
+	return s.ID + startTimeSeparator + strconv.FormatInt(s.Born, startTimeBase)
 }
 
 const (
-	// birthMark separates identifier and birth in the name of a start.
-	birthMark = "@"
-	// birthBase writes the birth in as few letters as the library can.
-	birthBase = 36
+	// startTimeSeparator separates identifier and birth in the name of a start.
+	startTimeSeparator = "@"
+	// startTimeBase writes the birth in as few letters as the library can.
+	startTimeBase = 36
 )
 
-// parseStart is the reverse of Start; born is 0 if the name has none.
-func parseStart(start string) (id string, born int64) {
-	id, mark, found := strings.Cut(start, birthMark)
+// parseIncarnationID is the reverse of Start; born is 0 if the name has none.
+func parseIncarnationID(start string) (id string, born int64) {
+	id, mark, found := strings.Cut(start, startTimeSeparator)
 	if !found {
 		return start, 0
 	}
-	born, err := strconv.ParseInt(mark, birthBase, 64)
+	born, err := strconv.ParseInt(mark, startTimeBase, 64)
 	if err != nil {
 		return start, 0
 	}
