--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -101,7 +101,7 @@
 	return server
 }
 
-func starts(servers []Server) []string { return Starts(servers) }
+func starts(servers []Server) []string { return IncarnationIDs(servers) }
 
 // A server announces that it leaves, crashes, and starts again under its identifier. The
 // new start has announced nothing; kept as leaving it would stay empty for ever.
--- a/core/directory/start.go
+++ b/core/directory/start.go
@@ -60,8 +60,8 @@
 	return id, born
 }
 
-// Starts returns the names of servers' starts, in their order.
-func Starts(servers []Server) []string {
+// IncarnationIDs returns the names of servers' starts, in their order.
+func IncarnationIDs(servers []Server) []string {
 	starts := make([]string, 0, len(servers))
 	for _, server := range servers {
 		starts = append(starts, server.IncarnationID())
--- a/entry/gateway/answers.go
+++ b/entry/gateway/answers.go
@@ -126,7 +126,7 @@
 // logChoice tells why the request goes where it goes.
 func (e *exchange) logChoice(choice placement.Choice) {
 	e.s.log.WithFields(logrus.Fields{"request": e.info.ID, "route": e.route.Name, "service": e.service.Name, "server": choice.Server.IncarnationID(),
-		"serverRevision": choice.Server.Revision, "helpers": directory.Starts(choice.Helpers), "held": choice.Reserved, "tokens": e.info.PromptTokens,
+		"serverRevision": choice.Server.Revision, "helpers": directory.IncarnationIDs(choice.Helpers), "held": choice.Reserved, "tokens": e.info.PromptTokens,
 		"predictedMs": choice.Predicted.Milliseconds(), "loss": math.Round(choice.Loss*100) / 100, "sentBefore": e.core.Sent(),
 		"serverBacklogMs": math.Round(choice.Load.BacklogMs), "serverRequests": choice.Load.Requests, "serverNewsMs": choice.Load.Age.Milliseconds(),
 		"waitedMs": time.Since(e.arrived).Milliseconds(), "configuration": e.table.Version(), "lastEvent": e.lastEvent}).Info("server chosen")
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -202,7 +202,7 @@
 		choice, refusal := s.book.Choose(now, query)
 		s.noteChosen(now, choice, refusal)
 		if refusal == "" && choice.Wait == 0 {
-			place.Server, place.Helpers, place.Held, place.Predicted = choice.Server.IncarnationID(), directory.Starts(choice.Helpers), choice.Reserved, choice.Predicted
+			place.Server, place.Helpers, place.Held, place.Predicted = choice.Server.IncarnationID(), directory.IncarnationIDs(choice.Helpers), choice.Reserved, choice.Predicted
 			d.Server, d.Helpers, d.Reserved = place.Server, place.Helpers, place.Held
 			s.book.BeginPeerDispatch(now, from, d, service.Engine)
 		}
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -298,7 +298,7 @@
 	if len(silent) == 0 {
 		return nil
 	}
-	return peering.ServersOf(silent, peering.Owners(all, directory.Starts(servers)))
+	return peering.ServersOf(silent, peering.Owners(all, directory.IncarnationIDs(servers)))
 }
 
 // catchUpSoon looks after a moment whether a view has to be fetched, if a message tells of
--- a/proof/forwarding/day.go
+++ b/proof/forwarding/day.go
@@ -116,7 +116,7 @@
 	}
 	d.options = options
 	d.scheduleTrouble()
-	d.owners = peering.Owners(names(site.Entries, entryName), directory.Starts(d.listed))
+	d.owners = peering.Owners(names(site.Entries, entryName), directory.IncarnationIDs(d.listed))
 	for i := range site.Classes {
 		d.scheduleArrival(i, 0)
 	}
