--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -77,10 +77,10 @@
 func (d *Directory) Upsert(server Server) (Change, bool) {
 	server.incarnationID = server.IncarnationID()
 	if removed, ok := d.removed[server.ID]; ok {
-		if server.Revision <= removed.revision || server.Born < removed.startedAtMs {
+		if server.Revision <= removed.revision || server.StartedAtMs < removed.startedAtMs {
 			return Change{}, false
 		}
-		server.Leaving = server.Leaving || removed.draining && server.Born == removed.startedAtMs && removed.startedAtMs != 0
+		server.Leaving = server.Leaving || removed.draining && server.StartedAtMs == removed.startedAtMs && removed.startedAtMs != 0
 		delete(d.removed, server.ID)
 	}
 	known := d.entries[server.ID]
@@ -89,7 +89,7 @@
 		d.changed = true
 		return Change{server.incarnationID, server.Service, "", stateOf(server), "listed", server.Revision}, true
 	}
-	if server.Born != 0 && server.Born < known.Born {
+	if server.StartedAtMs != 0 && server.StartedAtMs < known.StartedAtMs {
 		return Change{}, false
 	}
 	known.missingSince = time.Time{}
@@ -106,13 +106,13 @@
 // was written by somebody else.
 func (d *Directory) LacksBirth(server Server) bool {
 	known := d.entries[server.ID]
-	return server.Born == 0 && known != nil && known.Born != 0
+	return server.StartedAtMs == 0 && known != nil && known.StartedAtMs != 0
 }
 
 // update takes a newer row of a known server into force.
 func (d *Directory) update(known *entry, server Server) (Change, bool) {
 	from, why := stateOf(known.Server), "updated"
-	if server.Born == known.Born {
+	if server.StartedAtMs == known.StartedAtMs {
 		// Leaving sticks to one start of a server: a row written before the notice
 		// and delivered late must not bring new work to it.
 		server.Leaving = server.Leaving || known.Leaving
@@ -143,7 +143,7 @@
 	removed := d.removed[id]
 	removed.revision = max(removed.revision, revision)
 	if known != nil {
-		removed.startedAtMs, removed.draining = known.Born, known.Leaving
+		removed.startedAtMs, removed.draining = known.StartedAtMs, known.Leaving
 	}
 	d.removed[id] = removed
 	if known == nil {
@@ -183,7 +183,7 @@
 // and the row of a start that has left is believed only once it is written anew.
 func (d *Directory) Restore(now time.Time, servers []Server, revision uint64) []Change {
 	for _, server := range servers {
-		if removed, ok := d.removed[server.ID]; ok && server.Born <= removed.startedAtMs {
+		if removed, ok := d.removed[server.ID]; ok && server.StartedAtMs <= removed.startedAtMs {
 			removed.revision = max(removed.revision, server.Revision)
 			d.removed[server.ID] = removed
 		}
@@ -357,7 +357,7 @@
 func (d *Directory) Lookup(start string) (Server, bool) {
 	id, born := parseIncarnationID(start)
 	server, ok := d.Get(id)
-	if !ok || born != 0 && born < server.Born {
+	if !ok || born != 0 && born < server.StartedAtMs {
 		return Server{}, false
 	}
 	return server, true
@@ -375,7 +375,7 @@
 func (d *Directory) Superseded(start string) bool {
 	id, born := parseIncarnationID(start)
 	known := d.entries[id]
-	return known != nil && born != 0 && born < known.Born
+	return known != nil && born != 0 && born < known.StartedAtMs
 }
 
 // Empty says that no server is known.
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -97,7 +97,7 @@
 
 func born(id string, at int64, revision uint64, leaving bool) Server {
 	server := row(id, revision, leaving)
-	server.Born = at
+	server.StartedAtMs = at
 	return server
 }
 
--- a/core/directory/start.go
+++ b/core/directory/start.go
@@ -10,13 +10,13 @@
 // where it keeps its identifier.
 type Server struct {
 	ID string `json:"id" cbor:"1,keyasint,omitempty"`
-	// Born is the start's birth by the server's own clock, in Unix milliseconds; 0 if
+	// StartedAtMs is the start's birth by the server's own clock, in Unix milliseconds; 0 if
 	// the server doesn't tell it.
-	Born    int64  `json:"born,omitempty" cbor:"2,keyasint,omitempty"`
-	Service string `json:"service" cbor:"3,keyasint,omitempty"`
-	Address string `json:"address" cbor:"4,keyasint,omitempty"`
-	Zone    string `json:"zone" cbor:"5,keyasint,omitempty"`
-	Slots   int    `json:"slots" cbor:"6,keyasint,omitempty"`
+	StartedAtMs int64  `json:"born,omitempty" cbor:"2,keyasint,omitempty"`
+	Service     string `json:"service" cbor:"3,keyasint,omitempty"`
+	Address     string `json:"address" cbor:"4,keyasint,omitempty"`
+	Zone        string `json:"zone" cbor:"5,keyasint,omitempty"`
+	Slots       int    `json:"slots" cbor:"6,keyasint,omitempty"`
 	// Leaving says that the server takes no new work.
 	Leaving bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
 	// SlowFor is how much longer the server is slow after its start.
@@ -34,10 +34,10 @@
 	switch {
 	case s.incarnationID != "":
 		return s.incarnationID
-	case s.Born == 0:
+	case s.StartedAtMs == 0:
 		return s.ID
 	}
-	return s.ID + startTimeSeparator + strconv.FormatInt(s.Born, startTimeBase)
+	return s.ID + startTimeSeparator + strconv.FormatInt(s.StartedAtMs, startTimeBase)
 }
 
 const (
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -27,7 +27,7 @@
 
 // start returns the name of a worker's present start.
 func startOf(worker *standin.Worker) string {
-	return directory.Server{ID: worker.ID, Born: worker.Born}.IncarnationID()
+	return directory.Server{ID: worker.ID, StartedAtMs: worker.Born}.IncarnationID()
 }
 
 // A worker is leaving, crashes and is back under its identifier. Its callers would be
@@ -72,7 +72,7 @@
 	<-started
 	s.serverFailed(startOf(worker))
 	w.reborn(worker, secondBirth)
-	w.eventually("the new start is known", func() bool { return w.available(s, "engines")[0].Born == secondBirth })
+	w.eventually("the new start is known", func() bool { return w.available(s, "engines")[0].StartedAtMs == secondBirth })
 	choice := w.choose(s)
 	require.Equal(t, startOf(worker), choice.Server.IncarnationID())
 	require.Zero(t, choice.Load.Requests)
@@ -100,7 +100,7 @@
 	w.reborn(worker, secondBirth)
 	s := w.serve()
 	begun := func(id string, born int64) peering.Message {
-		start := directory.Server{ID: "i-1", Born: born}.IncarnationID()
+		start := directory.Server{ID: "i-1", StartedAtMs: born}.IncarnationID()
 		return peering.Message{From: "127.0.0.1:1", Incarnation: "x", Begun: []placement.Dispatch{{ID: id, Server: start, PromptTokens: 2000, Lifetime: time.Minute}}}
 	}
 	s.takeNews(time.Now(), begun("late", firstBirth), false)
@@ -110,7 +110,7 @@
 	require.True(t, s.booked(1)())
 	require.Zero(t, w.choose(s).Load.Requests, "the start that is known here has nothing to do")
 	w.reborn(worker, third)
-	w.eventually("the third start is known", func() bool { return w.available(s, "engines")[0].Born == third })
+	w.eventually("the third start is known", func() bool { return w.available(s, "engines")[0].StartedAtMs == third })
 	require.Equal(t, 1, w.choose(s).Load.Requests)
 }
 
@@ -148,11 +148,11 @@
 	s := w.serve()
 	known := w.available(s, "plain")[0]
 	next := known
-	next.Born, next.Revision = secondBirth, known.Revision+5
+	next.StartedAtMs, next.Revision = secondBirth, known.Revision+5
 	s.adoptView(view{Servers: []directory.Server{{ID: known.ID, Service: known.Service, Address: known.Address, Slots: known.Slots, Revision: known.Revision + 9}}}, "old", true)
-	require.Equal(t, firstBirth, w.available(s, "plain")[0].Born)
+	require.Equal(t, firstBirth, w.available(s, "plain")[0].StartedAtMs)
 	s.adoptView(view{Servers: []directory.Server{next}}, "new", true)
-	require.Equal(t, secondBirth, w.available(s, "plain")[0].Born)
+	require.Equal(t, secondBirth, w.available(s, "plain")[0].StartedAtMs)
 }
 
 // A row is written over by somebody else. The entry must not use what it names, keeps the
--- a/entry/gateway/viewcache_test.go
+++ b/entry/gateway/viewcache_test.go
@@ -22,7 +22,7 @@
 	v := view{Left: map[string]uint64{}, Revision: 7}
 	for i := range servers {
 		v.Servers = append(v.Servers, directory.Server{ID: fmt.Sprintf("i-%010x", i*7919), Service: "engines", Address: fmt.Sprintf("10.1.%d.%d:8143", i/250, i%250),
-			Zone: "here", Slots: 10, Born: int64(1_700_000_000_000 + i), Revision: uint64(i)})
+			Zone: "here", Slots: 10, StartedAtMs: int64(1_700_000_000_000 + i), Revision: uint64(i)})
 	}
 	return v
 }
