--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -96,15 +96,15 @@
 	switch {
 	case server.Revision <= known.Revision:
 		return Change{}, false
-	case d.LacksBirth(server):
+	case d.LacksStartTime(server):
 		return d.Reject(server.ID, server.Revision)
 	}
 	return d.update(known, server)
 }
 
-// LacksBirth says whether a row lacks the birth that rows of the same server have had: it
+// LacksStartTime says whether a row lacks the birth that rows of the same server have had: it
 // was written by somebody else.
-func (d *Directory) LacksBirth(server Server) bool {
+func (d *Directory) LacksStartTime(server Server) bool {
 	known := d.entries[server.ID]
 	return server.StartedAtMs == 0 && known != nil && known.StartedAtMs != 0
 }
--- a/entry/gateway/view.go
+++ b/entry/gateway/view.go
@@ -114,13 +114,13 @@
 			changes = append(changes, change)
 		}
 	}
-	if v.Revision > s.revision && !slices.ContainsFunc(v.Servers, s.directory.LacksBirth) {
+	if v.Revision > s.revision && !slices.ContainsFunc(v.Servers, s.directory.LacksStartTime) {
 		changes = append(changes, s.directory.Replace(time.Now(), v.Servers, v.Revision, false)...)
 		s.advance(v.Revision)
 		return changes
 	}
 	for _, server := range v.Servers {
-		if s.directory.LacksBirth(server) {
+		if s.directory.LacksStartTime(server) {
 			continue // the peer is of a version that doesn't know births
 		}
 		if change, ok := s.directory.Upsert(server); ok {
