--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -80,7 +80,7 @@
 		if server.Revision <= removed.revision || server.StartedAtMs < removed.startedAtMs {
 			return Change{}, false
 		}
-		server.Leaving = server.Leaving || removed.draining && server.StartedAtMs == removed.startedAtMs && removed.startedAtMs != 0
+		server.Draining = server.Draining || removed.draining && server.StartedAtMs == removed.startedAtMs && removed.startedAtMs != 0
 		delete(d.removed, server.ID)
 	}
 	known := d.entries[server.ID]
@@ -115,7 +115,7 @@
 	if server.StartedAtMs == known.StartedAtMs {
 		// Leaving sticks to one start of a server: a row written before the notice
 		// and delivered late must not bring new work to it.
-		server.Leaving = server.Leaving || known.Leaving
+		server.Draining = server.Draining || known.Draining
 	} else {
 		why = "started anew"
 	}
@@ -143,7 +143,7 @@
 	removed := d.removed[id]
 	removed.revision = max(removed.revision, revision)
 	if known != nil {
-		removed.startedAtMs, removed.draining = known.StartedAtMs, known.Leaving
+		removed.startedAtMs, removed.draining = known.StartedAtMs, known.Draining
 	}
 	d.removed[id] = removed
 	if known == nil {
@@ -245,7 +245,7 @@
 }
 
 func stateOf(server Server) string {
-	if server.Leaving {
+	if server.Draining {
 		return "leaving"
 	}
 	return "ready"
@@ -262,7 +262,7 @@
 
 // TakesWork says whether a server is to get new work.
 func (d *Directory) TakesWork(server Server) bool {
-	return !server.Leaving && !d.evacuated[server.Zone]
+	return !server.Draining && !d.evacuated[server.Zone]
 }
 
 // Available returns the servers of a service that take new work, in a fixed
@@ -287,7 +287,7 @@
 func (d *Directory) Zones(service string) map[string]int {
 	zones := map[string]int{}
 	for _, known := range d.entries {
-		if known.Service == service && !known.Leaving {
+		if known.Service == service && !known.Draining {
 			zones[known.Zone]++
 		}
 	}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -10,7 +10,7 @@
 var start = time.Unix(1000, 0)
 
 func row(id string, revision uint64, leaving bool) Server {
-	return Server{ID: id, Service: "engines", Address: "10.0.0.1:1", Revision: revision, Leaving: leaving}
+	return Server{ID: id, Service: "engines", Address: "10.0.0.1:1", Revision: revision, Draining: leaving}
 }
 
 func names(servers []Server) []string {
@@ -55,7 +55,7 @@
 	require.Empty(t, d.Available("engines"), "leaving holds for one start of a server")
 	server, known := d.Get("a")
 	require.True(t, known)
-	require.True(t, server.Leaving)
+	require.True(t, server.Draining)
 }
 
 // While the platform is away the rows of living servers lapse. The first list after
--- a/core/directory/start.go
+++ b/core/directory/start.go
@@ -17,8 +17,8 @@
 	Address     string `json:"address" cbor:"4,keyasint,omitempty"`
 	Zone        string `json:"zone" cbor:"5,keyasint,omitempty"`
 	Slots       int    `json:"slots" cbor:"6,keyasint,omitempty"`
-	// Leaving says that the server takes no new work.
-	Leaving bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
+	// Draining says that the server takes no new work.
+	Draining bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
 	// SlowFor is how much longer the server is slow after its start.
 	SlowFor time.Duration `json:"slowFor,omitempty" cbor:"8,keyasint,omitempty"`
 	// Revision is the platform's revision of the row.
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -85,7 +85,7 @@
 // holds the lock.
 func (s *Server) isExpectedToLive(choice placement.Choice) bool {
 	known, ok := s.directory.Lookup(choice.Server.IncarnationID())
-	return s.directory.Superseded(choice.Server.IncarnationID()) || ok && !known.Leaving
+	return s.directory.Superseded(choice.Server.IncarnationID()) || ok && !known.Draining
 }
 
 // noteAnswer clears a request that has got its whole answer.
--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -7,7 +7,7 @@
 
 // evacuationMutations remove the safeguards around zones that are evacuated, and around cold servers.
 var evacuationMutations = []mutation{
-	{"an evacuated zone gets nothing new", "core/directory/directory.go", "!server.Leaving && !d.evacuated[server.Zone]", "!server.Leaving", gatewayPkg, "TestAnEvacuatedZone"},
+	{"an evacuated zone gets nothing new", "core/directory/directory.go", "!server.Draining && !d.evacuated[server.Zone]", "!server.Draining", gatewayPkg, "TestAnEvacuatedZone"},
 	{"an older state of a zone changes nothing", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderState"},
 	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Take(back) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
 	{"an evacuation outlives an older copy of the store", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
--- a/proof/mutations/quarantine_mutations_test.go
+++ b/proof/mutations/quarantine_mutations_test.go
@@ -17,7 +17,7 @@
 	{"suspects are kept apart", "entry/gateway/run.go", "	others := e.otherSuspects(now)\n", "	var others []string\n", gatewayPkg, "TestTwoSuspects"},
 	{"another suspect's server is better than none", "entry/gateway/run.go", "	if refusal != \"\" && len(others) > 0 {", "	if false {", gatewayPkg, "TestASuspectIsNotRefused"},
 	{"suspects are forgotten", "core/quarantine/apart.go", "		if now.Sub(s.at) >= apartTime {", "		if now.Sub(s.at) >= 1000*apartTime {", quarantinePkg, "TestSuspects"},
-	{"a leaving server's end is its own", "entry/gateway/quarantine.go", " || ok && !known.Leaving", " || ok || known.Leaving", gatewayPkg, "TestALeavingServersEnd"},
+	{"a leaving server's end is its own", "entry/gateway/quarantine.go", " || ok && !known.Draining", " || ok || known.Draining", gatewayPkg, "TestALeavingServersEnd"},
 	{"callers are told apart", "core/quarantine/fingerprint.go", "[]string{workspace, method, host, uri}", "[]string{method, host, uri}", quarantinePkg, "TestOnlyTheSameRequest"},
 	{"fields are told apart", "core/quarantine/fingerprint.go", "uint64(len(field))", "0", quarantinePkg, "TestOnlyTheSameRequest"},
 	{"who runs beside it is not refused", "core/quarantine/watch.go", "		if w.explained(end, f, len(r.ended)-1) {", "		if w.explained(end, f, 1000) {", quarantinePkg, "TestARequestBeside|TestSoundRequests"},
