--- a/core/directory/start.go
+++ b/core/directory/start.go
@@ -19,8 +19,8 @@
 	Slots       int    `json:"slots" cbor:"6,keyasint,omitempty"`
 	// Draining says that the server takes no new work.
 	Draining bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
-	// SlowFor is how much longer the server is slow after its start.
-	SlowFor time.Duration `json:"slowFor,omitempty" cbor:"8,keyasint,omitempty"`
+	// WarmupRemaining is how much longer the server is slow after its start.
+	WarmupRemaining time.Duration `json:"slowFor,omitempty" cbor:"8,keyasint,omitempty"`
 	// Revision is the platform's revision of the row.
 	Revision uint64 `json:"revision" cbor:"9,keyasint,omitempty"`
 	// incarnationID is the name of the incarnationID, kept so that a choice need not build it.
--- a/entry/gateway/cold.go
+++ b/entry/gateway/cold.go
@@ -11,8 +11,8 @@
 // noteCold takes in which servers are cold, as their rows tell; the caller holds the lock.
 func (s *Server) noteCold(now time.Time, servers []directory.Server) {
 	for _, server := range servers {
-		if server.SlowFor > 0 {
-			s.cold.Cold(server.IncarnationID(), now.Add(server.SlowFor))
+		if server.WarmupRemaining > 0 {
+			s.cold.Cold(server.IncarnationID(), now.Add(server.WarmupRemaining))
 		}
 	}
 }
--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -17,7 +17,7 @@
 	{"an entry sends a cold server one request a second", "core/coldstart/limiter.go", "	if !known.sent.IsZero() && now.Sub(known.sent) < interval {", "	if false {", coldstartPkg, "TestAnEntrySends|TestNoCold"},
 	{"few entries send to a cold server", "core/coldstart/limiter.go", "	return known.place < Senders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
 	{"room is left for entries that know too few", "core/coldstart/limiter.go", "const knownShare = 0.5", "const knownShare = 1", coldstartPkg, "TestNoCold"},
-	{"cold servers are known by their rows", "entry/gateway/cold.go", "		if server.SlowFor > 0 {", "		if false {", gatewayPkg, "TestAColdServer"},
+	{"cold servers are known by their rows", "entry/gateway/cold.go", "		if server.WarmupRemaining > 0 {", "		if false {", gatewayPkg, "TestAColdServer"},
 	{"a choice counts for a cold server", "entry/gateway/cold.go", "		s.cold.Sent(now, choice.Server.IncarnationID())\n", "", gatewayPkg, "TestAColdServer"},
 }
 
