--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Gone is a server that has left, by its identifier and the revision at which it did.
-type Gone struct {
+// Tombstone is a server that has left, by its identifier and the revision at which it did.
+type Tombstone struct {
 	ID       string `cbor:"1,keyasint,omitempty"`
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 }
@@ -328,14 +328,14 @@
 
 // Rows returns what is known of some servers, by their identifiers: those that are there,
 // and those that have left.
-func (d *Directory) Rows(ids []string) ([]Server, []Gone) {
+func (d *Directory) Rows(ids []string) ([]Server, []Tombstone) {
 	var servers []Server
-	var gone []Gone
+	var gone []Tombstone
 	for _, id := range ids {
 		if known := d.entries[id]; known != nil {
 			servers = append(servers, known.Server)
 		} else if removed, ok := d.removed[id]; ok {
-			gone = append(gone, Gone{id, removed.revision})
+			gone = append(gone, Tombstone{id, removed.revision})
 		}
 	}
 	return servers, gone
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -114,10 +114,10 @@
 // Update are the changes of the list of servers, and of the zones that are evacuated, from one
 // revision of the platform to a later one.
 type Update struct {
-	Base    uint64             `cbor:"1,keyasint,omitempty"`
-	Upto    uint64             `cbor:"2,keyasint,omitempty"`
-	Servers []directory.Server `cbor:"3,keyasint,omitempty"`
-	Gone    []directory.Gone   `cbor:"4,keyasint,omitempty"`
+	Base    uint64                `cbor:"1,keyasint,omitempty"`
+	Upto    uint64                `cbor:"2,keyasint,omitempty"`
+	Servers []directory.Server    `cbor:"3,keyasint,omitempty"`
+	Gone    []directory.Tombstone `cbor:"4,keyasint,omitempty"`
 	// Evacuations are the zones whose evacuation was asked for or taken back.
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -32,7 +32,7 @@
 	return []peering.Message{told, {Begun: []placement.Dispatch{d}, First: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
 		{Ask: &peering.Ask{Service: "engines", Dispatch: d, Remaining: time.Second}}, {Place: &peering.Place{ID: "d", Server: "i-0", Held: []int64{1}}},
 		{Update: &peering.Update{Base: 1, Upto: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
-			Gone: []directory.Gone{{ID: "i-1", Revision: 3}}}},
+			Gone: []directory.Tombstone{{ID: "i-1", Revision: 3}}}},
 		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Ended: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
 
--- a/entry/gateway/platformloop.go
+++ b/entry/gateway/platformloop.go
@@ -231,7 +231,7 @@
 
 // takeRows takes in rows and removals one by one; each goes by its own revision. The caller
 // holds the lock.
-func (s *Server) takeRows(servers []directory.Server, gone []directory.Gone) []directory.Change {
+func (s *Server) takeRows(servers []directory.Server, gone []directory.Tombstone) []directory.Change {
 	s.noteCold(time.Now(), servers)
 	var noted []directory.Change
 	for _, server := range servers {
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -115,7 +115,7 @@
 	s.takeUpdate(peering.Update{Base: 12, Upto: 13, Servers: []directory.Server{row("i-3", 13)}}, "peer")
 	require.EqualValues(t, 10, s.position())
 	require.Len(t, w.available(s, "plain"), 2, "what was told is true all the same")
-	s.takeUpdate(peering.Update{Base: 10, Upto: 12, Gone: []directory.Gone{{ID: "i-1", Revision: 11}}}, "peer")
+	s.takeUpdate(peering.Update{Base: 10, Upto: 12, Gone: []directory.Tombstone{{ID: "i-1", Revision: 11}}}, "peer")
 	require.EqualValues(t, 12, s.position())
 	require.Len(t, w.available(s, "plain"), 1)
 	s.takeUpdate(peering.Update{Base: 12, Upto: 13}, "peer")
