--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -317,8 +317,8 @@
 	return all
 }
 
-// Left returns the servers that left, with the revisions at which they did.
-func (d *Directory) Left() map[string]uint64 {
+// Tombstones returns the servers that left, with the revisions at which they did.
+func (d *Directory) Tombstones() map[string]uint64 {
 	removed := make(map[string]uint64, len(d.removed))
 	for id, last := range d.removed {
 		removed[id] = last.revision
--- a/entry/gateway/view.go
+++ b/entry/gateway/view.go
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v.Servers, v.Revision = s.directory.All(), s.revision
-	v.Left = s.directory.Left()
+	v.Left = s.directory.Tombstones()
 	v.Evacuations = s.evacuation.All()
 	return v
 }
