--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -283,8 +283,8 @@
 	return d.byZone[serviceZone{service, zone}]
 }
 
-// Zones returns how many servers of a service each zone has. Those of evacuated zones count, those that leave do not.
-func (d *Directory) Zones(service string) map[string]int {
+// CountByZone returns how many servers of a service each zone has. Those of evacuated zones count, those that leave do not.
+func (d *Directory) CountByZone(service string) map[string]int {
 	zones := map[string]int{}
 	for _, known := range d.entries {
 		if known.Service == service && !known.Draining {
--- a/entry/gateway/division.go
+++ b/entry/gateway/division.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		division := s.divisions[service.Name]
-		division.Update(s.directory.Zones(service.Name), entries)
+		division.Update(s.directory.CountByZone(service.Name), entries)
 		divisions[service.Name] = division
 	}
 	s.divisions = divisions
