--- a/core/parts/crossing.go
+++ b/core/parts/crossing.go
@@ -5,6 +5,6 @@
 // callers; a smaller difference would send requests to and fro between zones that are full.
 const crossGain = 0.25
 
-// Crosses says whether a request that its own zone would refuse or answer late is better
+// PrefersCrossZone says whether a request that its own zone would refuse or answer late is better
 // placed in another zone. The room is the share of servers that could begin a short prompt.
-func Crosses(own, other float64) bool { return other >= own+crossGain }
+func PrefersCrossZone(own, other float64) bool { return other >= own+crossGain }
--- a/core/parts/division_test.go
+++ b/core/parts/division_test.go
@@ -48,8 +48,8 @@
 // All zones are full at the same time: a request that went to another one would only take
 // the place of that one's own.
 func TestRequestsCrossOnlyToAZoneWithMoreRoom(t *testing.T) {
-	require.True(t, Crosses(0, 0.25))
-	require.True(t, Crosses(0.5, 0.9))
-	require.False(t, Crosses(0.5, 0.7))
-	require.False(t, Crosses(0, 0.2))
+	require.True(t, PrefersCrossZone(0, 0.25))
+	require.True(t, PrefersCrossZone(0.5, 0.9))
+	require.False(t, PrefersCrossZone(0.5, 0.7))
+	require.False(t, PrefersCrossZone(0, 0.2))
 }
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -70,7 +70,7 @@
 	s.peers.mu.Lock()
 	address, other, ok := s.peers.group.Roomiest(now)
 	s.peers.mu.Unlock()
-	return address, ok && parts.Crosses(own, other)
+	return address, ok && parts.PrefersCrossZone(own, other)
 }
 
 // ownRoom is the room in this zone; false if the service is not divided.
