--- a/core/parts/division.go
+++ b/core/parts/division.go
@@ -41,8 +41,8 @@
 	return d.divided
 }
 
-// Divided returns whether the servers were divided at the last update.
-func (d Division) Divided() bool { return d.divided }
+// Enabled returns whether the servers were divided at the last update.
+func (d Division) Enabled() bool { return d.divided }
 
 // needed is how many servers make a zone a part by itself.
 func needed(entries int) float64 {
--- a/entry/gateway/division.go
+++ b/entry/gateway/division.go
@@ -16,7 +16,7 @@
 
 // isDivided says whether entries keep to their zone's servers of a service; the caller
 // holds the lock.
-func (s *Server) isDivided(service string) bool { return s.divisions[service].Divided() }
+func (s *Server) isDivided(service string) bool { return s.divisions[service].Enabled() }
 
 // dividedServices returns the names of the services that are divided, in a fixed order; the
 // caller holds the lock.
