--- a/core/parts/division.go
+++ b/core/parts/division.go
@@ -23,13 +23,13 @@
 	zonesDivided = 2
 )
 
-// Division tells whether the servers of a service are divided by zone. The zero value is
+// LocalRouting tells whether the servers of a service are divided by zone. The zero value is
 // undivided.
-type Division struct{ divided bool }
+type LocalRouting struct{ divided bool }
 
 // Update takes in how many servers each zone has and how many entries there are, and returns
 // whether the servers are divided.
-func (d *Division) Update(servers map[string]int, entries int) bool {
+func (d *LocalRouting) Update(servers map[string]int, entries int) bool {
 	need := needed(entries)
 	if d.divided {
 		need *= keptShare
@@ -42,7 +42,7 @@
 }
 
 // Enabled returns whether the servers were divided at the last update.
-func (d Division) Enabled() bool { return d.divided }
+func (d LocalRouting) Enabled() bool { return d.divided }
 
 // needed is how many servers make a zone a part by itself.
 func needed(entries int) float64 {
--- a/core/parts/division_test.go
+++ b/core/parts/division_test.go
@@ -13,10 +13,10 @@
 		"five and a few":    {"a": 6, "b": 5, "c": 5},
 		"one zone is small": {"a": 60, "b": 60, "c": 23},
 	} {
-		var d Division
+		var d LocalRouting
 		require.False(t, d.Update(servers, 28), name)
 	}
-	var d Division
+	var d LocalRouting
 	require.True(t, d.Update(map[string]int{"a": 24, "b": 40}, 28))
 }
 
@@ -25,10 +25,10 @@
 func TestManyEntriesDivideFewerServers(t *testing.T) {
 	zones := map[string]int{"a": 22, "b": 27}
 	for entries, divided := range map[int]bool{3: false, 28: false, 43: false, 44: true, 68: true, 350: true} {
-		var d Division
+		var d LocalRouting
 		require.Equal(t, divided, d.Update(zones, entries), entries)
 	}
-	var d Division
+	var d LocalRouting
 	require.False(t, d.Update(map[string]int{"a": 11, "b": 27}, 350), "a long prompt finds too few servers")
 	require.True(t, d.Update(map[string]int{"a": 12, "b": 27}, 350))
 }
@@ -36,7 +36,7 @@
 // A third of a zone's servers crash for some seconds. Entries that then chose among all
 // servers would know nothing of what the others have sent there, and be back a moment later.
 func TestADivisionOutlivesCrashes(t *testing.T) {
-	var d Division
+	var d LocalRouting
 	require.True(t, d.Update(map[string]int{"a": 27, "b": 27}, 28))
 	require.True(t, d.Update(map[string]int{"a": 18, "b": 27}, 28))
 	require.True(t, d.Update(map[string]int{"a": 12, "b": 27}, 28))
--- a/entry/gateway/division.go
+++ b/entry/gateway/division.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	entries := s.peers.size()
-	divisions := map[string]parts.Division{}
+	divisions := map[string]parts.LocalRouting{}
 	for _, service := range table.Definition().Services {
 		if service.Engine == nil {
 			continue
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -142,7 +142,7 @@
 func (s *Server) divideAlways() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	division := parts.Division{}
+	division := parts.LocalRouting{}
 	division.Update(map[string]int{"here": 1000, "there": 1000}, 2)
 	s.divisions["engines"] = division
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -99,7 +99,7 @@
 	// grewAt is when a server was added to the list that it did not hold when it was read whole.
 	grewAt time.Time
 	// divisions tell for each engine service whether entries keep to their zone's servers.
-	divisions map[string]parts.Division
+	divisions map[string]parts.LocalRouting
 	budgets   map[string]*execution.RetryBudget
 	// watch remembers requests under which servers have ended.
 	watch *quarantine.Watch
@@ -120,7 +120,7 @@
 	s := &Server{
 		options: options, settings: settings, loaded: settings, log: options.Log, incarnation: uuid.NewString()[:incarnationLength], registry: metrics.NewRegistry(),
 		directory: directory.New(directory.Options{}), book: placement.NewLoadTable(placement.DefaultOptions(settings.Zone)),
-		cold: coldstart.NewLimiter(), divisions: map[string]parts.Division{}, started: make(chan struct{}),
+		cold: coldstart.NewLimiter(), divisions: map[string]parts.LocalRouting{}, started: make(chan struct{}),
 		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewWatch(), apart: quarantine.NewApart(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pause: membership.NewPauseDetector(pauseLimit),
 	}
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -68,7 +68,7 @@
 	{"requests wait for an entry that starts", "entry/gateway/front.go", "	e.awaitStart()\n", "", gatewayPkg, "TestARequestWaitsForAnEntry"},
 	{"any server is better than none", "entry/gateway/crossing.go", "	if refusal == placement.NoServer {", "	if false {", gatewayPkg, "TestWithoutServersAndNeighbours"},
 	{"entries keep to their zone", "entry/gateway/run.go", "	if service.Engine != nil && s.isDivided(service.Name) {", "	if false {", gatewayPkg, "TestEntriesKeepToTheServers"},
-	{"services that leave end their division", "entry/gateway/division.go", "	divisions := map[string]parts.Division{}\n", "	divisions := maps.Clone(s.divisions)\n	var _ parts.Division\n", gatewayPkg, "TestAServiceThatLeaves"},
+	{"services that leave end their division", "entry/gateway/division.go", "	divisions := map[string]parts.LocalRouting{}\n", "	divisions := maps.Clone(s.divisions)\n	var _ parts.LocalRouting\n", gatewayPkg, "TestAServiceThatLeaves"},
 	{"many entries divide fewer servers", "core/parts/division.go", "min(max(mostNeeded*fewEntries/float64(max(entries, 1)), leastNeeded), mostNeeded)", "float64(mostNeeded + 0*entries)", "arbutusdeck/core/parts", "TestManyEntries"},
 	{"a server that takes nothing is told of", "entry/gateway/book.go", "	s.peers.tell(booking{}, func(m *peering.Message) { m.Unreachable = append(m.Unreachable, server) })\n", "	_ = func(m *peering.Message) { m.Unreachable = append(m.Unreachable, server) }\n", gatewayPkg, "TestAServerThatOneEntryFinds"},
 	{"entries try a server again by themselves", "core/placement/health.go", "(1 - backoffJitter + 2*backoffJitter*draw)", "(1 + 0*draw)", placementPkg, "TestPeersReportAnUnreachable"},
