--- a/core/parts/crossing.go
+++ b/core/zonerouting/crossing.go
@@ -1,4 +1,4 @@
-package parts
+package zonerouting
 
 // crossGain is by how much more of another zone's servers have room before a request goes
 // there: a quarter of them. Zones are busy by turns at every burst, since all have the same
--- a/core/parts/division.go
+++ b/core/zonerouting/division.go
@@ -1,11 +1,11 @@
-// Package parts decides whether entries keep to the backend servers of their own
+// Package zonerouting decides whether entries keep to the backend servers of their own
 // availability zone. It is pure.
 //
 // The load it answers: many entries on small hosts. Where all entries choose among all
 // servers, each of them has to hear of every request of all others, and all take the same
 // server for the best one within the time that news take. Entries that keep to the servers of
 // their zone hear only its entries, and only these choose at once.
-package parts
+package zonerouting
 
 const (
 	// fewEntries is the number of entries at which a zone is a part by itself from
--- a/core/parts/division_test.go
+++ b/core/zonerouting/division_test.go
@@ -1,4 +1,4 @@
-package parts
+package zonerouting
 
 import (
 	"testing"
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"arbutusdeck/core/directory"
-	"arbutusdeck/core/parts"
 	"arbutusdeck/core/peering"
 	"arbutusdeck/core/placement"
 	"arbutusdeck/core/routes"
+	"arbutusdeck/core/zonerouting"
 )
 
 // Entries that keep to their zone's servers know nothing of what other zones' servers do.
@@ -70,7 +70,7 @@
 	s.peers.mu.Lock()
 	address, other, ok := s.peers.group.Roomiest(now)
 	s.peers.mu.Unlock()
-	return address, ok && parts.PrefersCrossZone(own, other)
+	return address, ok && zonerouting.PrefersCrossZone(own, other)
 }
 
 // ownRoom is the room in this zone; false if the service is not divided.
--- a/entry/gateway/division.go
+++ b/entry/gateway/division.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"arbutusdeck/core/parts"
+	"arbutusdeck/core/zonerouting"
 )
 
 // growTime is for how long no server must have been added until the list counts as whole: at the first start of a platform
@@ -51,7 +51,7 @@
 		return false
 	}
 	entries := s.peers.size()
-	divisions := map[string]parts.LocalRouting{}
+	divisions := map[string]zonerouting.LocalRouting{}
 	for _, service := range table.Definition().Services {
 		if service.Engine == nil {
 			continue
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -13,12 +13,12 @@
 	"arbutusdeck/core/audit"
 	"arbutusdeck/core/directory"
 	"arbutusdeck/core/enginemodel"
-	"arbutusdeck/core/parts"
 	"arbutusdeck/core/peering"
 	"arbutusdeck/core/placement"
 	"arbutusdeck/core/process"
 	"arbutusdeck/core/quarantine"
 	"arbutusdeck/core/routes"
+	"arbutusdeck/core/zonerouting"
 )
 
 // seedMessages are messages of each kind.
@@ -142,7 +142,7 @@
 func (s *Server) divideAlways() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	division := parts.LocalRouting{}
+	division := zonerouting.LocalRouting{}
 	division.Update(map[string]int{"here": 1000, "there": 1000}, 2)
 	s.divisions["engines"] = division
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -27,12 +27,12 @@
 	"arbutusdeck/core/lifecycle"
 	"arbutusdeck/core/membership"
 	"arbutusdeck/core/netopts"
-	"arbutusdeck/core/parts"
 	"arbutusdeck/core/peering"
 	"arbutusdeck/core/placement"
 	"arbutusdeck/core/process"
 	"arbutusdeck/core/quarantine"
 	"arbutusdeck/core/routes"
+	"arbutusdeck/core/zonerouting"
 	"arbutusdeck/platform"
 )
 
@@ -99,7 +99,7 @@
 	// grewAt is when a server was added to the list that it did not hold when it was read whole.
 	grewAt time.Time
 	// divisions tell for each engine service whether entries keep to their zone's servers.
-	divisions map[string]parts.LocalRouting
+	divisions map[string]zonerouting.LocalRouting
 	budgets   map[string]*execution.RetryBudget
 	// watch remembers requests under which servers have ended.
 	watch *quarantine.Watch
@@ -120,7 +120,7 @@
 	s := &Server{
 		options: options, settings: settings, loaded: settings, log: options.Log, incarnation: uuid.NewString()[:incarnationLength], registry: metrics.NewRegistry(),
 		directory: directory.New(directory.Options{}), book: placement.NewLoadTable(placement.DefaultOptions(settings.Zone)),
-		cold: coldstart.NewLimiter(), divisions: map[string]parts.LocalRouting{}, started: make(chan struct{}),
+		cold: coldstart.NewLimiter(), divisions: map[string]zonerouting.LocalRouting{}, started: make(chan struct{}),
 		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewWatch(), apart: quarantine.NewApart(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pause: membership.NewPauseDetector(pauseLimit),
 	}
