--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -46,64 +46,64 @@
 	Done
 )
 
-type running struct {
+type activeJob struct {
 	Job
-	arrived  uint64
-	admitted uint64
-	leftMs   float64 // reading time that is left
-	left     float64 // prompt tokens that are left
-	read     bool
-	// released says that all parts are read, wherever.
-	released bool
-	written  int64
-	events   int
+	arrivalSeq    uint64
+	admissionSeq  uint64
+	prefillLeftMs float64 // reading time that is left
+	prefillLeft   float64 // prompt tokens that are left
+	partPrefilled bool
+	// allPrefilled says that all parts are read, wherever.
+	allPrefilled bool
+	written      int64
+	events       int
 }
 
 // Batcher is the state of one engine: it serves the stand-in as well as the
 // experiments. Times are in milliseconds of the caller's clock. It is pure.
 type Batcher struct {
-	engine  Engine
-	slow    float64
-	next    uint64
-	waiting []*running
-	active  []*running
+	engine   Engine
+	slowdown float64
+	lastSeq  uint64
+	waiting  []*activeJob
+	active   []*activeJob
 	// passEnd is when the pass under way ends; negative while idle.
-	passEnd float64
-	finish  []*running // reads that end with the pass under way
-	writers []*running // answers that the pass under way writes
+	passEnd   float64
+	finishing []*activeJob // reads that end with the pass under way
+	writers   []*activeJob // answers that the pass under way writes
 	// Reread counts the prompt tokens read again after a preemption.
 	Reread int64
 }
 
 // NewBatcher returns an idle engine.
-func NewBatcher(engine Engine) *Batcher { return &Batcher{engine: engine, slow: 1, passEnd: -1} }
+func NewBatcher(engine Engine) *Batcher { return &Batcher{engine: engine, slowdown: 1, passEnd: -1} }
 
 // SetSlow makes the engine slower by a factor.
-func (b *Batcher) SetSlow(factor float64) { b.slow = factor }
+func (b *Batcher) SetSlow(factor float64) { b.slowdown = factor }
 
 // Submit adds a job; a pass begins at once if the engine is idle.
 func (b *Batcher) Submit(now float64, job Job) {
-	b.next++
+	b.lastSeq++
 	if job.Parts < 1 {
 		job.Parts = 1
 	}
-	r := &running{Job: job, arrived: b.next}
-	r.rewind(&b.engine)
+	r := &activeJob{Job: job, arrivalSeq: b.lastSeq}
+	r.resetPrefill(&b.engine)
 	if job.Helping {
-		r.admitted = b.next
+		r.admissionSeq = b.lastSeq
 		b.active = append(b.active, r)
 	} else {
 		b.waiting = append(b.waiting, r)
 	}
 	if b.passEnd < 0 {
-		b.begin(now)
+		b.beginPass(now)
 	}
 }
 
-func (r *running) rewind(e *Engine) {
-	r.leftMs = e.ReadMs(r.PromptTokens, r.Parts)
-	r.left = float64(r.PromptTokens) / float64(r.Parts)
-	r.read, r.released = false, r.Parts == 1
+func (j *activeJob) resetPrefill(e *Engine) {
+	j.prefillLeftMs = e.ReadMs(j.PromptTokens, j.Parts)
+	j.prefillLeft = float64(j.PromptTokens) / float64(j.Parts)
+	j.partPrefilled, j.allPrefilled = false, j.Parts == 1
 }
 
 // Release tells that all parts of a divided prompt are read. The first token
@@ -112,31 +112,31 @@
 	var notices []Notice
 	for _, r := range b.active {
 		if r.ID == id && !r.Helping {
-			r.released = true
+			r.allPrefilled = true
 			notices = append(notices, r.firstToken()...)
 		}
 	}
 	if b.passEnd < 0 {
-		b.begin(now)
+		b.beginPass(now)
 	}
 	return notices
 }
 
 // firstToken gives the first event, which holds one token, once all is read.
-func (r *running) firstToken() []Notice {
-	if !r.read || !r.released || r.events > 0 {
+func (j *activeJob) firstToken() []Notice {
+	if !j.partPrefilled || !j.allPrefilled || j.events > 0 {
 		return nil
 	}
-	r.events, r.written = 1, 1
-	return []Notice{{ID: r.ID, Kind: Wrote, Step: 1}}
+	j.events, j.written = 1, 1
+	return []Notice{{ID: j.ID, Kind: Wrote, Step: 1}}
 }
 
 // Cancel ends a job; the pass under way goes on.
 func (b *Batcher) Cancel(id string) {
-	same := func(r *running) bool { return r.ID == id }
+	same := func(r *activeJob) bool { return r.ID == id }
 	b.waiting = slices.DeleteFunc(b.waiting, same)
 	b.active = slices.DeleteFunc(b.active, same)
-	b.finish = slices.DeleteFunc(b.finish, same)
+	b.finishing = slices.DeleteFunc(b.finishing, same)
 	b.writers = slices.DeleteFunc(b.writers, same)
 }
 
@@ -146,11 +146,11 @@
 // EndPass ends the pass under way, begins the next one and tells what happened.
 func (b *Batcher) EndPass(now float64) []Notice {
 	var notices []Notice
-	for _, r := range b.finish {
-		r.read = true
+	for _, r := range b.finishing {
+		r.partPrefilled = true
 		notices = append(notices, Notice{ID: r.ID, Kind: PartRead})
 		if r.Helping {
-			b.drop(r)
+			b.remove(r)
 			continue
 		}
 		notices = append(notices, r.firstToken()...)
@@ -161,26 +161,26 @@
 		notices = append(notices, Notice{ID: r.ID, Kind: Wrote, Step: r.events})
 		if r.written >= r.AnswerTokens {
 			notices = append(notices, Notice{ID: r.ID, Kind: Done, Step: r.events})
-			b.drop(r)
+			b.remove(r)
 		}
 	}
 	b.passEnd = -1
-	b.begin(now)
+	b.beginPass(now)
 	return notices
 }
 
-func (b *Batcher) drop(r *running) {
-	b.active = slices.DeleteFunc(b.active, func(other *running) bool { return other == r })
+func (b *Batcher) remove(r *activeJob) {
+	b.active = slices.DeleteFunc(b.active, func(other *activeJob) bool { return other == r })
 }
 
-// begin admits what fits and starts a pass if there is work.
-func (b *Batcher) begin(now float64) {
+// beginPass admits what fits and starts a pass if there is work.
+func (b *Batcher) beginPass(now float64) {
 	b.preempt()
 	b.admit()
-	b.finish, b.writers = nil, nil
+	b.finishing, b.writers = nil, nil
 	var batch Batch
 	for _, r := range b.active {
-		if !r.Helping && r.read && r.released {
+		if !r.Helping && r.partPrefilled && r.allPrefilled {
 			b.writers = append(b.writers, r)
 			batch.Answers++
 			batch.ContextTokens += r.context()
@@ -190,49 +190,49 @@
 	if batch.Answers > 0 {
 		steps = b.engine.Stride
 	}
-	spent := b.readFor(steps)
+	spent := b.prefillFor(steps)
 	if batch.Answers == 0 && spent == 0 {
 		return
 	}
 	stepMs := b.engine.PassMs(batch) / float64(b.engine.Stride)
-	b.passEnd = now + (stepMs*float64(steps)+spent)*b.slow
+	b.passEnd = now + (stepMs*float64(steps)+spent)*b.slowdown
 }
 
-// readFor reads what the chunks of some steps take, and returns the time.
-func (b *Batcher) readFor(steps int) float64 {
-	room := float64(b.engine.Chunk) * float64(steps)
+// prefillFor reads what the chunks of some steps take, and returns the time.
+func (b *Batcher) prefillFor(steps int) float64 {
+	budget := float64(b.engine.Chunk) * float64(steps)
 	spent := 0.0
-	for _, r := range b.readOrder() {
-		if room <= 0 {
+	for _, r := range b.prefillOrder() {
+		if budget <= 0 {
 			break
 		}
-		tokens := math.Min(room, r.left)
-		ms := r.leftMs
-		if tokens < r.left {
-			ms *= tokens / r.left
+		tokens := math.Min(budget, r.prefillLeft)
+		ms := r.prefillLeftMs
+		if tokens < r.prefillLeft {
+			ms *= tokens / r.prefillLeft
 		}
-		r.left -= tokens
-		r.leftMs -= ms
-		room -= tokens
+		r.prefillLeft -= tokens
+		r.prefillLeftMs -= ms
+		budget -= tokens
 		spent += ms
-		if r.left <= 0 {
-			b.finish = append(b.finish, r)
+		if r.prefillLeft <= 0 {
+			b.finishing = append(b.finishing, r)
 		}
 	}
 	return spent
 }
 
-// readOrder: parts of divided prompts go first, the newest of them before the
+// prefillOrder: parts of divided prompts go first, the newest of them before the
 // others; undivided prompts follow by their admission.
-func (b *Batcher) readOrder() []*running {
-	var order []*running
+func (b *Batcher) prefillOrder() []*activeJob {
+	var order []*activeJob
 	for _, r := range b.active {
-		if !r.read && r.left > 0 {
+		if !r.partPrefilled && r.prefillLeft > 0 {
 			order = append(order, r)
 		}
 	}
-	slices.SortStableFunc(order, func(x, y *running) int {
-		divided := func(r *running) int {
+	slices.SortStableFunc(order, func(x, y *activeJob) int {
+		divided := func(r *activeJob) int {
 			if r.Parts > 1 {
 				return 0
 			}
@@ -242,33 +242,33 @@
 			return c
 		}
 		if x.Parts > 1 {
-			return cmp.Compare(y.admitted, x.admitted)
+			return cmp.Compare(y.admissionSeq, x.admissionSeq)
 		}
-		return cmp.Compare(x.admitted, y.admitted)
+		return cmp.Compare(x.admissionSeq, y.admissionSeq)
 	})
 	return order
 }
 
 // context is how many tokens of context each step of the answer looks at here.
-func (r *running) context() int64 {
-	if r.Spread {
-		return r.PromptTokens/int64(r.Parts) + r.written
+func (j *activeJob) context() int64 {
+	if j.Spread {
+		return j.PromptTokens/int64(j.Parts) + j.written
 	}
-	return r.PromptTokens + r.written
+	return j.PromptTokens + j.written
 }
 
 // memory is what the job takes, in tokens.
-func (r *running) memory() int64 {
+func (j *activeJob) memory() int64 {
 	switch {
-	case r.Spread:
-		return r.Reserved
-	case r.Helping:
+	case j.Spread:
+		return j.Reserved
+	case j.Helping:
 		return 0
 	}
-	return r.PromptTokens + r.written
+	return j.PromptTokens + j.written
 }
 
-func (b *Batcher) used() int64 {
+func (b *Batcher) usedMemory() int64 {
 	sum := int64(0)
 	for _, r := range b.active {
 		sum += r.memory()
@@ -279,22 +279,22 @@
 // admit takes waiting jobs in, the more urgent first, as long as slots and memory
 // are free.
 func (b *Batcher) admit() {
-	slices.SortStableFunc(b.waiting, func(x, y *running) int {
-		return cmp.Or(cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.arrived, y.arrived))
+	slices.SortStableFunc(b.waiting, func(x, y *activeJob) int {
+		return cmp.Or(cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.arrivalSeq, y.arrivalSeq))
 	})
 	for len(b.waiting) > 0 {
 		r := b.waiting[0]
-		if b.slots() >= b.engine.Slots || b.used()+r.memory() > b.engine.MemoryTokens {
+		if b.usedSlots() >= b.engine.Slots || b.usedMemory()+r.memory() > b.engine.MemoryTokens {
 			return
 		}
 		b.waiting = b.waiting[1:]
-		b.next++
-		r.admitted = b.next
+		b.lastSeq++
+		r.admissionSeq = b.lastSeq
 		b.active = append(b.active, r)
 	}
 }
 
-func (b *Batcher) slots() int {
+func (b *Batcher) usedSlots() int {
 	count := 0
 	for _, r := range b.active {
 		if !r.Helping {
@@ -307,10 +307,10 @@
 // preempt puts the newest jobs back while the memory has run out; their prompts
 // are read again.
 func (b *Batcher) preempt() {
-	for b.used() > b.engine.MemoryTokens {
+	for b.usedMemory() > b.engine.MemoryTokens {
 		newest := -1
 		for i, r := range b.active {
-			if !r.Helping && (newest < 0 || r.admitted > b.active[newest].admitted) {
+			if !r.Helping && (newest < 0 || r.admissionSeq > b.active[newest].admissionSeq) {
 				newest = i
 			}
 		}
@@ -321,10 +321,10 @@
 		b.active = slices.Delete(b.active, newest, newest+1)
 		b.Reread += r.PromptTokens
 		r.Parts = 1
-		r.rewind(&b.engine)
+		r.resetPrefill(&b.engine)
 		b.waiting = append(b.waiting, r)
 	}
 }
 
 // Fits says whether a reservation of some tokens is granted now.
-func (b *Batcher) Fits(tokens int64) bool { return b.used()+tokens <= b.engine.MemoryTokens }
+func (b *Batcher) Fits(tokens int64) bool { return b.usedMemory()+tokens <= b.engine.MemoryTokens }
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestAPromptAloneIsReadInChunksAndWrittenInStrides(t *testing.T) {
+func TestAPromptAloneIsPrefilledInChunksAndWrittenInStrides(t *testing.T) {
 	engine := testEngine()
 	b := NewBatcher(engine)
 	b.Submit(0, Job{ID: "a", PromptTokens: 4000, Parts: 1, AnswerTokens: 101})
@@ -38,7 +38,7 @@
 
 // A short answer pauses for as long as the reads in its pass take: the whole pass
 // is one pause for it.
-func TestAReadStretchesThePassOfAnswers(t *testing.T) {
+func TestPrefillLengthensThePassOfAnswers(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "short", PromptTokens: 100, Parts: 1, AnswerTokens: 500})
 	first, _ := b.PassEnd()
@@ -50,7 +50,7 @@
 	require.InDelta(t, 50+200+20, third-second, 0.01)
 }
 
-func TestTheNewestPartIsReadFirst(t *testing.T) {
+func TestTheNewestPartIsPrefilledFirst(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "old", PromptTokens: 80_000, Parts: 4, Helping: true})
 	b.Submit(1, Job{ID: "new", PromptTokens: 80_000, Parts: 4, Helping: true})
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -95,7 +95,7 @@
 
 // Guards against gaps of seconds right after the first event of a long answer. A longer prompt that is sent to its
 // server some ms before that event finds no answer in the load table there.
-func TestALongReadKeepsAwayFromAnswersThatAreAboutToBegin(t *testing.T) {
+func TestALongPrefillKeepsAwayFromAnswersThatAreAboutToBegin(t *testing.T) {
 	table, servers := newTable(), fleet(17)
 	aboutToAnswer(table, "long", "s00", "s16", longQuery(servers, 200_000))
 	choice := choose(t, table, longQuery(servers[:16], 400_000))
@@ -103,7 +103,7 @@
 }
 
 // A part that is prefilled before another prompt delays that prompt's first event but lengthens no gap.
-func TestAReadThatGoesFirstMakesNoPauseLonger(t *testing.T) {
+func TestAPrefillThatGoesFirstLengthensNoGap(t *testing.T) {
 	table := newTable()
 	q := longQuery(fleet(1), 200_000)
 	table.Begin(start, Dispatch{ID: "waits", Server: "s00", PromptTokens: q.PromptTokens, Gap: q.Gap, Target: q.Target, Lifetime: q.Remaining}, engine, 0)
@@ -132,7 +132,7 @@
 
 // A server that writes short answers attracts others, but it also prefills a long prompt: a short prompt
 // would wait there for three seconds.
-func TestAShortPromptAvoidsAServerThatReads(t *testing.T) {
+func TestAShortPromptAvoidsAServerThatPrefills(t *testing.T) {
 	table, servers := newTable(), fleet(2)
 	for i := range 4 {
 		addAnswer(table, fmt.Sprintf("short%d", i), "s00", shortQuery(servers))
@@ -366,7 +366,7 @@
 // Guards against long gaps of long answers beside single short ones, and against a lack of servers without answers
 // for long prompts: a short prompt must not go to an idle server because another one is being prefilled where short
 // answers are written. It can be in time at both.
-func TestAShortPromptLeavesAnIdleServerToLongReads(t *testing.T) {
+func TestAShortPromptLeavesAnIdleServerToLongPrefills(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	for i := range 3 {
 		addAnswer(table, fmt.Sprint("written", i), "s01", shortQuery(servers))
