--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -101,7 +101,7 @@
 }
 
 func (j *activeJob) resetPrefill(e *Engine) {
-	j.prefillLeftMs = e.ReadMs(j.PromptTokens, j.Parts)
+	j.prefillLeftMs = e.PrefillMs(j.PromptTokens, j.Parts)
 	j.prefillLeft = float64(j.PromptTokens) / float64(j.Parts)
 	j.partPrefilled, j.allPrefilled = false, j.Parts == 1
 }
--- a/core/enginemodel/engine.go
+++ b/core/enginemodel/engine.go
@@ -67,10 +67,10 @@
 	thousand = 1e3
 )
 
-// ReadMs is the time that one of several even parts of a prompt takes to be
+// PrefillMs is the time that one of several even parts of a prompt takes to be
 // read, as if nothing else ran: its tokens, its share of the pairs, and the step
 // of each chunk.
-func (e *Engine) ReadMs(promptTokens int64, parts int) float64 {
+func (e *Engine) PrefillMs(promptTokens int64, parts int) float64 {
 	tokens := float64(promptTokens) / float64(parts)
 	pairs := float64(promptTokens) * float64(promptTokens) / 2 / float64(parts) / million
 	return tokens/e.ReadPerMs + pairs*e.PairsMs
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -156,7 +156,7 @@
 // of the time left, or would exceed the target while other servers are idle.
 func (t *LoadTable) maxParts(candidates []*candidate, q Query) int {
 	usual := t.options.UsualParts
-	reading := enginemodel.Millis(q.Engine.ReadMs(q.PromptTokens, usual))
+	reading := enginemodel.Millis(q.Engine.PrefillMs(q.PromptTokens, usual))
 	most := usual
 	switch {
 	case reading > q.Remaining/2:
--- a/core/placement/loadtable.go
+++ b/core/placement/loadtable.go
@@ -115,7 +115,7 @@
 		s.updatedAt = now
 		w := &workItem{dispatch: &a.dispatch, index: index, memory: a.dispatch.memoryAt(index), began: now}
 		if engine != nil && d.PromptTokens > 0 {
-			w.prefillMs = engine.ReadMs(d.PromptTokens, d.parts()) * s.health.slowdown()
+			w.prefillMs = engine.PrefillMs(d.PromptTokens, d.parts()) * s.health.slowdown()
 		}
 		s.workItems = append(s.workItems, w)
 		if engine != nil && index == 0 {
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -67,7 +67,7 @@
 		open = t.options.OpenLoss * t.value(q.PromptTokens)
 	}
 	gain := t.options.PackGain * t.value(q.PromptTokens)
-	used := t.firstEventMs(c, q, q.Engine.ReadMs(q.PromptTokens, 1)) / (q.Target.Seconds() * msPerSecond)
+	used := t.firstEventMs(c, q, q.Engine.PrefillMs(q.PromptTokens, 1)) / (q.Target.Seconds() * msPerSecond)
 	gain *= math.Max(1-used, 0)
 	if share >= t.packing.share {
 		return open + gain*float64(c.requests)
@@ -153,7 +153,7 @@
 	for _, c := range candidates {
 		busy += math.Min(c.backlogMs/busyBacklogMs, 1)
 	}
-	work := q.Engine.ReadMs(q.PromptTokens, 1) / msPerSecond
+	work := q.Engine.PrefillMs(q.PromptTokens, 1) / msPerSecond
 	return t.options.WorkPrice * work * busy / float64(len(candidates))
 }
 
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -11,7 +11,7 @@
 
 // chooseParts selects the best servers for a prompt that is divided into a number of parts.
 func (t *LoadTable) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
-	readMs := q.Engine.ReadMs(q.PromptTokens, parts)
+	readMs := q.Engine.PrefillMs(q.PromptTokens, parts)
 	ranked := t.rank(now, candidates, q, readMs, parts > 1)
 	first := t.pickFirst(ranked, q, parts)
 	if first < 0 {
--- a/proof/forwarding/generate.go
+++ b/proof/forwarding/generate.go
@@ -51,7 +51,7 @@
 	long := middle * g.spread(2.5, 6)
 	pass := e.PassMs(enginemodel.Batch{Answers: e.Slots / 2, ContextTokens: int64(float64(e.Slots) / 2 * length)})
 	class := func(name string, prompt, events, slack, gap, parts float64) Class {
-		target := slack * (e.ReadMs(int64(prompt), 1)/parts + 2*pass)
+		target := slack * (e.PrefillMs(int64(prompt), 1)/parts + 2*pass)
 		return Class{Name: name, Prompt: prompt, PromptSpread: g.between(0.4, 0.9), PromptMax: prompt * g.between(3, 5), Events: events,
 			EventSpread: g.between(0.4, 0.7), EventMax: 2.5 * events, Target: enginemodel.Millis(target),
 			Gap: enginemodel.Millis(gap * pass), Deadline: max(10*time.Second, enginemodel.Millis(5*target))}
@@ -78,7 +78,7 @@
 	for i := range site.Classes {
 		c := &site.Classes[i]
 		tokens := c.Prompt * math.Exp(c.PromptSpread*c.PromptSpread/2)
-		work := site.Engine.ReadMs(int64(tokens), 1) / 1000
+		work := site.Engine.PrefillMs(int64(tokens), 1) / 1000
 		c.PerSecond = float64(site.Engines) * busy * shares[i] / total / work
 		// Slots bound it as well.
 		pass := site.Engine.PassMs(enginemodel.Batch{Answers: site.Engine.Slots, ContextTokens: int64(float64(site.Engine.Slots) * site.Classes[0].Prompt)})
--- a/proof/forwarding/limit.go
+++ b/proof/forwarding/limit.go
@@ -44,7 +44,7 @@
 		full, late := r.class.worth(float64(r.prompt))
 		owed += full
 		worth += late
-		a := asked{at: r.arrived, target: ms(r.class.Target), workMs: d.site.Engine.ReadMs(r.prompt, 1), gain: full - late}
+		a := asked{at: r.arrived, target: ms(r.class.Target), workMs: d.site.Engine.PrefillMs(r.prompt, 1), gain: full - late}
 		if !d.reachable(r, a) {
 			continue
 		}
--- a/proof/forwarding/trouble_test.go
+++ b/proof/forwarding/trouble_test.go
@@ -55,7 +55,7 @@
 		require.NoError(t, site.Engine.Check())
 		for _, c := range site.Classes {
 			parts := 4
-			require.Less(t, site.Engine.ReadMs(int64(c.Prompt), parts), ms(c.Target), "%d %s", seed, c.Name)
+			require.Less(t, site.Engine.PrefillMs(int64(c.Prompt), parts), ms(c.Target), "%d %s", seed, c.Name)
 		}
 	}
 }
