--- a/core/enginemodel/engine.go
+++ b/core/enginemodel/engine.go
@@ -103,8 +103,8 @@
 	return passes * e.PassMs(batch)
 }
 
-// ReadPerPass is how many prompt tokens a pass with answers reads at the most.
-func (e *Engine) ReadPerPass() int64 { return e.Chunk * int64(e.Stride) }
+// PrefillTokensPerPass is how many prompt tokens a pass with answers reads at the most.
+func (e *Engine) PrefillTokensPerPass() int64 { return e.Chunk * int64(e.Stride) }
 
 // Millis turns milliseconds into a duration, and what is longer than any into the longest.
 // Otherwise a prompt that no engine could read would seem to be read before it comes.
