--- a/core/enginemodel/engine.go
+++ b/core/enginemodel/engine.go
@@ -106,9 +106,9 @@
 // PrefillTokensPerPass is how many prompt tokens a pass with answers reads at the most.
 func (e *Engine) PrefillTokensPerPass() int64 { return e.Chunk * int64(e.Stride) }
 
-// Millis turns milliseconds into a duration, and what is longer than any into the longest.
+// MillisToDuration turns milliseconds into a duration, and what is longer than any into the longest.
 // Otherwise a prompt that no engine could read would seem to be read before it comes.
-func Millis(ms float64) time.Duration {
+func MillisToDuration(ms float64) time.Duration {
 	if ms >= float64(math.MaxInt64/time.Millisecond) {
 		return math.MaxInt64
 	}
--- a/core/enginemodel/engine_test.go
+++ b/core/enginemodel/engine_test.go
@@ -11,6 +11,6 @@
 // A prompt of two thousand million tokens would be read for longer than durations last. It must
 // not seem to be read at once.
 func TestMillisToDurationSaturates(t *testing.T) {
-	require.Equal(t, time.Duration(math.MaxInt64), Millis(1e18))
-	require.Equal(t, 1500*time.Microsecond, Millis(1.5))
+	require.Equal(t, time.Duration(math.MaxInt64), MillisToDuration(1e18))
+	require.Equal(t, 1500*time.Microsecond, MillisToDuration(1.5))
 }
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -156,7 +156,7 @@
 // of the time left, or would exceed the target while other servers are idle.
 func (t *LoadTable) maxParts(candidates []*candidate, q Query) int {
 	usual := t.options.UsualParts
-	reading := enginemodel.Millis(q.Engine.PrefillMs(q.PromptTokens, usual))
+	reading := enginemodel.MillisToDuration(q.Engine.PrefillMs(q.PromptTokens, usual))
 	most := usual
 	switch {
 	case reading > q.Remaining/2:
@@ -248,7 +248,7 @@
 	batch := c.batch
 	batch.Answers++
 	batch.ContextTokens += q.PromptTokens / int64(parts)
-	return enginemodel.Millis(q.Engine.AnswerMs(q.AnswerTokens, batch) * c.state.health.slowdown())
+	return enginemodel.MillisToDuration(q.Engine.AnswerMs(q.AnswerTokens, batch) * c.state.health.slowdown())
 }
 
 func (c *candidate) load(now time.Time) ServerLoad {
--- a/core/placement/loadtable.go
+++ b/core/placement/loadtable.go
@@ -239,7 +239,7 @@
 		w.prefillMs -= done
 		left -= done
 		if w.prefillMs == 0 {
-			w.prefillDone = now.Add(-enginemodel.Millis(left / share))
+			w.prefillDone = now.Add(-enginemodel.MillisToDuration(left / share))
 		}
 	}
 }
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -23,8 +23,8 @@
 		if w.index != 0 || gap <= 0 || c.prefillsBefore(w, split) {
 			continue
 		}
-		before := enginemodel.Millis(c.passMs+c.backlogMs-w.prefillMs) + t.options.GapMargin
-		after := before + enginemodel.Millis(readMs)
+		before := enginemodel.MillisToDuration(c.passMs+c.backlogMs-w.prefillMs) + t.options.GapMargin
+		after := before + enginemodel.MillisToDuration(readMs)
 		sum += t.value(w.dispatch.PromptTokens) * t.options.LateLoss * (lateProbability(after, gap) - lateProbability(before, gap))
 	}
 	return sum
@@ -99,8 +99,8 @@
 		if target <= 0 {
 			continue
 		}
-		end := now.Sub(w.began) + enginemodel.Millis(ahead)
-		share := lateProbability(end+enginemodel.Millis(readMs), target) - lateProbability(end, target)
+		end := now.Sub(w.began) + enginemodel.MillisToDuration(ahead)
+		share := lateProbability(end+enginemodel.MillisToDuration(readMs), target) - lateProbability(end, target)
 		if loss := t.value(w.dispatch.PromptTokens) * t.options.LateLoss * share; loss > 0 {
 			found = append(found, delayLoss{w.dispatch, loss})
 		}
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -35,7 +35,7 @@
 	for _, c := range chosen[1:] {
 		choice.Helpers = append(choice.Helpers, c.Server)
 	}
-	choice.Predicted = enginemodel.Millis(slowest) + t.options.NetworkTime
+	choice.Predicted = enginemodel.MillisToDuration(slowest) + t.options.NetworkTime
 	choice.AnswerTime = chosen[0].answering(q, parts)
 	if reserved != nil && q.ReservationTimeout > 0 && choice.Predicted > q.ReservationTimeout {
 		return Choice{}, false
--- a/proof/forwarding/day.go
+++ b/proof/forwarding/day.go
@@ -161,14 +161,14 @@
 	heap.Push(&d.queue, event{ms, d.serial, do})
 }
 
-func (d *day) clock() time.Time { return time.Unix(0, 0).Add(enginemodel.Millis(d.now)) }
+func (d *day) clock() time.Time { return time.Unix(0, 0).Add(enginemodel.MillisToDuration(d.now)) }
 
 // maxRateStep bounds how far ahead an arrival is drawn, so that a change of the
 // mix takes hold, in milliseconds.
 const maxRateStep = 500
 
 func (d *day) scheduleArrival(class int, from float64) {
-	rate := d.site.Classes[class].PerSecond * d.site.loads(enginemodel.Millis(from))[class] / 1000
+	rate := d.site.Classes[class].PerSecond * d.site.loads(enginemodel.MillisToDuration(from))[class] / 1000
 	gap := d.random.ExpFloat64() / rate
 	end := float64(d.site.Length.Milliseconds())
 	if gap > maxRateStep {
--- a/proof/forwarding/generate.go
+++ b/proof/forwarding/generate.go
@@ -53,8 +53,8 @@
 	class := func(name string, prompt, events, slack, gap, parts float64) Class {
 		target := slack * (e.PrefillMs(int64(prompt), 1)/parts + 2*pass)
 		return Class{Name: name, Prompt: prompt, PromptSpread: g.between(0.4, 0.9), PromptMax: prompt * g.between(3, 5), Events: events,
-			EventSpread: g.between(0.4, 0.7), EventMax: 2.5 * events, Target: enginemodel.Millis(target),
-			Gap: enginemodel.Millis(gap * pass), Deadline: max(10*time.Second, enginemodel.Millis(5*target))}
+			EventSpread: g.between(0.4, 0.7), EventMax: 2.5 * events, Target: enginemodel.MillisToDuration(target),
+			Gap: enginemodel.MillisToDuration(gap * pass), Deadline: max(10*time.Second, enginemodel.MillisToDuration(5*target))}
 	}
 	worth := g.spread(1, 3)
 	classes := []Class{
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -11,7 +11,7 @@
 
 // avoided returns the servers of the entries that one doesn't hear.
 func (d *day) avoided(entry int) map[string]bool {
-	now := enginemodel.Millis(d.now)
+	now := enginemodel.MillisToDuration(d.now)
 	var silent []string
 	for other := range d.entries {
 		if other != entry && !d.away[other] && (d.site.cutOff(entry, now) || d.site.cutOff(other, now)) {
@@ -34,7 +34,7 @@
 		return
 	}
 	book := d.entries[r.entry]
-	waited := enginemodel.Millis(d.now - r.arrived)
+	waited := enginemodel.MillisToDuration(d.now - r.arrived)
 	query := placement.Query{Servers: d.listedFor(r.entry), Avoid: d.avoided(r.entry), Engine: &d.site.Engine, Exclude: r.excluded, PromptTokens: r.prompt, AnswerTokens: r.hint,
 		Target: max(r.class.Target-waited, time.Millisecond), Gap: r.class.Gap, Remaining: r.class.Deadline - waited, TieBreak: d.ties.Float64()}
 	choice, refusal := book.Choose(d.clock(), query)
@@ -125,7 +125,7 @@
 
 func (d *day) tell(r *request, choice placement.Choice) {
 	dispatch := placement.Dispatch{ID: r.id, Server: choice.Server.ID, Reserved: choice.Reserved, PromptTokens: r.prompt, AnswerTokens: r.hint,
-		Gap: r.class.Gap, Target: r.class.Target - enginemodel.Millis(d.now-r.arrived), Lifetime: r.class.Deadline}
+		Gap: r.class.Gap, Target: r.class.Target - enginemodel.MillisToDuration(d.now-r.arrived), Lifetime: r.class.Deadline}
 	for _, helper := range choice.Helpers {
 		dispatch.Helpers = append(dispatch.Helpers, helper.ID)
 	}
@@ -142,7 +142,7 @@
 // has reached them. News to or from an entry that is cut off are lost.
 func (d *day) everywhere(entry int, do func(b *placement.LoadTable, own bool)) {
 	do(d.entries[entry], true)
-	sent := enginemodel.Millis(d.now)
+	sent := enginemodel.MillisToDuration(d.now)
 	if d.site.cutOff(entry, sent) {
 		return
 	}
