--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -78,8 +78,8 @@
 // NewBatcher returns an idle engine.
 func NewBatcher(engine Engine) *Batcher { return &Batcher{engine: engine, slowdown: 1, passEnd: -1} }
 
-// SetSlow makes the engine slower by a factor.
-func (b *Batcher) SetSlow(factor float64) { b.slowdown = factor }
+// SetSlowdown makes the engine slower by a factor.
+func (b *Batcher) SetSlowdown(factor float64) { b.slowdown = factor }
 
 // Submit adds a job; a pass begins at once if the engine is idle.
 func (b *Batcher) Submit(now float64, job Job) {
--- a/proof/forwarding/trouble.go
+++ b/proof/forwarding/trouble.go
@@ -126,7 +126,7 @@
 func (d *day) beginSpell(spell Spell) {
 	for _, listed := range d.listed[:spell.Engines] {
 		if spell.Slow > 0 {
-			d.engines[listed.ID].SetSlow(spell.Slow)
+			d.engines[listed.ID].SetSlowdown(spell.Slow)
 			continue
 		}
 		d.down[listed.ID] = true
@@ -142,7 +142,7 @@
 
 func (d *day) endSpell(spell Spell) {
 	for _, listed := range d.listed[:spell.Engines] {
-		d.engines[listed.ID].SetSlow(1)
+		d.engines[listed.ID].SetSlowdown(1)
 		d.down[listed.ID] = false
 	}
 }
