--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -71,8 +71,8 @@
 	passEnd   float64
 	finishing []*activeJob // reads that end with the pass under way
 	writers   []*activeJob // answers that the pass under way writes
-	// Reread counts the prompt tokens read again after a preemption.
-	Reread int64
+	// ReprefilledTokens counts the prompt tokens read again after a preemption.
+	ReprefilledTokens int64
 }
 
 // NewBatcher returns an idle engine.
@@ -319,7 +319,7 @@
 		}
 		r := b.active[newest]
 		b.active = slices.Delete(b.active, newest, newest+1)
-		b.Reread += r.PromptTokens
+		b.ReprefilledTokens += r.PromptTokens
 		r.Parts = 1
 		r.resetPrefill(&b.engine)
 		b.waiting = append(b.waiting, r)
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -100,5 +100,5 @@
 	b.Submit(0, Job{ID: "a", PromptTokens: 5000, Parts: 1, AnswerTokens: 400})
 	b.Submit(0, Job{ID: "b", PromptTokens: 5000, Parts: 1, AnswerTokens: 400})
 	run(b, 100_000)
-	require.Equal(t, int64(5000), b.Reread)
+	require.Equal(t, int64(5000), b.ReprefilledTokens)
 }
