--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -106,9 +106,9 @@
 	j.partPrefilled, j.allPrefilled = false, j.Parts == 1
 }
 
-// Release tells that all parts of a divided prompt are read. The first token
+// CompletePrefill tells that all parts of a divided prompt are read. The first token
 // follows at once.
-func (b *Batcher) Release(now float64, id string) []Notice {
+func (b *Batcher) CompletePrefill(now float64, id string) []Notice {
 	var notices []Notice
 	for _, r := range b.active {
 		if r.ID == id && !r.Helping {
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -66,7 +66,7 @@
 	times := run(b, 1000)
 	require.Contains(t, times, Notice{"a", PartRead, 0})
 	require.NotContains(t, times, Notice{"a", Wrote, 1})
-	require.Equal(t, []Notice{{"a", Wrote, 1}}, b.Release(500, "a"))
+	require.Equal(t, []Notice{{"a", Wrote, 1}}, b.CompletePrefill(500, "a"))
 	require.Contains(t, run(b, 1000), Notice{"a", Done, 2})
 }
 
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -217,7 +217,7 @@
 		r.partsDue--
 		if r.partsDue == 0 {
 			var released []enginemodel.Notice
-			d.drive(r.choice.Server.ID, func(b *enginemodel.Batcher) { released = b.Release(d.now, r.id) })
+			d.drive(r.choice.Server.ID, func(b *enginemodel.Batcher) { released = b.CompletePrefill(d.now, r.id) })
 			for _, notice := range released {
 				d.notice(notice)
 			}
