--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -13,8 +13,8 @@
 	// read, 1 for an undivided one.
 	PromptTokens int64
 	Parts        int
-	// Helping says that the engine only reads a part for another one.
-	Helping      bool
+	// PrefillOnly says that the engine only reads a part for another one.
+	PrefillOnly  bool
 	AnswerTokens int64
 	// Urgency orders admission, 0 first.
 	Urgency int
@@ -89,7 +89,7 @@
 	}
 	r := &activeJob{Job: job, arrivalSeq: b.lastSeq}
 	r.resetPrefill(&b.engine)
-	if job.Helping {
+	if job.PrefillOnly {
 		r.admissionSeq = b.lastSeq
 		b.active = append(b.active, r)
 	} else {
@@ -111,7 +111,7 @@
 func (b *Batcher) CompletePrefill(now float64, id string) []Notice {
 	var notices []Notice
 	for _, r := range b.active {
-		if r.ID == id && !r.Helping {
+		if r.ID == id && !r.PrefillOnly {
 			r.allPrefilled = true
 			notices = append(notices, r.firstToken()...)
 		}
@@ -149,7 +149,7 @@
 	for _, r := range b.finishing {
 		r.partPrefilled = true
 		notices = append(notices, Notice{ID: r.ID, Kind: PartRead})
-		if r.Helping {
+		if r.PrefillOnly {
 			b.remove(r)
 			continue
 		}
@@ -180,7 +180,7 @@
 	b.finishing, b.writers = nil, nil
 	var batch Batch
 	for _, r := range b.active {
-		if !r.Helping && r.partPrefilled && r.allPrefilled {
+		if !r.PrefillOnly && r.partPrefilled && r.allPrefilled {
 			b.writers = append(b.writers, r)
 			batch.Answers++
 			batch.ContextTokens += r.context()
@@ -262,7 +262,7 @@
 	switch {
 	case j.Spread:
 		return j.Reserved
-	case j.Helping:
+	case j.PrefillOnly:
 		return 0
 	}
 	return j.PromptTokens + j.written
@@ -297,7 +297,7 @@
 func (b *Batcher) usedSlots() int {
 	count := 0
 	for _, r := range b.active {
-		if !r.Helping {
+		if !r.PrefillOnly {
 			count++
 		}
 	}
@@ -310,7 +310,7 @@
 	for b.usedMemory() > b.engine.MemoryTokens {
 		newest := -1
 		for i, r := range b.active {
-			if !r.Helping && (newest < 0 || r.admissionSeq > b.active[newest].admissionSeq) {
+			if !r.PrefillOnly && (newest < 0 || r.admissionSeq > b.active[newest].admissionSeq) {
 				newest = i
 			}
 		}
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -52,8 +52,8 @@
 
 func TestTheNewestPartIsPrefilledFirst(t *testing.T) {
 	b := NewBatcher(testEngine())
-	b.Submit(0, Job{ID: "old", PromptTokens: 80_000, Parts: 4, Helping: true})
-	b.Submit(1, Job{ID: "new", PromptTokens: 80_000, Parts: 4, Helping: true})
+	b.Submit(0, Job{ID: "old", PromptTokens: 80_000, Parts: 4, PrefillOnly: true})
+	b.Submit(1, Job{ID: "new", PromptTokens: 80_000, Parts: 4, PrefillOnly: true})
 	b.Submit(2, Job{ID: "whole", PromptTokens: 2000, Parts: 1, AnswerTokens: 10})
 	times := run(b, 10_000)
 	require.Less(t, times[Notice{"new", PartRead, 0}], times[Notice{"old", PartRead, 0}])
@@ -73,7 +73,7 @@
 func TestMemoryBoundsAdmissionAndReservationsCount(t *testing.T) {
 	b := NewBatcher(testEngine())
 	require.True(t, b.Fits(100_000))
-	b.Submit(0, Job{ID: "part", PromptTokens: 120_000, Parts: 2, Helping: true, Spread: true, Reserved: 70_000})
+	b.Submit(0, Job{ID: "part", PromptTokens: 120_000, Parts: 2, PrefillOnly: true, Spread: true, Reserved: 70_000})
 	require.False(t, b.Fits(40_000))
 	b.Submit(0, Job{ID: "b", PromptTokens: 40_000, Parts: 1, AnswerTokens: 10})
 	require.NotContains(t, run(b, 300), Notice{"b", PartRead, 0}, "it waits for memory")
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -166,7 +166,7 @@
 		return
 	}
 	for i := range r.partsDue {
-		job := enginemodel.Job{ID: r.id, PromptTokens: r.prompt, Parts: r.partsDue, Helping: i > 0, AnswerTokens: max(r.answer-int64(r.written*d.site.Engine.Stride), 1), Urgency: urgency(r.prompt)}
+		job := enginemodel.Job{ID: r.id, PromptTokens: r.prompt, Parts: r.partsDue, PrefillOnly: i > 0, AnswerTokens: max(r.answer-int64(r.written*d.site.Engine.Stride), 1), Urgency: urgency(r.prompt)}
 		if len(r.choice.Reserved) > 0 {
 			job.Spread, job.Reserved = true, r.choice.Reserved[i]
 		}
