--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -18,11 +18,11 @@
 	AnswerTokens int64
 	// Urgency orders admission, 0 first.
 	Urgency int
-	// Spread says that reservations at several engines hold the prompt; Reserved
+	// Distributed says that reservations at several engines hold the prompt; Reserved
 	// is what is held here, in tokens, which may be nothing. Otherwise the whole
 	// prompt's memory is taken where the answer is written.
-	Spread   bool
-	Reserved int64
+	Distributed bool
+	Reserved    int64
 }
 
 // Notice is something that became true at the end of a pass.
@@ -251,7 +251,7 @@
 
 // context is how many tokens of context each step of the answer looks at here.
 func (j *activeJob) context() int64 {
-	if j.Spread {
+	if j.Distributed {
 		return j.PromptTokens/int64(j.Parts) + j.written
 	}
 	return j.PromptTokens + j.written
@@ -260,7 +260,7 @@
 // memory is what the job takes, in tokens.
 func (j *activeJob) memory() int64 {
 	switch {
-	case j.Spread:
+	case j.Distributed:
 		return j.Reserved
 	case j.PrefillOnly:
 		return 0
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -73,7 +73,7 @@
 func TestMemoryBoundsAdmissionAndReservationsCount(t *testing.T) {
 	b := NewBatcher(testEngine())
 	require.True(t, b.Fits(100_000))
-	b.Submit(0, Job{ID: "part", PromptTokens: 120_000, Parts: 2, PrefillOnly: true, Spread: true, Reserved: 70_000})
+	b.Submit(0, Job{ID: "part", PromptTokens: 120_000, Parts: 2, PrefillOnly: true, Distributed: true, Reserved: 70_000})
 	require.False(t, b.Fits(40_000))
 	b.Submit(0, Job{ID: "b", PromptTokens: 40_000, Parts: 1, AnswerTokens: 10})
 	require.NotContains(t, run(b, 300), Notice{"b", PartRead, 0}, "it waits for memory")
@@ -86,7 +86,7 @@
 // others, and it is admitted though it is larger than the whole memory.
 func TestAPromptHeldElsewhereNeedsNoMemoryHere(t *testing.T) {
 	b := NewBatcher(testEngine())
-	b.Submit(0, Job{ID: "a", PromptTokens: 150_000, Parts: 2, AnswerTokens: 10, Spread: true})
+	b.Submit(0, Job{ID: "a", PromptTokens: 150_000, Parts: 2, AnswerTokens: 10, Distributed: true})
 	require.Contains(t, run(b, 10_000), Notice{"a", PartRead, 0})
 	require.True(t, b.Fits(100_000))
 }
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -168,7 +168,7 @@
 	for i := range r.partsDue {
 		job := enginemodel.Job{ID: r.id, PromptTokens: r.prompt, Parts: r.partsDue, PrefillOnly: i > 0, AnswerTokens: max(r.answer-int64(r.written*d.site.Engine.Stride), 1), Urgency: urgency(r.prompt)}
 		if len(r.choice.Reserved) > 0 {
-			job.Spread, job.Reserved = true, r.choice.Reserved[i]
+			job.Distributed, job.Reserved = true, r.choice.Reserved[i]
 		}
 		d.drive(r.choice.ServerAt(i).ID, func(b *enginemodel.Batcher) { b.Submit(d.now, job) })
 	}
