--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -38,8 +38,8 @@
 
 // Kinds of notices.
 const (
-	// PartRead: the job's part is read here.
-	PartRead NoticeKind = iota + 1
+	// PartPrefilled: the job's part is read here.
+	PartPrefilled NoticeKind = iota + 1
 	// Wrote: the answer has one more event.
 	Wrote
 	// Done: the answer is whole.
@@ -148,7 +148,7 @@
 	var notices []Notice
 	for _, r := range b.finishing {
 		r.partPrefilled = true
-		notices = append(notices, Notice{ID: r.ID, Kind: PartRead})
+		notices = append(notices, Notice{ID: r.ID, Kind: PartPrefilled})
 		if r.PrefillOnly {
 			b.remove(r)
 			continue
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -56,15 +56,15 @@
 	b.Submit(1, Job{ID: "new", PromptTokens: 80_000, Parts: 4, PrefillOnly: true})
 	b.Submit(2, Job{ID: "whole", PromptTokens: 2000, Parts: 1, AnswerTokens: 10})
 	times := run(b, 10_000)
-	require.Less(t, times[Notice{"new", PartRead, 0}], times[Notice{"old", PartRead, 0}])
-	require.Less(t, times[Notice{"old", PartRead, 0}], times[Notice{"whole", PartRead, 0}])
+	require.Less(t, times[Notice{"new", PartPrefilled, 0}], times[Notice{"old", PartPrefilled, 0}])
+	require.Less(t, times[Notice{"old", PartPrefilled, 0}], times[Notice{"whole", PartPrefilled, 0}])
 }
 
 func TestADividedPromptWaitsForAllItsParts(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "a", PromptTokens: 8000, Parts: 2, AnswerTokens: 10})
 	times := run(b, 1000)
-	require.Contains(t, times, Notice{"a", PartRead, 0})
+	require.Contains(t, times, Notice{"a", PartPrefilled, 0})
 	require.NotContains(t, times, Notice{"a", Wrote, 1})
 	require.Equal(t, []Notice{{"a", Wrote, 1}}, b.CompletePrefill(500, "a"))
 	require.Contains(t, run(b, 1000), Notice{"a", Done, 2})
@@ -76,10 +76,10 @@
 	b.Submit(0, Job{ID: "part", PromptTokens: 120_000, Parts: 2, PrefillOnly: true, Distributed: true, Reserved: 70_000})
 	require.False(t, b.Fits(40_000))
 	b.Submit(0, Job{ID: "b", PromptTokens: 40_000, Parts: 1, AnswerTokens: 10})
-	require.NotContains(t, run(b, 300), Notice{"b", PartRead, 0}, "it waits for memory")
+	require.NotContains(t, run(b, 300), Notice{"b", PartPrefilled, 0}, "it waits for memory")
 	b.Cancel("part")
 	b.Submit(300, Job{ID: "c", PromptTokens: 100, Parts: 1, AnswerTokens: 1})
-	require.Contains(t, run(b, 100_000), Notice{"b", PartRead, 0})
+	require.Contains(t, run(b, 100_000), Notice{"b", PartPrefilled, 0})
 }
 
 // The engine that writes holds nothing itself: all of the prompt is in reservations at
@@ -87,7 +87,7 @@
 func TestAPromptHeldElsewhereNeedsNoMemoryHere(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "a", PromptTokens: 150_000, Parts: 2, AnswerTokens: 10, Distributed: true})
-	require.Contains(t, run(b, 10_000), Notice{"a", PartRead, 0})
+	require.Contains(t, run(b, 10_000), Notice{"a", PartPrefilled, 0})
 	require.True(t, b.Fits(100_000))
 }
 
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -213,7 +213,7 @@
 		return
 	}
 	switch n.Kind {
-	case enginemodel.PartRead:
+	case enginemodel.PartPrefilled:
 		r.partsDue--
 		if r.partsDue == 0 {
 			var released []enginemodel.Notice
