--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -40,8 +40,8 @@
 const (
 	// PartPrefilled: the job's part is read here.
 	PartPrefilled NoticeKind = iota + 1
-	// Wrote: the answer has one more event.
-	Wrote
+	// EventWritten: the answer has one more event.
+	EventWritten
 	// Done: the answer is whole.
 	Done
 )
@@ -128,7 +128,7 @@
 		return nil
 	}
 	j.events, j.written = 1, 1
-	return []Notice{{ID: j.ID, Kind: Wrote, Step: 1}}
+	return []Notice{{ID: j.ID, Kind: EventWritten, Step: 1}}
 }
 
 // Cancel ends a job; the pass under way goes on.
@@ -158,7 +158,7 @@
 	for _, r := range b.writers {
 		r.events++
 		r.written += int64(b.engine.Stride)
-		notices = append(notices, Notice{ID: r.ID, Kind: Wrote, Step: r.events})
+		notices = append(notices, Notice{ID: r.ID, Kind: EventWritten, Step: r.events})
 		if r.written >= r.AnswerTokens {
 			notices = append(notices, Notice{ID: r.ID, Kind: Done, Step: r.events})
 			b.remove(r)
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -31,8 +31,8 @@
 	b.Submit(0, Job{ID: "a", PromptTokens: 4000, Parts: 1, AnswerTokens: 101})
 	times := run(b, 1000)
 	read := 4000.0/100 + 4000.0*4000/2/1e6*0.1 + 2*1
-	require.InDelta(t, read, times[Notice{"a", Wrote, 1}], 0.01, "the first token comes with the end of the read")
-	require.InDelta(t, read+50, times[Notice{"a", Wrote, 2}], 0.01)
+	require.InDelta(t, read, times[Notice{"a", EventWritten, 1}], 0.01, "the first token comes with the end of the read")
+	require.InDelta(t, read+50, times[Notice{"a", EventWritten, 2}], 0.01)
 	require.InDelta(t, read+100, times[Notice{"a", Done, 3}], 0.01)
 }
 
@@ -45,7 +45,7 @@
 	b.EndPass(first)
 	b.Submit(first+1, Job{ID: "long", PromptTokens: 20_000, Parts: 1, AnswerTokens: 10})
 	times := run(b, 1000)
-	second, third := times[Notice{"short", Wrote, 2}], times[Notice{"short", Wrote, 3}]
+	second, third := times[Notice{"short", EventWritten, 2}], times[Notice{"short", EventWritten, 3}]
 	require.InDelta(t, 50, second-first, 0.01)
 	require.InDelta(t, 50+200+20, third-second, 0.01)
 }
@@ -65,8 +65,8 @@
 	b.Submit(0, Job{ID: "a", PromptTokens: 8000, Parts: 2, AnswerTokens: 10})
 	times := run(b, 1000)
 	require.Contains(t, times, Notice{"a", PartPrefilled, 0})
-	require.NotContains(t, times, Notice{"a", Wrote, 1})
-	require.Equal(t, []Notice{{"a", Wrote, 1}}, b.CompletePrefill(500, "a"))
+	require.NotContains(t, times, Notice{"a", EventWritten, 1})
+	require.Equal(t, []Notice{{"a", EventWritten, 1}}, b.CompletePrefill(500, "a"))
 	require.Contains(t, run(b, 1000), Notice{"a", Done, 2})
 }
 
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -222,7 +222,7 @@
 				d.notice(notice)
 			}
 		}
-	case enginemodel.Wrote:
+	case enginemodel.EventWritten:
 		d.at(d.now+backMs, func() { d.wrote(r, n.ID) })
 	case enginemodel.Done:
 		d.at(d.now+backMs, func() { d.finish(r, n.ID) })
