--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -42,8 +42,8 @@
 	PartPrefilled NoticeKind = iota + 1
 	// EventWritten: the answer has one more event.
 	EventWritten
-	// Done: the answer is whole.
-	Done
+	// AnswerComplete: the answer is whole.
+	AnswerComplete
 )
 
 type activeJob struct {
@@ -160,7 +160,7 @@
 		r.written += int64(b.engine.Stride)
 		notices = append(notices, Notice{ID: r.ID, Kind: EventWritten, Step: r.events})
 		if r.written >= r.AnswerTokens {
-			notices = append(notices, Notice{ID: r.ID, Kind: Done, Step: r.events})
+			notices = append(notices, Notice{ID: r.ID, Kind: AnswerComplete, Step: r.events})
 			b.remove(r)
 		}
 	}
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -33,7 +33,7 @@
 	read := 4000.0/100 + 4000.0*4000/2/1e6*0.1 + 2*1
 	require.InDelta(t, read, times[Notice{"a", EventWritten, 1}], 0.01, "the first token comes with the end of the read")
 	require.InDelta(t, read+50, times[Notice{"a", EventWritten, 2}], 0.01)
-	require.InDelta(t, read+100, times[Notice{"a", Done, 3}], 0.01)
+	require.InDelta(t, read+100, times[Notice{"a", AnswerComplete, 3}], 0.01)
 }
 
 // A short answer pauses for as long as the reads in its pass take: the whole pass
@@ -67,7 +67,7 @@
 	require.Contains(t, times, Notice{"a", PartPrefilled, 0})
 	require.NotContains(t, times, Notice{"a", EventWritten, 1})
 	require.Equal(t, []Notice{{"a", EventWritten, 1}}, b.CompletePrefill(500, "a"))
-	require.Contains(t, run(b, 1000), Notice{"a", Done, 2})
+	require.Contains(t, run(b, 1000), Notice{"a", AnswerComplete, 2})
 }
 
 func TestMemoryBoundsAdmissionAndReservationsCount(t *testing.T) {
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -224,7 +224,7 @@
 		}
 	case enginemodel.EventWritten:
 		d.at(d.now+backMs, func() { d.wrote(r, n.ID) })
-	case enginemodel.Done:
+	case enginemodel.AnswerComplete:
 		d.at(d.now+backMs, func() { d.finish(r, n.ID) })
 	}
 }
