--- a/core/enginemodel/batcher.go
+++ b/core/enginemodel/batcher.go
@@ -9,23 +9,22 @@
 // Job is one request, or one part of a divided prompt, at an engine.
 type Job struct {
 	ID string
-	// PromptTokens is the whole prompt; Parts is in how many even parts it is
-	// read, 1 for an undivided one.
+	// PromptTokens is the length of the whole prompt; Parts is the number of even parts into which it is
+	// divided for prefill, 1 for an undivided one.
 	PromptTokens int64
 	Parts        int
-	// PrefillOnly says that the engine only reads a part for another one.
+	// PrefillOnly is set if the engine only prefills a part, and another one writes the answer.
 	PrefillOnly  bool
 	AnswerTokens int64
-	// Urgency orders admission, 0 first.
+	// Urgency orders admission; 0 is the most urgent.
 	Urgency int
-	// Distributed says that reservations at several engines hold the prompt; Reserved
-	// is what is held here, in tokens, which may be nothing. Otherwise the whole
-	// prompt's memory is taken where the answer is written.
+	// Distributed is set if reservations at several engines hold the prompt; Reserved is the reservation here
+	// in tokens, which may be 0. Otherwise the engine that writes the answer holds the whole prompt.
 	Distributed bool
 	Reserved    int64
 }
 
-// Notice is something that became true at the end of a pass.
+// Notice is the progress of a job at the end of a pass.
 type Notice struct {
 	ID   string
 	Kind NoticeKind
@@ -38,11 +37,11 @@
 
 // Kinds of notices.
 const (
-	// PartPrefilled: the job's part is read here.
+	// PartPrefilled means that the job's part is prefilled here.
 	PartPrefilled NoticeKind = iota + 1
-	// EventWritten: the answer has one more event.
+	// EventWritten means that the answer has one more event.
 	EventWritten
-	// AnswerComplete: the answer is whole.
+	// AnswerComplete means that the answer is complete.
 	AnswerComplete
 )
 
@@ -50,35 +49,35 @@
 	Job
 	arrivalSeq    uint64
 	admissionSeq  uint64
-	prefillLeftMs float64 // reading time that is left
-	prefillLeft   float64 // prompt tokens that are left
+	prefillLeftMs float64 // remaining prefill time
+	prefillLeft   float64 // prompt tokens that are not prefilled
 	partPrefilled bool
-	// allPrefilled says that all parts are read, wherever.
+	// allPrefilled is set once all parts are prefilled, here and at the other engines.
 	allPrefilled bool
 	written      int64
 	events       int
 }
 
-// Batcher is the state of one engine: it serves the stand-in as well as the
-// experiments. Times are in milliseconds of the caller's clock. It is pure.
+// Batcher simulates the continuous batching of one engine; the stand-in engine and the experiments use it.
+// Times are in milliseconds of the caller's clock. It does no I/O.
 type Batcher struct {
 	engine   Engine
 	slowdown float64
 	lastSeq  uint64
 	waiting  []*activeJob
 	active   []*activeJob
-	// passEnd is when the pass under way ends; negative while idle.
+	// passEnd is the end of the current pass; negative while idle.
 	passEnd   float64
-	finishing []*activeJob // reads that end with the pass under way
-	writers   []*activeJob // answers that the pass under way writes
-	// ReprefilledTokens counts the prompt tokens read again after a preemption.
+	finishing []*activeJob // prefills that end with the current pass
+	writers   []*activeJob // answers that the current pass writes
+	// ReprefilledTokens counts the prompt tokens that are prefilled again after a preemption.
 	ReprefilledTokens int64
 }
 
 // NewBatcher returns an idle engine.
 func NewBatcher(engine Engine) *Batcher { return &Batcher{engine: engine, slowdown: 1, passEnd: -1} }
 
-// SetSlowdown makes the engine slower by a factor.
+// SetSlowdown slows the engine down by a factor.
 func (b *Batcher) SetSlowdown(factor float64) { b.slowdown = factor }
 
 // Submit adds a job; a pass begins at once if the engine is idle.
@@ -106,8 +105,8 @@
 	j.partPrefilled, j.allPrefilled = false, j.Parts == 1
 }
 
-// CompletePrefill tells that all parts of a divided prompt are read. The first token
-// follows at once.
+// CompletePrefill records that all parts of a divided prompt are prefilled. The first token follows at once
+// if the part here is done.
 func (b *Batcher) CompletePrefill(now float64, id string) []Notice {
 	var notices []Notice
 	for _, r := range b.active {
@@ -122,7 +121,7 @@
 	return notices
 }
 
-// firstToken gives the first event, which holds one token, once all is read.
+// firstToken returns the first event, which holds one token, once the whole prompt is prefilled.
 func (j *activeJob) firstToken() []Notice {
 	if !j.partPrefilled || !j.allPrefilled || j.events > 0 {
 		return nil
@@ -131,7 +130,7 @@
 	return []Notice{{ID: j.ID, Kind: EventWritten, Step: 1}}
 }
 
-// Cancel ends a job; the pass under way goes on.
+// Cancel removes a job; the current pass goes on.
 func (b *Batcher) Cancel(id string) {
 	same := func(r *activeJob) bool { return r.ID == id }
 	b.waiting = slices.DeleteFunc(b.waiting, same)
@@ -140,10 +139,10 @@
 	b.writers = slices.DeleteFunc(b.writers, same)
 }
 
-// PassEnd returns when the pass under way ends; false while the engine is idle.
+// PassEnd returns the end of the current pass; false while the engine is idle.
 func (b *Batcher) PassEnd() (float64, bool) { return b.passEnd, b.passEnd >= 0 }
 
-// EndPass ends the pass under way, begins the next one and tells what happened.
+// EndPass ends the current pass, begins the next one and returns the progress.
 func (b *Batcher) EndPass(now float64) []Notice {
 	var notices []Notice
 	for _, r := range b.finishing {
@@ -173,7 +172,7 @@
 	b.active = slices.DeleteFunc(b.active, func(other *activeJob) bool { return other == r })
 }
 
-// beginPass admits what fits and starts a pass if there is work.
+// beginPass preempts and admits jobs and starts a pass if there is work.
 func (b *Batcher) beginPass(now float64) {
 	b.preempt()
 	b.admit()
@@ -198,7 +197,7 @@
 	b.passEnd = now + (stepMs*float64(steps)+spent)*b.slowdown
 }
 
-// prefillFor reads what the chunks of some steps take, and returns the time.
+// prefillFor prefills up to a chunk for each of some steps, and returns the time it takes in milliseconds.
 func (b *Batcher) prefillFor(steps int) float64 {
 	budget := float64(b.engine.Chunk) * float64(steps)
 	spent := 0.0
@@ -222,8 +221,8 @@
 	return spent
 }
 
-// prefillOrder: parts of divided prompts go first, the newest of them before the
-// others; undivided prompts follow by their admission.
+// prefillOrder returns the jobs to prefill: parts of divided prompts first, the newest first; then undivided
+// prompts in the order of their admission.
 func (b *Batcher) prefillOrder() []*activeJob {
 	var order []*activeJob
 	for _, r := range b.active {
@@ -249,7 +248,7 @@
 	return order
 }
 
-// context is how many tokens of context each step of the answer looks at here.
+// context returns the number of tokens that each step of the answer attends to here.
 func (j *activeJob) context() int64 {
 	if j.Distributed {
 		return j.PromptTokens/int64(j.Parts) + j.written
@@ -257,7 +256,7 @@
 	return j.PromptTokens + j.written
 }
 
-// memory is what the job takes, in tokens.
+// memory returns the KV memory of the job here, in tokens.
 func (j *activeJob) memory() int64 {
 	switch {
 	case j.Distributed:
@@ -276,8 +275,7 @@
 	return sum
 }
 
-// admit takes waiting jobs in, the more urgent first, as long as slots and memory
-// are free.
+// admit admits waiting jobs, the more urgent first, as long as slots and memory are free.
 func (b *Batcher) admit() {
 	slices.SortStableFunc(b.waiting, func(x, y *activeJob) int {
 		return cmp.Or(cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.arrivalSeq, y.arrivalSeq))
@@ -304,8 +302,8 @@
 	return count
 }
 
-// preempt puts the newest jobs back while the memory has run out; their prompts
-// are read again.
+// preempt returns the newest jobs to the queue while the memory is exceeded; their prompts are prefilled
+// again.
 func (b *Batcher) preempt() {
 	for b.usedMemory() > b.engine.MemoryTokens {
 		newest := -1
@@ -326,5 +324,5 @@
 	}
 }
 
-// Fits says whether a reservation of some tokens is granted now.
+// Fits reports whether a reservation of some tokens is granted now.
 func (b *Batcher) Fits(tokens int64) bool { return b.usedMemory()+tokens <= b.engine.MemoryTokens }
--- a/core/enginemodel/batcher_test.go
+++ b/core/enginemodel/batcher_test.go
@@ -11,7 +11,7 @@
 		Chunk: 2000, Stride: 50, UsualAnswer: 500}
 }
 
-// run plays passes until a time and returns when each notice came.
+// run executes passes until a time and returns the time of each notice.
 func run(b *Batcher, until float64) map[Notice]float64 {
 	times := map[Notice]float64{}
 	for {
@@ -30,14 +30,13 @@
 	b := NewBatcher(engine)
 	b.Submit(0, Job{ID: "a", PromptTokens: 4000, Parts: 1, AnswerTokens: 101})
 	times := run(b, 1000)
-	read := 4000.0/100 + 4000.0*4000/2/1e6*0.1 + 2*1
-	require.InDelta(t, read, times[Notice{"a", EventWritten, 1}], 0.01, "the first token comes with the end of the read")
-	require.InDelta(t, read+50, times[Notice{"a", EventWritten, 2}], 0.01)
-	require.InDelta(t, read+100, times[Notice{"a", AnswerComplete, 3}], 0.01)
+	prefill := 4000.0/100 + 4000.0*4000/2/1e6*0.1 + 2*1
+	require.InDelta(t, prefill, times[Notice{"a", EventWritten, 1}], 0.01, "the first token comes with the end of the prefill")
+	require.InDelta(t, prefill+50, times[Notice{"a", EventWritten, 2}], 0.01)
+	require.InDelta(t, prefill+100, times[Notice{"a", AnswerComplete, 3}], 0.01)
 }
 
-// A short answer pauses for as long as the reads in its pass take: the whole pass
-// is one pause for it.
+// The gap of a short answer includes the prefills in its pass: the whole pass is one gap.
 func TestPrefillLengthensThePassOfAnswers(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "short", PromptTokens: 100, Parts: 1, AnswerTokens: 500})
@@ -82,8 +81,8 @@
 	require.Contains(t, run(b, 100_000), Notice{"b", PartPrefilled, 0})
 }
 
-// The engine that writes holds nothing itself: all of the prompt is in reservations at
-// others, and it is admitted though it is larger than the whole memory.
+// The engine that writes the answer holds nothing itself: the whole prompt is in reservations at others, and
+// it is admitted although it is larger than the engine's memory.
 func TestAPromptHeldElsewhereNeedsNoMemoryHere(t *testing.T) {
 	b := NewBatcher(testEngine())
 	b.Submit(0, Job{ID: "a", PromptTokens: 150_000, Parts: 2, AnswerTokens: 10, Distributed: true})
@@ -91,8 +90,7 @@
 	require.True(t, b.Fits(100_000))
 }
 
-// Memory runs out while two answers grow: the newer one is put back and its prompt
-// read again.
+// Memory runs out while two answers grow: the newer one is preempted and its prompt prefilled again.
 func TestTheNewestIsPreempted(t *testing.T) {
 	engine := testEngine()
 	engine.MemoryTokens = 10_100
--- a/core/enginemodel/engine.go
+++ b/core/enginemodel/engine.go
@@ -1,11 +1,10 @@
-// Package enginemodel computes how long a model engine takes for a prompt and for
-// its answer. The entry predicts with it, the stand-in engine runs by it, and the
-// experiments search policies with it, so that there is one copy of the formulas.
+// Package enginemodel computes how long a model engine takes for a prompt and for its answer. The entry
+// predicts with it, the stand-in engine simulates with it, and the experiments evaluate policies with it, so
+// that there is one copy of the formulas.
 //
-// An engine works in passes. A token step costs a fixed time and a little for
-// each answer being written and for its context. Prompts are read between the
-// steps, at most a chunk in each. A pass in which any answer is written makes a
-// fixed number of steps and gives each of them one event.
+// An engine works in passes. A token step costs a fixed time plus a little for each answer being written and
+// for its context. Prompts are prefilled between the steps, at most a chunk in each. A pass in which any
+// answer is written makes a fixed number of steps and gives each answer one event.
 package enginemodel
 
 import (
@@ -14,36 +13,33 @@
 	"time"
 )
 
-// Engine is the speed and the size of one engine. Times are in milliseconds.
+// Engine holds the speed and the size of one engine. Times are in milliseconds.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run at once.
 	Slots int `json:"slots"`
-	// MemoryTokens is the size of the KV memory.
+	// MemoryTokens is the size of the KV memory, in tokens.
 	MemoryTokens int64 `json:"memoryTokens"`
 	// StepMs is the time of a token step without any answer.
 	StepMs float64 `json:"stepMs"`
 	// StepPerAnswerMs is added to a step for each answer being written.
 	StepPerAnswerMs float64 `json:"stepPerAnswerMs"`
-	// StepPerContextMs is added to a step for each 1,000 tokens of context of
-	// an answer being written.
+	// StepPerContextMs is added to a step for each 1,000 tokens of context of an answer being written.
 	StepPerContextMs float64 `json:"stepPerContextMs"`
-	// ReadPerMs is how many prompt tokens are read in a millisecond.
+	// ReadPerMs is the number of prompt tokens prefilled in a millisecond.
 	ReadPerMs float64 `json:"readPerMs"`
-	// PairsMs is the time for a million pairs of a prompt token and an earlier
-	// one.
+	// PairsMs is the attention time of a million pairs of a prompt token and an earlier one.
 	PairsMs float64 `json:"pairsMs"`
-	// Chunk is how many prompt tokens are read in a step at the most.
+	// Chunk is the maximum number of prompt tokens prefilled in a step.
 	Chunk int64 `json:"chunk"`
-	// Stride is how many steps a pass with answers makes; an answer gets one
-	// event a pass.
+	// Stride is the number of steps of a pass with answers; an answer gets one event a pass.
 	Stride int `json:"stride"`
 	// UsualAnswer is the mean length of answers in tokens.
 	UsualAnswer int64 `json:"usualAnswer"`
-	// HopMs is added to each step of an answer whose memory is spread.
+	// HopMs is added to each step of an answer whose memory is distributed.
 	HopMs float64 `json:"hopMs"`
 }
 
-// Check returns an error that names the first value that makes no sense.
+// Check returns an error that names the first invalid field.
 func (e *Engine) Check() error {
 	switch {
 	case e.Slots < 1:
@@ -67,47 +63,46 @@
 	thousand = 1e3
 )
 
-// PrefillMs is the time that one of several even parts of a prompt takes to be
-// read, as if nothing else ran: its tokens, its share of the pairs, and the step
-// of each chunk.
+// PrefillMs returns the time in which one of several even parts of a prompt is prefilled if nothing else
+// runs: its tokens and its share of the attention pairs. StepOverheadMs adds the steps of the chunks.
 func (e *Engine) PrefillMs(promptTokens int64, parts int) float64 {
 	tokens := float64(promptTokens) / float64(parts)
 	pairs := float64(promptTokens) * float64(promptTokens) / 2 / float64(parts) / million
 	return tokens/e.ReadPerMs + pairs*e.PairsMs
 }
 
-// StepOverheadMs is what the steps of the chunks add to ReadMs on an engine that
-// writes no answer.
+// StepOverheadMs returns the time that the steps of the chunks add to PrefillMs on an engine that writes no
+// answer.
 func (e *Engine) StepOverheadMs(promptTokens int64, parts int) float64 {
 	tokens := promptTokens / int64(parts)
 	chunks := (tokens + e.Chunk - 1) / e.Chunk
 	return float64(chunks) * e.StepMs
 }
 
-// Batch is the answers that an engine is writing.
+// Batch summarizes the answers that an engine is writing.
 type Batch struct {
 	Answers       int
 	ContextTokens int64
 }
 
-// PassMs is the time of a pass in which the batch is written and nothing read.
+// PassMs returns the time of a pass in which the batch is written and nothing is prefilled.
 func (e *Engine) PassMs(batch Batch) float64 {
 	step := e.StepMs + float64(batch.Answers)*e.StepPerAnswerMs + float64(batch.ContextTokens)/thousand*e.StepPerContextMs
 	return float64(e.Stride) * step
 }
 
-// AnswerMs is the time in which an answer of some tokens is written beside the others of the batch, if
-// nothing is read meanwhile.
+// AnswerMs returns the time in which an answer of some tokens is written as part of a batch, if nothing is
+// prefilled meanwhile.
 func (e *Engine) AnswerMs(tokens int64, batch Batch) float64 {
 	passes := math.Ceil(float64(tokens) / float64(e.Stride))
 	return passes * e.PassMs(batch)
 }
 
-// PrefillTokensPerPass is how many prompt tokens a pass with answers reads at the most.
+// PrefillTokensPerPass returns the maximum number of prompt tokens prefilled in a pass with answers.
 func (e *Engine) PrefillTokensPerPass() int64 { return e.Chunk * int64(e.Stride) }
 
-// MillisToDuration turns milliseconds into a duration, and what is longer than any into the longest.
-// Otherwise a prompt that no engine could read would seem to be read before it comes.
+// MillisToDuration converts milliseconds to a duration and saturates at the longest one. An overflow would
+// make a prompt that no engine could prefill seem to be done in the past.
 func MillisToDuration(ms float64) time.Duration {
 	if ms >= float64(math.MaxInt64/time.Millisecond) {
 		return math.MaxInt64
