--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -156,12 +156,12 @@
 // of the time left, or would exceed the target while other servers are idle.
 func (t *LoadTable) maxParts(candidates []*candidate, q Query) int {
 	usual := t.options.UsualParts
-	reading := enginemodel.MillisToDuration(q.Engine.PrefillMs(q.PromptTokens, usual))
+	prefill := enginemodel.MillisToDuration(q.Engine.PrefillMs(q.PromptTokens, usual))
 	most := usual
 	switch {
-	case reading > q.Remaining/2:
+	case prefill > q.Remaining/2:
 		most = t.options.MaxParts
-	case reading > q.Target:
+	case prefill > q.Target:
 		most = max(usual, min(countIdle(candidates), t.options.MaxParts))
 	}
 	return min(most, len(candidates))
--- a/core/placement/crowding_test.go
+++ b/core/placement/crowding_test.go
@@ -24,5 +24,5 @@
 	q := longQuery(servers, 300_000)
 	require.Positive(t, choose(t, crowded(8), q).Wait)
 	require.Zero(t, choose(t, crowded(1), q).Wait)
-	require.Zero(t, choose(t, crowded(8), longQuery(servers, 40_000)).Wait, "its value outweighs its short read")
+	require.Zero(t, choose(t, crowded(8), longQuery(servers, 40_000)).Wait, "its value outweighs its short prefill")
 }
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -16,7 +16,7 @@
 // the increase in the probability that the prefill makes its gap too long. Gaps that are already too long add
 // nothing. An answer that is about to begin counts like one that is being written: its first event comes
 // while the new prefill waits, and that prefill causes its first gap.
-func (t *LoadTable) gapLoss(c *candidate, readMs float64, split bool) float64 {
+func (t *LoadTable) gapLoss(c *candidate, prefillMs float64, split bool) float64 {
 	sum := 0.0
 	for _, w := range c.state.workItems {
 		gap := w.dispatch.Gap
@@ -24,7 +24,7 @@
 			continue
 		}
 		before := enginemodel.MillisToDuration(c.passMs+c.backlogMs-w.prefillMs) + t.options.GapMargin
-		after := before + enginemodel.MillisToDuration(readMs)
+		after := before + enginemodel.MillisToDuration(prefillMs)
 		sum += t.value(w.dispatch.PromptTokens) * t.options.LateLoss * (lateProbability(after, gap) - lateProbability(before, gap))
 	}
 	return sum
@@ -83,14 +83,14 @@
 }
 
 // queueLoss spreads otherwise equal choices by the predicted time to the first event.
-func (t *LoadTable) queueLoss(q Query, c *candidate, readMs float64) float64 {
-	return t.value(q.PromptTokens) * t.options.LateLoss * 0.2 * (t.firstEventMs(c, q, readMs) / (q.Target.Seconds() * msPerSecond))
+func (t *LoadTable) queueLoss(q Query, c *candidate, prefillMs float64) float64 {
+	return t.value(q.PromptTokens) * t.options.LateLoss * 0.2 * (t.firstEventMs(c, q, prefillMs) / (q.Target.Seconds() * msPerSecond))
 }
 
 // delayLosses returns the losses of the prompts that wait at a server by a new part: an engine prefills the
 // newest part first, which delays all of them by its length. Without this loss, each new long prompt pushes
 // the earlier ones back until none is in time.
-func (t *LoadTable) delayLosses(now time.Time, c *candidate, readMs float64) []delayLoss {
+func (t *LoadTable) delayLosses(now time.Time, c *candidate, prefillMs float64) []delayLoss {
 	var found []delayLoss
 	ahead := c.passMs
 	for _, w := range c.state.prefillOrder() {
@@ -100,7 +100,7 @@
 			continue
 		}
 		end := now.Sub(w.began) + enginemodel.MillisToDuration(ahead)
-		share := lateProbability(end+enginemodel.MillisToDuration(readMs), target) - lateProbability(end, target)
+		share := lateProbability(end+enginemodel.MillisToDuration(prefillMs), target) - lateProbability(end, target)
 		if loss := t.value(w.dispatch.PromptTokens) * t.options.LateLoss * share; loss > 0 {
 			found = append(found, delayLoss{w.dispatch, loss})
 		}
@@ -111,8 +111,8 @@
 // firstEventMs predicts the time, in milliseconds, until a part prefilled here is done and the next event
 // comes. The backlog counts for a divided prompt too, although engines prefill its part first: parts that
 // arrive later delay it in the same way.
-func (t *LoadTable) firstEventMs(c *candidate, q Query, readMs float64) float64 {
-	readMs *= c.state.health.slowdown()
+func (t *LoadTable) firstEventMs(c *candidate, q Query, prefillMs float64) float64 {
+	prefillMs *= c.state.health.slowdown()
 	wait := c.backlogMs
 	if over := c.requests - q.Engine.Slots + 1; over > 0 {
 		// A slot is free when the shortest of the running answers is complete, on average after half of the
@@ -121,9 +121,9 @@
 		wait += float64(over) / float64(q.Engine.Slots) * passes * c.passMs
 	}
 	if c.batch.Answers > 0 {
-		return wait + c.passMs/2 + c.passMs + readMs
+		return wait + c.passMs/2 + c.passMs + prefillMs
 	}
-	return wait + readMs + q.Engine.StepOverheadMs(q.PromptTokens, 1)
+	return wait + prefillMs + q.Engine.StepOverheadMs(q.PromptTokens, 1)
 }
 
 // lateLoss returns the expected loss of a request whose first event is predicted, with a slope around the
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -11,8 +11,8 @@
 
 // chooseParts selects the best servers for a prompt that is divided into a number of parts.
 func (t *LoadTable) chooseParts(now time.Time, candidates []*candidate, q Query, parts int) (Choice, bool) {
-	readMs := q.Engine.PrefillMs(q.PromptTokens, parts)
-	ranked := t.rank(now, candidates, q, readMs, parts > 1)
+	prefillMs := q.Engine.PrefillMs(q.PromptTokens, parts)
+	ranked := t.rank(now, candidates, q, prefillMs, parts > 1)
 	first := t.pickFirst(ranked, q, parts)
 	if first < 0 {
 		return Choice{}, false
@@ -30,7 +30,7 @@
 		othersLoss: group.others, slotsTaken: chosen[0].requests >= q.Engine.Slots}
 	slowest := 0.0
 	for _, c := range chosen {
-		slowest = max(slowest, t.firstEventMs(c, q, readMs))
+		slowest = max(slowest, t.firstEventMs(c, q, prefillMs))
 	}
 	for _, c := range chosen[1:] {
 		choice.Helpers = append(choice.Helpers, c.Server)
@@ -115,10 +115,10 @@
 }
 
 // rank sorts the servers by the loss of a prefill there.
-func (t *LoadTable) rank(now time.Time, candidates []*candidate, q Query, readMs float64, split bool) []ranked {
+func (t *LoadTable) rank(now time.Time, candidates []*candidate, q Query, prefillMs float64, split bool) []ranked {
 	all := make([]ranked, 0, len(candidates))
 	for i, c := range candidates {
-		slowed := readMs * c.state.health.slowdown()
+		slowed := prefillMs * c.state.health.slowdown()
 		helper := c.loss + t.gapLoss(c, slowed, split)
 		var delays []delayLoss
 		if split {
@@ -129,7 +129,7 @@
 		}
 		// The tie-break rotates the order of equal servers by a random offset.
 		tie := math.Mod(float64(i)/float64(len(candidates))+q.TieBreak, 1) * tieLoss
-		order := helper + t.queueLoss(q, c, readMs) + tie
+		order := helper + t.queueLoss(q, c, prefillMs) + tie
 		all = append(all, ranked{candidate: c, loss: helper + t.answerLoss(c, q), helperLoss: helper, delays: delays, order: order})
 	}
 	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.order, b.order) })
--- a/core/placement/stall_test.go
+++ b/core/placement/stall_test.go
@@ -95,8 +95,8 @@
 		begin(chosen, start, fmt.Sprint("r", i), "s02")
 		addAnswer(written, fmt.Sprint("r", i), "s02", shortQuery(servers))
 	}
-	read := start.Add(200 * time.Millisecond) // the predicted prefill of all six prompts is done
-	choice, refusal := chosen.Choose(read, shortQuery(servers))
+	prefilled := start.Add(200 * time.Millisecond) // the predicted prefill of all six prompts is done
+	choice, refusal := chosen.Choose(prefilled, shortQuery(servers))
 	require.Empty(t, refusal)
 	require.NotEqual(t, "s02", choice.Server.ID)
 	require.Equal(t, "s02", choose(t, written, shortQuery(servers)).Server.ID)
