--- a/core/peering/beats.go
+++ b/core/peering/beats.go
@@ -11,26 +11,26 @@
 
 // Heartbeat is who is told that this entry lives.
 type Heartbeat struct {
-	// Near are the entries that this one tells of requests, Lists those of them that are told of all others as well.
-	Near, Lists []string
-	// Far are entries of other zones, one of each. They are told of this entry's zone.
-	Far []string
+	// Local are the entries that this one tells of requests, WithMembers those of them that are told of all others as well.
+	Local, WithMembers []string
+	// Remote are entries of other zones, one of each. They are told of this entry's zone.
+	Remote []string
 }
 
 // Heartbeat picks who hears the heartbeat of a turn; turns are counted.
 func (g *Group) Heartbeat(now time.Time, turn int) Heartbeat {
 	var beat Heartbeat
 	sum := g.Sum(now)
-	beat.Near = g.NearKnown()
-	for i := range beat.Near {
+	beat.Local = g.KnownLocal()
+	for i := range beat.Local {
 		// Another one begins at each turn.
-		address := beat.Near[(i+turn*listsPerHeartbeat)%len(beat.Near)]
-		if len(beat.Lists) < listsPerHeartbeat && g.members[address].sum != sum {
-			beat.Lists = append(beat.Lists, address)
+		address := beat.Local[(i+turn*listsPerHeartbeat)%len(beat.Local)]
+		if len(beat.WithMembers) < listsPerHeartbeat && g.members[address].sum != sum {
+			beat.WithMembers = append(beat.WithMembers, address)
 		}
 	}
 	if g.isDelegate(now) {
-		beat.Far = g.farTargets(now, turn)
+		beat.Remote = g.farTargets(now, turn)
 	}
 	return beat
 }
@@ -39,7 +39,7 @@
 // them.
 func (g *Group) Listed(now time.Time) []ZoneMembers {
 	zones := map[string][]string{g.zone: {g.self}}
-	for _, address := range g.Near(now) {
+	for _, address := range g.Local(now) {
 		if m := g.members[address]; m.zone != "" {
 			zones[m.zone] = append(zones[m.zone], address)
 		}
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -83,7 +83,7 @@
 
 func TestMessagesAreToldApart(t *testing.T) {
 	for kind, m := range map[Kind]Message{
-		KindUpdate: {Update: &Update{}}, KindPlace: {Place: &Place{}}, KindNews: {Ended: []string{"a"}}, KindFarHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
+		KindUpdate: {Update: &Update{}}, KindPlace: {Place: &Place{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
 		KindHeartbeat: {Sum: 1, Asks: true}, KindList: {Members: []ZoneMembers{{}}}, KindQuestion: {Asks: true}, KindGreeting: {},
 		KindRecords: {Records: make([]quarantine.Record, 1)},
 	} {
--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -139,8 +139,8 @@
 
 func (g *Group) isDelegate(now time.Time) bool { return slices.Contains(g.delegates(now), g.self) }
 
-// FarZones returns the zones of the members that are not near, in a fixed order.
-func (g *Group) FarZones() []string {
+// RemoteZones returns the zones of the members that are not near, in a fixed order.
+func (g *Group) RemoteZones() []string {
 	var zones []string
 	for _, m := range g.members {
 		if !g.isNear(m) && !slices.Contains(zones, m.zone) {
@@ -154,7 +154,7 @@
 // farTargets picks an entry of each other zone by turns: a delegate if one is known, else one that runs, else any.
 func (g *Group) farTargets(now time.Time, turn int) []string {
 	var targets []string
-	for _, zone := range g.FarZones() {
+	for _, zone := range g.RemoteZones() {
 		members := g.speakers(now, zone)
 		if len(members) == 0 {
 			members = g.pick(func(m *member) bool { return m.zone == zone })
@@ -192,14 +192,14 @@
 	return g.scope != scopeWhole && m.Entries > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
-// Mistakes says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
+// MistakenForLocal says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
 // heard this entry, as seeds that start later than others.
-func (g *Group) Mistakes(m Message) bool {
+func (g *Group) MistakenForLocal(m Message) bool {
 	return g.scope != scopeWhole && m.Sum != 0 && m.Zone != "" && m.Zone != g.zone
 }
 
-// TellFar completes a message to another zone: who runs in this one.
-func (g *Group) TellFar(now time.Time, turn int, m *Message) {
+// FillRemoteHeartbeat completes a message to another zone: who runs in this one.
+func (g *Group) FillRemoteHeartbeat(now time.Time, turn int, m *Message) {
 	heard := g.pick(func(m *member) bool { return m.zone == g.zone && m.isHeard(now) })
 	m.Entries = len(heard) + 1
 	m.Delegates = g.delegates(now)
@@ -210,13 +210,13 @@
 	m.Members = []ZoneMembers{{Zone: g.zone, Addresses: named}}
 }
 
-// HandOn returns what entries of other zones have told this one lately, for near entries.
-func (g *Group) HandOn(now time.Time, turn int) []ZoneSummary {
+// RemoteSummaries returns what entries of other zones have told this one lately, for near entries.
+func (g *Group) RemoteSummaries(now time.Time, turn int) []ZoneSummary {
 	if g.scope == scopeWhole {
 		return nil
 	}
 	var summaries []ZoneSummary
-	for _, zone := range g.FarZones() {
+	for _, zone := range g.RemoteZones() {
 		far := g.far[zone]
 		if far == nil || far.direct.IsZero() || now.Sub(far.direct) >= handedOnFor {
 			continue
@@ -234,7 +234,7 @@
 // room as a share; false if nothing fresh is heard.
 func (g *Group) Roomiest(now time.Time) (address string, room float64, ok bool) {
 	best := 0
-	for _, zone := range g.FarZones() {
+	for _, zone := range g.RemoteZones() {
 		far := g.far[zone]
 		if far == nil || far.room <= best || now.Sub(far.asOf) > roomFresh {
 			continue
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -169,9 +169,9 @@
 	Found []string
 	// Restarted: it is another start than the one known; what that had begun is over.
 	Restarted bool
-	// Joined: it is heard for the first time, or again after a silence. Near: it chooses among the same
+	// Joined: it is heard for the first time, or again after a silence. Local: it chooses among the same
 	// servers as this entry.
-	Joined, Near bool
+	Joined, Local bool
 	// Missed, once: it joined and does not know what goes on here. For one that is
 	// starting this waits until it can book requests.
 	Missed bool
@@ -184,7 +184,7 @@
 		return Sender{}
 	}
 	known.zone = cmp.Or(m.Zone, known.zone)
-	sender := Sender{Restarted: known.incarnation != "" && known.incarnation != m.Incarnation, Near: g.isNear(known)}
+	sender := Sender{Restarted: known.incarnation != "" && known.incarnation != m.Incarnation, Local: g.isNear(known)}
 	first := known.heard.IsZero()
 	if g.heardFirst.IsZero() {
 		g.heardFirst = now
@@ -193,9 +193,9 @@
 		g.foundAt = now
 	}
 	// Entries of other zones are heard by turns only, and book nothing of this one's.
-	sender.Joined = first || sender.Restarted || sender.Near && now.Sub(known.heard) >= SilentAfter
+	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.heard) >= SilentAfter
 	known.untold = known.untold || sender.Joined
-	sender.Missed = known.untold && !m.Starting && sender.Near
+	sender.Missed = known.untold && !m.Starting && sender.Local
 	if sender.Missed {
 		known.untold = false
 	}
@@ -313,14 +313,14 @@
 	return g.pick(func(m *member) bool { return m.isHeard(now) })
 }
 
-// Near returns the members heard of lately that choose among the same servers as this
+// Local returns the members heard of lately that choose among the same servers as this
 // entry: they are told of each of its requests.
-func (g *Group) Near(now time.Time) []string {
+func (g *Group) Local(now time.Time) []string {
 	return g.pick(func(m *member) bool { return g.isNear(m) && m.isHeard(now) })
 }
 
-// NearKnown returns the members that choose among the same servers as this entry, heard or not.
-func (g *Group) NearKnown() []string { return g.pick(g.isNear) }
+// KnownLocal returns the members that choose among the same servers as this entry, heard or not.
+func (g *Group) KnownLocal() []string { return g.pick(g.isNear) }
 
 // In returns the members of a zone that are known to run, by their own word or by that of their
 // neighbours: all of the own zone, a few of another one.
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -53,10 +53,10 @@
 	g := New("c:1", "here", "i", nil)
 	starting := message("a:1", "x", 1, 1)
 	starting.Starting = true
-	require.Equal(t, Sender{Joined: true, Near: true}, g.Heard(start, starting))
-	require.Equal(t, Sender{Near: true}, g.Heard(start, starting), "it joins once")
-	require.Equal(t, Sender{Missed: true, Near: true}, g.Heard(start, message("a:1", "x", 1, 1)))
-	require.Equal(t, Sender{Near: true}, g.Heard(start, message("a:1", "x", 1, 1)))
+	require.Equal(t, Sender{Joined: true, Local: true}, g.Heard(start, starting))
+	require.Equal(t, Sender{Local: true}, g.Heard(start, starting), "it joins once")
+	require.Equal(t, Sender{Missed: true, Local: true}, g.Heard(start, message("a:1", "x", 1, 1)))
+	require.Equal(t, Sender{Local: true}, g.Heard(start, message("a:1", "x", 1, 1)))
 }
 
 // An entry is cut off and goes on serving its callers. The others take it for silent
@@ -116,9 +116,9 @@
 	had := map[string]bool{}
 	for turn := range 14 {
 		beat := g.Heartbeat(start, turn)
-		require.Len(t, beat.Lists, listsPerHeartbeat)
-		require.Len(t, beat.Near, 28)
-		for _, address := range beat.Lists {
+		require.Len(t, beat.WithMembers, listsPerHeartbeat)
+		require.Len(t, beat.Local, 28)
+		for _, address := range beat.WithMembers {
 			had[address] = true
 		}
 	}
@@ -129,10 +129,10 @@
 		g.Heard(start, agrees)
 	}
 	for turn := range 14 {
-		require.Equal(t, named("e", 28)[27:], g.Heartbeat(start, turn).Lists)
+		require.Equal(t, named("e", 28)[27:], g.Heartbeat(start, turn).WithMembers)
 	}
 	beat := New("self:1", "here", "i", []string{"a:1"}).Heartbeat(start, 7)
-	require.Equal(t, []string{"a:1"}, beat.Lists)
+	require.Equal(t, []string{"a:1"}, beat.WithMembers)
 }
 
 // Two entries hear the same others, each the other one too, and must tell the same sum.
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -5,15 +5,15 @@
 
 // Kinds of messages.
 const (
-	KindHeartbeat    Kind = "heartbeat"
-	KindFarHeartbeat Kind = "farHeartbeat"
-	KindList         Kind = "list"
-	KindQuestion     Kind = "question"
-	KindGreeting     Kind = "greeting"
-	KindNews         Kind = "news"
-	KindUpdate       Kind = "update"
-	KindRecords      Kind = "records"
-	KindPlace        Kind = "place"
+	KindHeartbeat       Kind = "heartbeat"
+	KindRemoteHeartbeat Kind = "farHeartbeat"
+	KindList            Kind = "list"
+	KindQuestion        Kind = "question"
+	KindGreeting        Kind = "greeting"
+	KindNews            Kind = "news"
+	KindUpdate          Kind = "update"
+	KindRecords         Kind = "records"
+	KindPlace           Kind = "place"
 )
 
 // Kind returns what the message is for.
@@ -28,7 +28,7 @@
 	case m.HasNews():
 		return KindNews
 	case m.Entries > 0:
-		return KindFarHeartbeat
+		return KindRemoteHeartbeat
 	case m.Sum != 0:
 		return KindHeartbeat
 	case len(m.Members) > 0:
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -31,18 +31,18 @@
 // zone. What an entry hears and sends must not grow with the entries of other zones.
 func TestNewsStayWithinAZone(t *testing.T) {
 	g := dividedGroup([]string{"here", "there", "yonder"}, 4)
-	require.Equal(t, []string{"here-0:1", "here-1:1", "here-2:1", "here-3:1"}, g.Near(start))
+	require.Equal(t, []string{"here-0:1", "here-1:1", "here-2:1", "here-3:1"}, g.Local(start))
 	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1", "there-3:1"}, g.In(start, "there"))
 	g.Heard(start, message("old:1", "x", 1, 1))
-	require.Contains(t, g.Near(start), "old:1", "an entry of a version that tells no zone may use any server")
+	require.Contains(t, g.Local(start), "old:1", "an entry of a version that tells no zone may use any server")
 	g.Divide(false)
-	require.Len(t, g.Near(start), 13)
+	require.Len(t, g.Local(start), 13)
 }
 
 // farMessage is what an entry tells another zone at a turn.
 func farMessage(g *Group, turn int) Message {
 	m := zoned(g.self, g.zone)
-	g.TellFar(start, turn, &m)
+	g.FillRemoteHeartbeat(start, turn, &m)
 	return m
 }
 
@@ -63,7 +63,7 @@
 			}
 			heard := map[string]bool{}
 			for turn := range 2 {
-				for _, address := range g.Heartbeat(start, turn).Far {
+				for _, address := range g.Heartbeat(start, turn).Remote {
 					heard[address] = true
 				}
 			}
@@ -89,8 +89,8 @@
 	later := start.Add(SilentAfter)
 	tell(groups, later, 2, StoreState{}, 98)
 	tell(groups, later, 3, StoreState{}, 97)
-	require.Len(t, groups[2].Heartbeat(later, 0).Far, 1)
-	require.Len(t, groups[3].Heartbeat(later, 0).Far, 1)
+	require.Len(t, groups[2].Heartbeat(later, 0).Remote, 1)
+	require.Len(t, groups[3].Heartbeat(later, 0).Remote, 1)
 }
 
 // An entry that starts, and one that stops, speak for their zone only while nobody else can.
@@ -134,7 +134,7 @@
 	m.SetRoom(0.6)
 	delegate.Heard(start, m)
 	handed := zoned("self:1", "here")
-	handed.Zones = delegate.HandOn(start.Add(300*time.Millisecond), 0)
+	handed.Zones = delegate.RemoteSummaries(start.Add(300*time.Millisecond), 0)
 	require.Len(t, handed.Zones, 1)
 	later := start.Add(time.Second)
 	g.Heard(later, handed)
@@ -143,10 +143,10 @@
 	require.Contains(t, []string{"there-0:1", "there-1:1"}, address)
 	require.InDelta(t, 0.6, room, 0.001)
 	require.Equal(t, 72, g.Size())
-	require.Empty(t, g.HandOn(later, 0))
+	require.Empty(t, g.RemoteSummaries(later, 0))
 	_, _, ok = g.Roomiest(later.Add(roomFresh))
 	require.False(t, ok)
-	require.Empty(t, delegate.HandOn(start.Add(handedOnFor), 0), "it is old by now")
+	require.Empty(t, delegate.RemoteSummaries(start.Add(handedOnFor), 0), "it is old by now")
 	older := handed
 	older.Zones[0].Age, older.Zones[0].Entries = 2000, 1
 	g.Heard(later, older)
@@ -175,14 +175,14 @@
 func TestWhoTakesAnEntryForANearOneIsToldItsZone(t *testing.T) {
 	g := New("seed:1", "there", "i", nil)
 	beat := zoned("self:1", "here")
-	require.False(t, g.Mistakes(beat))
+	require.False(t, g.MistakenForLocal(beat))
 	beat.Sum = 7
-	require.True(t, g.Mistakes(beat))
+	require.True(t, g.MistakenForLocal(beat))
 	beat.Zone = "there"
-	require.False(t, g.Mistakes(beat))
+	require.False(t, g.MistakenForLocal(beat))
 	beat.Zone = "here"
 	g.Divide(false)
-	require.False(t, g.Mistakes(beat), "all are near")
+	require.False(t, g.MistakenForLocal(beat), "all are near")
 }
 
 // What all entries of another zone have to know is told to two of them, which pass it on.
@@ -217,7 +217,7 @@
 	g.Heard(later, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}))
 	told := []ZoneMembers{{Zone: "here", Addresses: []string{"self:1", "here-0:1"}}}
 	var m Message
-	g.TellFar(later, 0, &m)
+	g.FillRemoteHeartbeat(later, 0, &m)
 	require.Equal(t, told, m.Members)
 	require.Equal(t, 2, m.Entries)
 	require.Equal(t, told, g.Running(later))
@@ -271,7 +271,7 @@
 		seed.Heard(start, zoned(address, "there"))
 	}
 	g := New("self:1", "here", "i", []string{"there-0:1"})
-	require.Equal(t, []string{"there-0:1"}, g.Heartbeat(start, 0).Near, "the seed's zone is not known yet")
+	require.Equal(t, []string{"there-0:1"}, g.Heartbeat(start, 0).Local, "the seed's zone is not known yet")
 	require.True(t, g.Asks(start))
 	answer := seed.Answer(start, "here")
 	require.Equal(t, ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}, answer[0])
@@ -281,7 +281,7 @@
 	asked, told := g.Greets(start, sender.Found)
 	require.Equal(t, []string{"here-0:1"}, asked)
 	require.Equal(t, []string{"here-1:1"}, told)
-	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.Heartbeat(start, 1).Near)
+	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.Heartbeat(start, 1).Local)
 	g.Heard(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
 	require.False(t, g.Asks(start), "a neighbour has told")
 	asked, told = g.Greets(start, []string{"here-2:1"})
@@ -299,7 +299,7 @@
 	require.Len(t, g.Answer(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
 	g.Divide(false)
 	require.Len(t, g.Answer(start, "here")[1].Addresses, 40)
-	require.Len(t, g.NearKnown(), 40)
+	require.Len(t, g.KnownLocal(), 40)
 }
 
 // Entries of other zones are heard at long intervals. Taken for silent, their servers would
@@ -311,7 +311,7 @@
 	require.Equal(t, []string{"here-0:1"}, silent)
 	require.Equal(t, []string{"self:1", "here-0:1"}, all)
 	require.Equal(t, Sender{}, g.Heard(later, zoned("there-0:1", "there")))
-	require.Equal(t, Sender{Joined: true, Near: true, Missed: true}, g.Heard(later, zoned("here-0:1", "here")))
+	require.Equal(t, Sender{Joined: true, Local: true, Missed: true}, g.Heard(later, zoned("here-0:1", "here")))
 	again := zoned("there-0:1", "there")
 	again.Incarnation = "y"
 	require.True(t, g.Heard(later, again).Restarted)
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -32,13 +32,13 @@
 	p.mu.Lock()
 	p.group.Forget(now)
 	beat := p.group.Heartbeat(now, turn)
-	near.Asks, near.Sum, near.Zones = p.group.Asks(now), p.group.Sum(now), p.group.HandOn(now, turn)
+	near.Asks, near.Sum, near.Zones = p.group.Asks(now), p.group.Sum(now), p.group.RemoteSummaries(now, turn)
 	listed := p.group.Listed(now)
 	silent, _ = p.group.Silent(now)
 	p.mu.Unlock()
-	p.send(beat.Near, near)
-	p.sendMembers(beat.Lists, listed)
-	p.sendFar(now, turn, beat.Far)
+	p.send(beat.Local, near)
+	p.sendMembers(beat.WithMembers, listed)
+	p.sendFar(now, turn, beat.Remote)
 	return silent
 }
 
@@ -50,7 +50,7 @@
 	m := p.s.recordsTold()
 	m.SetRoom(p.s.tellRoom(now))
 	p.mu.Lock()
-	p.group.TellFar(now, turn, &m)
+	p.group.FillRemoteHeartbeat(now, turn, &m)
 	p.mu.Unlock()
 	p.send(targets, m)
 }
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -182,7 +182,7 @@
 			}
 			s.peers.mu.Lock()
 			defer s.peers.mu.Unlock()
-			return s.peers.group.Divided() && len(s.peers.group.Near(time.Now())) == len(entries)-1
+			return s.peers.group.Divided() && len(s.peers.group.Local(time.Now())) == len(entries)-1
 		})
 	}
 	released := make(chan struct{})
@@ -288,8 +288,8 @@
 	noted := s.takeRows([]directory.Server{{ID: "first", Service: "engines", Address: "127.0.0.1:1", Zone: "there", Slots: 1, Revision: 9}}, nil)
 	s.mu.Unlock()
 	s.noteServers(noted, "platform")
-	require.Empty(t, s.peers.group.NearKnown())
+	require.Empty(t, s.peers.group.KnownLocal())
 	s.grewAt = time.Now().Add(-growTime)
 	s.divide()
-	require.Equal(t, []string{"127.0.0.1:2"}, s.peers.group.NearKnown(), "there are no more: all share all servers")
+	require.Equal(t, []string{"127.0.0.1:2"}, s.peers.group.KnownLocal(), "there are no more: all share all servers")
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -185,7 +185,7 @@
 	w.eventually("the second is heard", func() bool {
 		first.peers.mu.Lock()
 		defer first.peers.mu.Unlock()
-		return w.known(second) && len(first.peers.group.Near(time.Now())) == 1
+		return w.known(second) && len(first.peers.group.Local(time.Now())) == 1
 	})
 	first.unreachable("i-1")
 	w.eventually("the second has heard of it", func() bool {
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -134,7 +134,7 @@
 // another one; empty is for this entry's own. The lock is held.
 func (p *peerExchange) listeners(now time.Time, zone string) []string {
 	if zone == "" {
-		return p.group.Near(now)
+		return p.group.Local(now)
 	}
 	return p.group.Relays(now, zone)
 }
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -105,7 +105,7 @@
 // tellState tells all near entries at once what this one is doing, without waiting for its turn to do so.
 func (p *peerExchange) tellState() {
 	p.mu.Lock()
-	near := p.group.NearKnown()
+	near := p.group.KnownLocal()
 	p.mu.Unlock()
 	p.send(near, peering.Message{})
 }
@@ -255,7 +255,7 @@
 func (p *peerExchange) take(now time.Time, m peering.Message) {
 	p.mu.Lock()
 	sender := p.group.Heard(now, m)
-	passes, redirects, mistakes := p.group.Passes(m), p.group.Redirects(now, m), p.group.Mistakes(m)
+	passes, redirects, mistakes := p.group.Passes(m), p.group.Redirects(now, m), p.group.MistakenForLocal(m)
 	p.mu.Unlock()
 	p.s.takeNews(now, m, sender.Restarted)
 	p.takeRecords(now, m)
@@ -281,7 +281,7 @@
 	switch {
 	case m.Asks:
 		p.answer(now, m.From, m.Zone)
-	case sender.Joined && sender.Near, mistakes:
+	case sender.Joined && sender.Local, mistakes:
 		p.send([]string{m.From}, peering.Message{})
 	}
 	if sender.Missed {
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -102,7 +102,7 @@
 // tellRecord tells all entries of a request under which servers have ended, or that was answered.
 func (p *peerExchange) tellRecord(record quarantine.Record) {
 	p.mu.Lock()
-	everywhere := booking{far: p.group.FarZones()}
+	everywhere := booking{far: p.group.RemoteZones()}
 	p.mu.Unlock()
 	p.tell(everywhere, func(m *peering.Message) { m.Records = append(m.Records, record) })
 	go p.flush()
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -74,7 +74,7 @@
 	f.eventually("entries hear each other", func() bool {
 		for _, s := range f.entries {
 			s.peers.mu.Lock()
-			near := len(s.peers.group.Near(time.Now()))
+			near := len(s.peers.group.Local(time.Now()))
 			s.peers.mu.Unlock()
 			if near != len(f.entries)-1 {
 				return false
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -78,7 +78,7 @@
 	p.mu.Lock()
 	var seeds []string
 	if p.group.Lonely() {
-		seeds = p.group.NearKnown()
+		seeds = p.group.KnownLocal()
 	}
 	p.mu.Unlock()
 	p.send(seeds, peering.Message{Asks: true})
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -95,7 +95,7 @@
 		return
 	case e.group.Lonely() && now.Sub(e.asked) >= peering.AskAgain:
 		e.asked = now
-		e.send(e.group.NearKnown(), peering.Message{Asks: true}, Asking)
+		e.send(e.group.KnownLocal(), peering.Message{Asks: true}, Asking)
 	}
 	e.later(startPoll, e.learn)
 }
@@ -165,7 +165,7 @@
 		}
 		e.know(e.fleet.store.revision)
 		if e.serve(); !e.serving {
-			e.send(e.group.NearKnown(), peering.Message{}, Announcement)
+			e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 		}
 		e.follow()
 	})
@@ -193,7 +193,7 @@
 	e.fleet.result.served(e)
 	e.group.Divide(e.fleet.options.Divided)
 	e.group.Serve(true)
-	e.send(e.group.NearKnown(), peering.Message{}, Announcement)
+	e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 }
 
 // look looks whether the entry has to read the store.
@@ -280,7 +280,7 @@
 	switch {
 	case m.Asks:
 		e.sendMembers([]string{m.From}, e.group.Answer(now, m.Zone), Answer)
-	case sender.Joined && sender.Near, e.group.Mistakes(m):
+	case sender.Joined && sender.Local, e.group.MistakenForLocal(m):
 		e.send([]string{m.From}, peering.Message{}, Greeting)
 	}
 }
@@ -301,7 +301,7 @@
 	var m peering.Message
 	m.SetRoom(0.5)
 	m.SetRecordsSum(0)
-	e.group.TellFar(e.now(), turn, &m)
+	e.group.FillRemoteHeartbeat(e.now(), turn, &m)
 	e.send(targets, m, kind)
 }
 
@@ -309,13 +309,13 @@
 	now := e.now()
 	e.group.Forget(now)
 	beat := e.group.Heartbeat(now, e.turn)
-	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.HandOn(now, e.turn)}
+	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.RemoteSummaries(now, e.turn)}
 	m.SetRecordsSum(0)
-	e.send(beat.Near, m, Heartbeat)
-	if len(beat.Lists) > 0 {
-		e.sendMembers(beat.Lists, e.group.Listed(now), List)
+	e.send(beat.Local, m, Heartbeat)
+	if len(beat.WithMembers) > 0 {
+		e.sendMembers(beat.WithMembers, e.group.Listed(now), List)
 	}
-	e.sendFar(beat.Far, e.turn, FarHeartbeat)
+	e.sendFar(beat.Remote, e.turn, FarHeartbeat)
 	e.turn++
 	e.later(peering.HeartbeatInterval, e.heartbeat)
 }
