--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -183,12 +183,12 @@
 	return speakers[:min(len(speakers), relaysPerZone)]
 }
 
-// Passes says whether what a message tells is to be passed on to the near entries.
-func (g *Group) Passes(m Message) bool { return m.Relay && m.Zone != "" && m.Zone != g.zone }
+// ShouldRelay says whether what a message tells is to be passed on to the near entries.
+func (g *Group) ShouldRelay(m Message) bool { return m.Relay && m.Zone != "" && m.Zone != g.zone }
 
-// Redirects says whether the sender of a message is to be told who speaks for this zone: it belongs to another one and has
+// ShouldRedirect says whether the sender of a message is to be told who speaks for this zone: it belongs to another one and has
 // taken this entry for one that does.
-func (g *Group) Redirects(now time.Time, m Message) bool {
+func (g *Group) ShouldRedirect(now time.Time, m Message) bool {
 	return g.scope != scopeWhole && m.Entries > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -158,16 +158,16 @@
 func TestWhoTakesAnEntryForADelegateIsToldWhoIs(t *testing.T) {
 	g := dividedGroup([]string{"here"}, 3)
 	far := zoned("there-0:1", "there")
-	require.False(t, g.Redirects(start, far), "no word to a delegate")
+	require.False(t, g.ShouldRedirect(start, far), "no word to a delegate")
 	far.Entries = 10
-	require.True(t, g.Redirects(start, far))
+	require.True(t, g.ShouldRedirect(start, far))
 	require.Len(t, farMessage(g, 0).Delegates, delegatesPerZone)
 	g.Serve(true)
 	g.SetReading(ReadOptions{Capacity: 1000})
-	require.False(t, g.Redirects(start, far), "it is one")
+	require.False(t, g.ShouldRedirect(start, far), "it is one")
 	near := zoned("here-0:1", "here")
 	near.Entries = 10
-	require.False(t, g.Redirects(start, near))
+	require.False(t, g.ShouldRedirect(start, near))
 }
 
 // A seed of another zone starts after others. They have never heard it and take it for a near entry, for ever: each of them
@@ -191,9 +191,9 @@
 	require.Len(t, g.Relays(start, "there"), relaysPerZone)
 	g.Heard(start, Message{From: "there-0:1", Zone: "there", Entries: 10, Delegates: []string{"there-4:1", "there-7:1"}})
 	require.ElementsMatch(t, []string{"there-4:1", "there-7:1"}, g.Relays(start, "there"))
-	require.True(t, g.Passes(Message{From: "there-1:1", Zone: "there", Relay: true}))
-	require.False(t, g.Passes(Message{From: "here-1:1", Zone: "here", Relay: true}), "it would be passed round")
-	require.False(t, g.Passes(Message{From: "there-1:1", Zone: "there"}))
+	require.True(t, g.ShouldRelay(Message{From: "there-1:1", Zone: "there", Relay: true}))
+	require.False(t, g.ShouldRelay(Message{From: "here-1:1", Zone: "here", Relay: true}), "it would be passed round")
+	require.False(t, g.ShouldRelay(Message{From: "there-1:1", Zone: "there"}))
 }
 
 // An entry of another zone is heard once in some seconds. Its neighbours say meanwhile that
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -255,7 +255,7 @@
 func (p *peerExchange) take(now time.Time, m peering.Message) {
 	p.mu.Lock()
 	sender := p.group.Heard(now, m)
-	passes, redirects, mistakes := p.group.Passes(m), p.group.Redirects(now, m), p.group.MistakenForLocal(m)
+	passes, redirects, mistakes := p.group.ShouldRelay(m), p.group.ShouldRedirect(now, m), p.group.MistakenForLocal(m)
 	p.mu.Unlock()
 	p.s.takeNews(now, m, sender.Restarted)
 	p.takeRecords(now, m)
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -271,7 +271,7 @@
 		e.behind = true
 		e.later(catchUpDelay, e.catchUp)
 	}
-	if e.group.Redirects(now, m) {
+	if e.group.ShouldRedirect(now, m) {
 		e.sendFar([]string{m.From}, 0, Redirection)
 	}
 	asked, told := e.group.Greets(now, sender.Found)
