--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -48,36 +48,36 @@
 	Limit time.Duration
 }
 
-// Shares says whether the limit leaves room for entries that don't read the store.
-func (o ReadOptions) Shares() bool { return o.Limit >= leastReadLimit }
+// AllowsSharedReads says whether the limit leaves room for entries that don't read the store.
+func (o ReadOptions) AllowsSharedReads() bool { return o.Limit >= leastReadLimit }
 
 // staleAfter is how old the freshest knowledge in a zone may be.
 func (o ReadOptions) staleAfter() time.Duration {
 	return time.Duration(staleShare * float64(o.Limit))
 }
 
-// Pause is how long a reader waits after an answer of the store before it asks again.
-func (o ReadOptions) Pause() time.Duration {
+// PollDelay is how long a reader waits after an answer of the store before it asks again.
+func (o ReadOptions) PollDelay() time.Duration {
 	return time.Duration(pauseShare * float64(o.Limit))
 }
 
-// Wait bounds how long a reader's call waits for changes: the answer shows the others that the
+// LongPollTimeout bounds how long a reader's call waits for changes: the answer shows the others that the
 // reader still reaches the store.
-func (o ReadOptions) Wait(longest time.Duration) time.Duration {
-	if !o.Shares() {
+func (o ReadOptions) LongPollTimeout(longest time.Duration) time.Duration {
+	if !o.AllowsSharedReads() {
 		return longest
 	}
-	return min(longest, o.staleAfter()-beatSlack-o.Pause())
+	return min(longest, o.staleAfter()-beatSlack-o.PollDelay())
 }
 
-// SetReading sets this entry's own options and state.
-func (g *Group) SetReading(options ReadOptions) { g.reading = options }
+// SetReadOptions sets this entry's own options and state.
+func (g *Group) SetReadOptions(options ReadOptions) { g.reading = options }
 
 // ShouldRead says whether this entry has to read the store itself: it is the first of its zone
 // that can, or what the zone's readers know is too old. All entries compute the
 // same ranks from whom they hear; where they differ, more than needed read for a while.
 func (g *Group) ShouldRead(now time.Time, self StoreState) bool {
-	if !g.reading.Shares() {
+	if !g.reading.AllowsSharedReads() {
 		return true
 	}
 	place, others := g.place(now, canRead)
@@ -117,12 +117,12 @@
 
 // Fresh says whether another entry of the zone knows what the store holds.
 func (g *Group) Fresh(now time.Time) bool {
-	return g.reading.Shares() && g.Staleness(now) <= g.reading.staleAfter()
+	return g.reading.AllowsSharedReads() && g.Staleness(now) <= g.reading.staleAfter()
 }
 
 // withList returns the entries of this zone that know what a reader of the store knows that is up to date.
 func (g *Group) withList(now time.Time) []string {
-	if !g.reading.Shares() {
+	if !g.reading.AllowsSharedReads() {
 		return nil
 	}
 	version, revision, found := uint64(0), uint64(0), false
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -15,7 +15,7 @@
 	var groups []*Group
 	for i := range count {
 		g := New(entryAt(i), "here", "i", nil)
-		g.SetReading(ReadOptions{Capacity: capacity(i), Limit: changeLimit})
+		g.SetReadOptions(ReadOptions{Capacity: capacity(i), Limit: changeLimit})
 		groups = append(groups, g)
 	}
 	for i := range groups {
@@ -119,29 +119,29 @@
 	groups := zoneGroups(4, sameCapacity)
 	tell(groups, start, 0, StoreState{Reads: true}, 1)
 	for _, g := range groups {
-		g.SetReading(ReadOptions{Capacity: 1, Limit: leastReadLimit - 1})
+		g.SetReadOptions(ReadOptions{Capacity: 1, Limit: leastReadLimit - 1})
 	}
 	require.Len(t, readersOf(groups, start), 4)
-	require.Equal(t, 2*time.Second, ReadOptions{Limit: 2 * time.Second}.Wait(2*time.Second))
-	require.Equal(t, time.Second, ReadOptions{Limit: 4 * time.Second}.Wait(2*time.Second))
+	require.Equal(t, 2*time.Second, ReadOptions{Limit: 2 * time.Second}.LongPollTimeout(2*time.Second))
+	require.Equal(t, time.Second, ReadOptions{Limit: 4 * time.Second}.LongPollTimeout(2*time.Second))
 }
 
 // A starting entry takes the list from a reader that is up to date, and from nobody else.
 func TestAStartingEntryAsksAReaderThatIsUpToDate(t *testing.T) {
 	groups := zoneGroups(3, sameCapacity)
-	_, known := groups[0].Source(start)
+	_, known := groups[0].ListSource(start)
 	require.False(t, known)
 	tell(groups, start, 1, StoreState{Reads: true, Age: time.Second}, 1)
 	tell(groups, start, 2, StoreState{Reads: true, Age: 2 * time.Second}, 1)
 	later := start.Add(400 * time.Millisecond)
-	source, known := groups[0].Source(later)
+	source, known := groups[0].ListSource(later)
 	require.True(t, known)
 	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which goes before it by rank")
 	require.Equal(t, []string{entryAt(1)}, groups[0].withList(later))
-	_, known = groups[0].Source(start.Add(time.Second))
+	_, known = groups[0].ListSource(start.Add(time.Second))
 	require.False(t, known)
 	groups[0].Awoke()
-	_, known = groups[0].Source(start)
+	_, known = groups[0].ListSource(start)
 	require.False(t, known, "what was heard before a suspension is not fresh")
 }
 
@@ -163,14 +163,14 @@
 	readersThat(func(m *Message) { m.Starting = true })
 	for _, g := range groups[startReaders:] {
 		require.False(t, g.ShouldRead(start, StoreState{}))
-		source, known := g.Source(start)
+		source, known := g.ListSource(start)
 		require.True(t, known)
 		require.NotEmpty(t, source)
 	}
 	readersThat(func(m *Message) { m.Stopping = true })
 	for i, g := range groups[startReaders:] {
 		require.Equal(t, i < readersPerZone, g.ShouldRead(start, StoreState{}))
-		_, known := g.Source(start)
+		_, known := g.ListSource(start)
 		require.False(t, known)
 	}
 }
@@ -247,7 +247,7 @@
 
 // callLength is after how long a call on a silent connection is given up: its wait, and the
 // second that the store's client allows beyond it.
-func callLength() time.Duration { return changing.Wait(2*time.Second) + time.Second }
+func callLength() time.Duration { return changing.LongPollTimeout(2*time.Second) + time.Second }
 
 // readingZone plays the entries of a zone and the store in steps of virtual time. The store
 // changes all the time; knows is up to when an entry has heard of all changes.
@@ -307,7 +307,7 @@
 		// It waits before its next call.
 	case !z.has(i, storeless):
 		// Its waiting call brings every change at once, and the next one comes after a pause.
-		z.knows[i], z.fine[i], z.asked[i], z.lost[i] = z.now, z.now, z.now+changing.Pause(), 0
+		z.knows[i], z.fine[i], z.asked[i], z.lost[i] = z.now, z.now, z.now+changing.PollDelay(), 0
 		z.tellChanges(i)
 	case z.now-z.asked[i] >= callLength():
 		z.lost[i], z.asking[i] = z.now, false
--- a/core/peering/start.go
+++ b/core/peering/start.go
@@ -18,8 +18,8 @@
 	startWait = 50 * time.Millisecond
 	// aloneWait is how long an entry that hears only others of other zones waits for those of its own.
 	aloneWait = 150 * time.Millisecond
-	// AskAgain is how often an entry that starts asks the seeds as long as it hears nobody: they may start as well.
-	AskAgain = 50 * time.Millisecond
+	// SeedRetryInterval is how often an entry that starts asks the seeds as long as it hears nobody: they may start as well.
+	SeedRetryInterval = 50 * time.Millisecond
 	// quietTime is for how long no further entry of the zone has to become known until the ranks are believed: while a zone
 	// starts each entry knows those only that have started before it.
 	quietTime = 30 * time.Millisecond
@@ -29,16 +29,16 @@
 	readTurn = 250 * time.Millisecond
 )
 
-// FirstRead says whether an entry that has started a while ago, and hears nobody who is up to date, reads the store
+// ShouldReadAtStart says whether an entry that has started a while ago, and hears nobody who is up to date, reads the store
 // itself.
-func (g *Group) FirstRead(now time.Time, since time.Duration) bool {
-	if !g.reading.Shares() {
+func (g *Group) ShouldReadAtStart(now time.Time, since time.Duration) bool {
+	if !g.reading.AllowsSharedReads() {
 		return true
 	}
 	place, others := g.place(now, func(m *member) bool { return !m.stopping && !m.store.Lost })
 	quiet := now.Sub(g.foundAt) - quietTime
 	switch {
-	case g.Lonely():
+	case g.NoPeerHeard():
 		quiet = -1
 	case others == 0:
 		quiet = now.Sub(g.heardFirst) - aloneWait
@@ -47,17 +47,17 @@
 	return waited >= 0 && place < startReaders<<min(waited/readTurn, maxTurns)
 }
 
-// Lonely says whether this entry has heard nobody yet.
-func (g *Group) Lonely() bool { return g.heardFirst.IsZero() }
+// NoPeerHeard says whether this entry has heard nobody yet.
+func (g *Group) NoPeerHeard() bool { return g.heardFirst.IsZero() }
 
 // takersPerSource is how many entries that start together take over the list from one that has it. The first ones by rank
 // take it from those that read the store, the next ones from these: a link carries a few views, whatever the size of the
 // zone, and the last entry has the list after as many turns as the logarithm of that.
 const takersPerSource = 8
 
-// Source returns an entry of this zone from which this one takes over the list as it starts; empty while it waits for that
+// ListSource returns an entry of this zone from which this one takes over the list as it starts; empty while it waits for that
 // one to have it. known is false while nobody is known to have it.
-func (g *Group) Source(now time.Time) (address string, known bool) {
+func (g *Group) ListSource(now time.Time) (address string, known bool) {
 	sources := g.withList(now)
 	if len(sources) == 0 {
 		g.listKnown = time.Time{}
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -13,7 +13,7 @@
 	var groups []*Group
 	for i := range count {
 		g := New(entryAt(i), "here", "i", nil)
-		g.SetReading(ReadOptions{Capacity: 100 - i, Limit: changeLimit})
+		g.SetReadOptions(ReadOptions{Capacity: 100 - i, Limit: changeLimit})
 		for j := range count {
 			if j != i {
 				m := zoned(entryAt(j), "here")
@@ -29,7 +29,7 @@
 func firstReaders(groups []*Group, since time.Duration) int {
 	count := 0
 	for _, g := range groups {
-		if g.FirstRead(start.Add(since), since) {
+		if g.ShouldReadAtStart(start.Add(since), since) {
 			count++
 		}
 	}
@@ -43,7 +43,7 @@
 		groups := starting(count)
 		require.Zero(t, firstReaders(groups, startWait-time.Millisecond))
 		require.Equal(t, startReaders, firstReaders(groups, startWait))
-		require.True(t, groups[0].FirstRead(start.Add(startWait), startWait), "the one with the fastest link")
+		require.True(t, groups[0].ShouldReadAtStart(start.Add(startWait), startWait), "the one with the fastest link")
 		require.Equal(t, min(count, 2*startReaders), firstReaders(groups, startWait+readTurn))
 		require.Equal(t, min(count, 8*startReaders), firstReaders(groups, startWait+3*readTurn))
 	}
@@ -58,24 +58,24 @@
 		m := zoned(entryAt(100+int(at/time.Millisecond)), "here")
 		m.Starting = true
 		g.Heard(start.Add(at), m)
-		require.False(t, g.FirstRead(start.Add(at), at))
+		require.False(t, g.ShouldReadAtStart(start.Add(at), at))
 	}
-	require.True(t, g.FirstRead(start.Add(quietLimit), quietLimit))
+	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit))
 }
 
 // An entry is the only one of its zone, or the seeds are down: it waits a little for others, and reads.
 func TestAnEntryThatHearsNoNeighbourReadsSoon(t *testing.T) {
 	g := New("self:1", "here", "i", []string{"seed:1"})
-	g.SetReading(ReadOptions{Limit: changeLimit})
-	require.True(t, g.Lonely())
-	require.False(t, g.FirstRead(start.Add(quietLimit-1), quietLimit-1))
-	require.True(t, g.FirstRead(start.Add(quietLimit), quietLimit), "nobody answers")
+	g.SetReadOptions(ReadOptions{Limit: changeLimit})
+	require.True(t, g.NoPeerHeard())
+	require.False(t, g.ShouldReadAtStart(start.Add(quietLimit-1), quietLimit-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit), "nobody answers")
 	g.Heard(start, zoned("seed:1", "there"))
-	require.False(t, g.Lonely())
-	require.False(t, g.FirstRead(start.Add(aloneWait-1), aloneWait-1))
-	require.True(t, g.FirstRead(start.Add(aloneWait), aloneWait))
-	g.SetReading(ReadOptions{Limit: leastReadLimit - 1})
-	require.True(t, g.FirstRead(start, 0), "all read where changes have to be in force so soon")
+	require.False(t, g.NoPeerHeard())
+	require.False(t, g.ShouldReadAtStart(start.Add(aloneWait-1), aloneWait-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(aloneWait), aloneWait))
+	g.SetReadOptions(ReadOptions{Limit: leastReadLimit - 1})
+	require.True(t, g.ShouldReadAtStart(start, 0), "all read where changes have to be in force so soon")
 }
 
 // Hundreds of entries start together. All of them took the list from the two that had read it, one after the other; now a
@@ -109,7 +109,7 @@
 			if has[i] {
 				continue
 			}
-			source, known := g.Source(now)
+			source, known := g.ListSource(now)
 			require.True(t, known)
 			if source != "" {
 				taken[source]++
@@ -141,10 +141,10 @@
 		}
 		g.Heard(start, m)
 	}
-	source, known := g.Source(start)
+	source, known := g.ListSource(start)
 	require.True(t, known)
 	require.Empty(t, source, "the fifth by rank does not have it yet")
 	_, level := sourcePlace(39)
-	source, _ = g.Source(start.Add(time.Duration(level) * readTurn))
+	source, _ = g.ListSource(start.Add(time.Duration(level) * readTurn))
 	require.Contains(t, []string{entryAt(0), entryAt(3)}, source)
 }
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -96,7 +96,7 @@
 // An entry that starts, and one that stops, speak for their zone only while nobody else can.
 func TestThoseThatServeSpeakFirst(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
-	g.SetReading(ReadOptions{Capacity: 1000})
+	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.Equal(t, []string{"self:1"}, g.delegates(start))
 	g.Heard(start, zoned("a:1", "here"))
 	require.Equal(t, []string{"a:1", "self:1"}, g.delegates(start))
@@ -163,7 +163,7 @@
 	require.True(t, g.ShouldRedirect(start, far))
 	require.Len(t, farMessage(g, 0).Delegates, delegatesPerZone)
 	g.Serve(true)
-	g.SetReading(ReadOptions{Capacity: 1000})
+	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.False(t, g.ShouldRedirect(start, far), "it is one")
 	near := zoned("here-0:1", "here")
 	near.Entries = 10
--- a/entry/gateway/platformloop.go
+++ b/entry/gateway/platformloop.go
@@ -77,14 +77,14 @@
 	for s.tomb.Alive() && s.readsStore(time.Now()) {
 		revision := s.position()
 		options := s.readOptions.Load()
-		changes, err := s.store.Watch(ctx, revision, options.Wait(watchWait))
+		changes, err := s.store.Watch(ctx, revision, options.LongPollTimeout(watchWait))
 		if err != nil {
 			return err
 		}
 		s.reached()
 		s.takeWatched(revision, changes)
 		s.becomeReady()
-		if !s.sleep(options.Pause()) {
+		if !s.sleep(options.PollDelay()) {
 			return nil
 		}
 	}
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -33,7 +33,7 @@
 	s.readOptions.Store(&options)
 	s.peers.mu.Lock()
 	defer s.peers.mu.Unlock()
-	s.peers.group.SetReading(options)
+	s.peers.group.SetReadOptions(options)
 }
 
 // storeState is what this entry tells others of its reading.
@@ -48,14 +48,14 @@
 // entry would otherwise read the whole list from the store, as all others do when all start. One to
 // which the list is not handed in time reads it all the same: the links of those that have it may be full.
 func (s *Server) learnFromPeers(ctx context.Context) {
-	if !s.readOptions.Load().Shares() {
+	if !s.readOptions.Load().AllowsSharedReads() {
 		return
 	}
 	began := time.Now()
 	asked := began
 	for {
 		now := time.Now()
-		if now.Sub(asked) >= peering.AskAgain {
+		if now.Sub(asked) >= peering.SeedRetryInterval {
 			asked = now
 			s.peers.askIfLonely()
 		}
@@ -77,7 +77,7 @@
 func (p *peerExchange) askIfLonely() {
 	p.mu.Lock()
 	var seeds []string
-	if p.group.Lonely() {
+	if p.group.NoPeerHeard() {
 		seeds = p.group.KnownLocal()
 	}
 	p.mu.Unlock()
@@ -88,7 +88,7 @@
 func (p *peerExchange) readsFirst(now time.Time, since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.FirstRead(now, since)
+	return p.group.ShouldReadAtStart(now, since)
 }
 
 func (p *peerExchange) shouldRead(now time.Time, self peering.StoreState) bool {
@@ -115,7 +115,7 @@
 func (p *peerExchange) source(now time.Time) (address string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.Source(now)
+	return p.group.ListSource(now)
 }
 
 // fetchFrom takes over the view of an entry of the zone; false if that fails.
@@ -133,7 +133,7 @@
 	p.mu.Lock()
 	targets := p.group.In(time.Now(), p.s.settings.Zone)
 	p.mu.Unlock()
-	if len(targets) == 0 || changes.Revision <= base || !p.s.readOptions.Load().Shares() {
+	if len(targets) == 0 || changes.Revision <= base || !p.s.readOptions.Load().AllowsSharedReads() {
 		return
 	}
 	for _, update := range p.s.updates(base, changes) {
--- a/entry/gateway/silence_test.go
+++ b/entry/gateway/silence_test.go
@@ -105,10 +105,10 @@
 	}
 	write(4 * time.Second)
 	s := New(Options{Settings: settings, SettingsPath: path, Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
-	require.True(t, s.readOptions.Load().Shares())
+	require.True(t, s.readOptions.Load().AllowsSharedReads())
 	write(2 * time.Second)
 	s.reload()
-	require.False(t, s.readOptions.Load().Shares())
+	require.False(t, s.readOptions.Load().AllowsSharedReads())
 	require.True(t, s.peers.shouldRead(time.Now(), peering.StoreState{Lost: true}))
 }
 
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -71,7 +71,7 @@
 	e.runs, e.serving, e.reads, e.behind, e.revision, e.turn = true, false, false, false, 0, 0
 	e.fine, e.began, e.asked = time.Time{}, e.now(), e.now()
 	e.group = peering.New(e.name, e.zone, strconv.Itoa(e.life), e.seeds)
-	e.group.SetReading(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.Limit})
+	e.group.SetReadOptions(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.Limit})
 	e.heartbeat()
 	e.learn()
 }
@@ -84,16 +84,16 @@
 // learn takes over what another entry knows, or reads the store.
 func (e *entry) learn() {
 	now := e.now()
-	source, known := e.group.Source(now)
+	source, known := e.group.ListSource(now)
 	switch {
 	case source != "":
 		e.fetch(source)
 		return
-	case !known && e.group.FirstRead(now, now.Sub(e.began)):
+	case !known && e.group.ShouldReadAtStart(now, now.Sub(e.began)):
 		e.fleet.result.FirstReads++
 		e.readAll()
 		return
-	case e.group.Lonely() && now.Sub(e.asked) >= peering.AskAgain:
+	case e.group.NoPeerHeard() && now.Sub(e.asked) >= peering.SeedRetryInterval:
 		e.asked = now
 		e.send(e.group.KnownLocal(), peering.Message{Asks: true}, Asking)
 	}
@@ -215,7 +215,7 @@
 		return
 	}
 	options := peering.ReadOptions{Limit: e.fleet.options.Limit}
-	wait, pause := options.Wait(2*time.Second), options.Pause()
+	wait, pause := options.LongPollTimeout(2*time.Second), options.PollDelay()
 	e.fleet.store.watch(e, wait, func(ok bool) {
 		if !ok {
 			e.reads = false
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -35,5 +35,5 @@
 	{"those that stop hand nothing on", "core/peering/readers.go", "!m.isHeard(now) || m.stopping {", "!m.isHeard(now) {", peeringPkg, "TestReadersThatDoNotServe"},
 	{"first readers are heard at once", "entry/gateway/platformloop.go", "		s.peers.tellState()\n", "", gatewayPkg, "TestFewEntriesReadAStoreThat"},
 	{"an empty store is read by few", "core/peering/readers.go", "	if m.store.Reads {\n		return m.staleness(now) <= g.reading.staleAfter()\n	}\n", "", fleetPkg, "TestFewReadAStoreThat"},
-	{"a lonely entry asks again", "core/peering/start.go", "func (g *Group) Lonely() bool { return g.heardFirst.IsZero() }", "func (g *Group) Lonely() bool { return false }", peeringPkg, "TestAnEntryThatHearsNo"},
+	{"a lonely entry asks again", "core/peering/start.go", "func (g *Group) NoPeerHeard() bool { return g.heardFirst.IsZero() }", "func (g *Group) NoPeerHeard() bool { return false }", peeringPkg, "TestAnEntryThatHearsNo"},
 }
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -55,7 +55,7 @@
 	{"a reader without the store is replaced", "core/peering/readers.go", "return !m.store.Lost && !m.stopping", "return !m.stopping", peeringPkg, "TestAReaderWithoutTheStore"},
 	{"the age of knowledge counts on", "core/peering/readers.go", "min(freshest, m.staleness(now))", "min(freshest, 0*m.store.Age)", peeringPkg, "TestEveryEntryThatIsWell"},
 	{"hosts with fast links read", "core/peering/ranks.go", "cmp.Compare(b.capacity, a.capacity), ", "", peeringPkg, "TestHostsWithFaster"},
-	{"a short limit makes all read", "core/peering/readers.go", "	if !g.reading.Shares() {\n		return true", "	if false {\n		return true", peeringPkg, "TestAShortLimit"},
+	{"a short limit makes all read", "core/peering/readers.go", "	if !g.reading.AllowsSharedReads() {\n		return true", "	if false {\n		return true", peeringPkg, "TestAShortLimit"},
 	{"a suspension ends freshness", "core/peering/readers.go", "		m.heard, m.vouched = time.Time{}, time.Time{}\n", "		_ = m\n", peeringPkg, "TestAStartingEntryAsks"},
 	{"a lost update leaves a gap", "entry/gateway/readers.go", "!s.reading && s.revision != 0 && update.Base <= s.revision", "!s.reading && s.revision != 0", gatewayPkg, "TestALostUpdate"},
 	{"updates have no gaps", "entry/gateway/readers.go", "			last.Upto = last.Servers[len(last.Servers)-1].Revision\n", "", gatewayPkg, "TestUpdatesAreTold"},
