--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -34,12 +34,12 @@
 		var messages []Message
 		for i := range entries {
 			messages = append(messages, zoned(fmt.Sprintf("e%d:1", i), "here"))
-			g.Heard(start, messages[i])
+			g.Observe(start, messages[i])
 		}
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				g.Heard(start, messages[i%entries])
+				g.Observe(start, messages[i%entries])
 			}
 		})
 	}
--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -20,10 +20,10 @@
 	toldFar = 6
 	// relaysPerZone is how many entries of another zone are told of what all its entries have to know, and pass it on.
 	relaysPerZone = 2
-	// VouchedFor is how long an entry of another zone counts as running after a neighbour of
+	// IndirectAliveFor is how long an entry of another zone counts as running after a neighbour of
 	// it has said so: they tell of a few neighbours at a time. Little hangs on it: news of a
 	// request that crosses zones go to an entry that may be gone.
-	VouchedFor = 15 * time.Second
+	IndirectAliveFor = 15 * time.Second
 	// roomFresh is how long what another zone has told of the room there holds: it is some two heartbeats old when it has
 	// been handed on.
 	roomFresh = 1500 * time.Millisecond
@@ -166,8 +166,8 @@
 
 // speakers returns the delegates of another zone that are known to run, or else all that are known to run.
 func (g *Group) speakers(now time.Time, zone string) []string {
-	running := g.In(now, zone)
-	if far := g.far[zone]; far != nil && now.Sub(far.asOf) < VouchedFor {
+	running := g.RunningIn(now, zone)
+	if far := g.far[zone]; far != nil && now.Sub(far.asOf) < IndirectAliveFor {
 		delegates := slices.DeleteFunc(slices.Clone(running), func(address string) bool { return !slices.Contains(far.delegates, address) })
 		if len(delegates) > 0 {
 			return delegates
@@ -222,7 +222,7 @@
 			continue
 		}
 		summary := ZoneSummary{Zone: zone, Entries: far.entries, Room: far.room, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
-		if running := g.In(now, zone); len(running) > 0 {
+		if running := g.RunningIn(now, zone); len(running) > 0 {
 			summary.Addresses = []string{running[turn%len(running)]}
 		}
 		summaries = append(summaries, summary)
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -33,14 +33,14 @@
 	// ForgetAfter is how long an entry that is not heard of is still sent to: a
 	// few times a partition of some ten seconds.
 	ForgetAfter = 40 * time.Second
-	// AliveAfter is how long an entry that is not heard of counts as running.
-	AliveAfter = 3 * time.Second
-	// SilentAfter is after how long an entry that is not heard of is taken for cut
+	// AliveFor is how long an entry that is not heard of counts as running.
+	AliveFor = 3 * time.Second
+	// SuspectAfter is after how long an entry that is not heard of is taken for cut
 	// off: two heartbeats were missed. It still serves its callers, unheard.
-	SilentAfter = 1200 * time.Millisecond
-	// SilentFor is how long that is believed; one that is silent for longer is more
+	SuspectAfter = 1200 * time.Millisecond
+	// FailedAfter is how long that is believed; one that is silent for longer is more
 	// likely gone. Partitions and suspensions last some seconds.
-	SilentFor = 15 * time.Second
+	FailedAfter = 15 * time.Second
 )
 
 type member struct {
@@ -177,8 +177,8 @@
 	Missed bool
 }
 
-// Heard takes in who sent a message.
-func (g *Group) Heard(now time.Time, m Message) Sender {
+// Observe takes in who sent a message.
+func (g *Group) Observe(now time.Time, m Message) Sender {
 	known := g.add(now, m.From)
 	if known == nil {
 		return Sender{}
@@ -193,7 +193,7 @@
 		g.foundAt = now
 	}
 	// Entries of other zones are heard by turns only, and book nothing of this one's.
-	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.heard) >= SilentAfter
+	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.heard) >= SuspectAfter
 	known.untold = known.untold || sender.Joined
 	sender.Missed = known.untold && !m.Starting && sender.Local
 	if sender.Missed {
@@ -261,18 +261,18 @@
 	return found
 }
 
-// Silent returns the near entries that are taken for cut off, and all near ones that take
+// Suspects returns the near entries that are taken for cut off, and all near ones that take
 // part: this one and those that are heard of or cut off.
-func (g *Group) Silent(now time.Time) (silent, all []string) {
+func (g *Group) Suspects(now time.Time) (silent, all []string) {
 	all = []string{g.self}
 	for _, address := range g.Addresses() {
 		m := g.members[address]
 		quiet := now.Sub(m.heard)
-		if !g.isNear(m) || m.heard.IsZero() || m.stopping || quiet >= SilentFor {
+		if !g.isNear(m) || m.heard.IsZero() || m.stopping || quiet >= FailedAfter {
 			continue
 		}
 		all = append(all, address)
-		if quiet >= SilentAfter {
+		if quiet >= SuspectAfter {
 			silent = append(silent, address)
 		}
 	}
@@ -322,9 +322,9 @@
 // KnownLocal returns the members that choose among the same servers as this entry, heard or not.
 func (g *Group) KnownLocal() []string { return g.pick(g.isNear) }
 
-// In returns the members of a zone that are known to run, by their own word or by that of their
+// RunningIn returns the members of a zone that are known to run, by their own word or by that of their
 // neighbours: all of the own zone, a few of another one.
-func (g *Group) In(now time.Time, zone string) []string {
+func (g *Group) RunningIn(now time.Time, zone string) []string {
 	return g.pick(func(m *member) bool { return m.zone == zone && m.runs(now) })
 }
 
@@ -337,12 +337,12 @@
 }
 
 func (m *member) isHeard(now time.Time) bool {
-	return !m.heard.IsZero() && now.Sub(m.heard) < AliveAfter
+	return !m.heard.IsZero() && now.Sub(m.heard) < AliveFor
 }
 
 // runs says whether a member is heard, or a neighbour of it says that it is.
 func (m *member) runs(now time.Time) bool {
-	return m.isHeard(now) || !m.vouched.IsZero() && now.Sub(m.vouched) < VouchedFor
+	return m.isHeard(now) || !m.vouched.IsZero() && now.Sub(m.vouched) < IndirectAliveFor
 }
 
 // pick returns the addresses of the members for which a condition holds, in a fixed order.
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -17,10 +17,10 @@
 	g := New("c:1", "here", "i", []string{"a:1", "c:1"})
 	require.Equal(t, []string{"a:1"}, g.Addresses())
 	require.Empty(t, g.Alive(start), "a seed may be stale")
-	g.Heard(start, message("a:1", "x", 1, 1, "b:1", "c:1"))
+	g.Observe(start, message("a:1", "x", 1, 1, "b:1", "c:1"))
 	require.Equal(t, []string{"a:1", "b:1"}, g.Addresses())
 	require.Equal(t, []string{"a:1"}, g.Alive(start))
-	require.Empty(t, g.Alive(start.Add(AliveAfter)))
+	require.Empty(t, g.Alive(start.Add(AliveFor)))
 }
 
 // The dispatches of an entry that was killed would stay booked and keep others off
@@ -28,7 +28,7 @@
 func TestANewStartOfAnEntryIsNoticed(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	heard := func(incarnation string) bool {
-		return g.Heard(start, message("a:1", incarnation, 1, 1)).Restarted
+		return g.Observe(start, message("a:1", incarnation, 1, 1)).Restarted
 	}
 	require.False(t, heard("x"))
 	require.False(t, heard("x"))
@@ -39,12 +39,12 @@
 func TestAnEntryThatMissedNewsIsNoticed(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	missed := func(after time.Duration, incarnation string) bool {
-		return g.Heard(start.Add(after), message("a:1", incarnation, 1, 1)).Missed
+		return g.Observe(start.Add(after), message("a:1", incarnation, 1, 1)).Missed
 	}
 	require.True(t, missed(0, "x"), "it was never heard of")
 	require.False(t, missed(HeartbeatInterval, "x"))
-	require.True(t, missed(HeartbeatInterval+SilentAfter, "x"))
-	require.True(t, missed(HeartbeatInterval+SilentAfter, "y"), "it has started anew")
+	require.True(t, missed(HeartbeatInterval+SuspectAfter, "x"))
+	require.True(t, missed(HeartbeatInterval+SuspectAfter, "y"), "it has started anew")
 }
 
 // A starting entry knows no servers yet and could not book what it is told. It is told
@@ -53,10 +53,10 @@
 	g := New("c:1", "here", "i", nil)
 	starting := message("a:1", "x", 1, 1)
 	starting.Starting = true
-	require.Equal(t, Sender{Joined: true, Local: true}, g.Heard(start, starting))
-	require.Equal(t, Sender{Local: true}, g.Heard(start, starting), "it joins once")
-	require.Equal(t, Sender{Missed: true, Local: true}, g.Heard(start, message("a:1", "x", 1, 1)))
-	require.Equal(t, Sender{Local: true}, g.Heard(start, message("a:1", "x", 1, 1)))
+	require.Equal(t, Sender{Joined: true, Local: true}, g.Observe(start, starting))
+	require.Equal(t, Sender{Local: true}, g.Observe(start, starting), "it joins once")
+	require.Equal(t, Sender{Missed: true, Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
+	require.Equal(t, Sender{Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
 }
 
 // An entry is cut off and goes on serving its callers. The others take it for silent
@@ -64,17 +64,17 @@
 // it stops is not missed.
 func TestSilentEntriesAreThoseThatMayStillServe(t *testing.T) {
 	g := New("c:1", "here", "i", []string{"never:1"})
-	g.Heard(start, message("a:1", "x", 1, 1))
+	g.Observe(start, message("a:1", "x", 1, 1))
 	stopping := message("b:1", "x", 1, 1)
 	stopping.Stopping = true
-	g.Heard(start, stopping)
-	silent, all := g.Silent(start.Add(SilentAfter - time.Millisecond))
+	g.Observe(start, stopping)
+	silent, all := g.Suspects(start.Add(SuspectAfter - time.Millisecond))
 	require.Empty(t, silent)
 	require.ElementsMatch(t, []string{"a:1", "c:1"}, all)
-	silent, all = g.Silent(start.Add(SilentAfter))
+	silent, all = g.Suspects(start.Add(SuspectAfter))
 	require.Equal(t, []string{"a:1"}, silent)
 	require.ElementsMatch(t, []string{"a:1", "c:1"}, all)
-	silent, all = g.Silent(start.Add(SilentFor))
+	silent, all = g.Suspects(start.Add(FailedAfter))
 	require.Empty(t, silent)
 	require.Equal(t, []string{"c:1"}, all)
 }
@@ -83,7 +83,7 @@
 // retries; forgetting it must not raise the parts of the others.
 func TestTheSizeNeverShrinks(t *testing.T) {
 	g := New("c:1", "here", "i", []string{"a:1"})
-	g.Heard(start, message("b:1", "x", 1, 1))
+	g.Observe(start, message("b:1", "x", 1, 1))
 	require.Equal(t, 3, g.Size())
 	g.Forget(start.Add(ForgetAfter + time.Second))
 	require.Equal(t, []string{"a:1"}, g.Addresses(), "seeds are kept")
@@ -92,8 +92,8 @@
 
 func TestTheNewestViewIsFetched(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
-	g.Heard(start, message("a:1", "x", 4, 9))
-	g.Heard(start, message("b:1", "x", 5, 7))
+	g.Observe(start, message("a:1", "x", 4, 9))
+	g.Observe(start, message("b:1", "x", 5, 7))
 	peer, ok := g.Newer(start, 4, 8, false)
 	require.True(t, ok)
 	require.Equal(t, "b:1", peer)
@@ -102,7 +102,7 @@
 	peer, ok = g.Newer(start, 5, 8, true)
 	require.True(t, ok, "the list of servers is newer there")
 	require.Equal(t, "a:1", peer)
-	_, ok = g.Newer(start.Add(AliveAfter), 0, 0, true)
+	_, ok = g.Newer(start.Add(AliveFor), 0, 0, true)
 	require.False(t, ok, "nobody is heard")
 }
 
@@ -111,7 +111,7 @@
 func TestAllAreToldOfAllByTurns(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
 	for _, address := range named("e", 28) {
-		g.Heard(start, zoned(address, "here"))
+		g.Observe(start, zoned(address, "here"))
 	}
 	had := map[string]bool{}
 	for turn := range 14 {
@@ -126,7 +126,7 @@
 	for _, address := range named("e", 27) {
 		agrees := zoned(address, "here")
 		agrees.Sum = g.Sum(start)
-		g.Heard(start, agrees)
+		g.Observe(start, agrees)
 	}
 	for turn := range 14 {
 		require.Equal(t, named("e", 28)[27:], g.Heartbeat(start, turn).WithMembers)
@@ -139,14 +139,14 @@
 func TestEntriesThatHearTheSameTellTheSameSum(t *testing.T) {
 	a, b := New("a:1", "here", "i", nil), New("b:1", "here", "i", nil)
 	for _, address := range named("e", 5) {
-		a.Heard(start, zoned(address, "here"))
-		b.Heard(start, zoned(address, "here"))
+		a.Observe(start, zoned(address, "here"))
+		b.Observe(start, zoned(address, "here"))
 	}
 	require.NotEqual(t, a.Sum(start), b.Sum(start), "they have not heard each other")
-	a.Heard(start, zoned("b:1", "here"))
-	b.Heard(start, zoned("a:1", "here"))
+	a.Observe(start, zoned("b:1", "here"))
+	b.Observe(start, zoned("a:1", "here"))
 	require.Equal(t, a.Sum(start), b.Sum(start))
-	b.Heard(start, zoned("more:1", "here"))
+	b.Observe(start, zoned("more:1", "here"))
 	require.NotEqual(t, a.Sum(start), b.Sum(start))
 }
 
@@ -163,26 +163,26 @@
 	g := New("c:1", "here", "i", []string{"never:1"})
 	_, ok := g.NextServing(start, limit)
 	require.False(t, ok, "nobody else is known")
-	g.Heard(start, stopping("a:1"))
-	g.Heard(start.Add(2*time.Second), stopping("b:1"))
-	g.Heard(start.Add(2*time.Second), stopping("a:1"))
+	g.Observe(start, stopping("a:1"))
+	g.Observe(start.Add(2*time.Second), stopping("b:1"))
+	g.Observe(start.Add(2*time.Second), stopping("a:1"))
 	wait, ok := g.NextServing(start.Add(3*time.Second), limit)
 	require.True(t, ok)
 	require.Equal(t, 5*time.Second+StartTime+BalancerTime, wait, "the first stop ends first")
 
 	starting := message("a:1", "y", 1, 1)
 	starting.Starting = true
-	g.Heard(start.Add(4*time.Second), starting)
+	g.Observe(start.Add(4*time.Second), starting)
 	wait, _ = g.NextServing(start.Add(4*time.Second), limit)
 	require.Equal(t, StartTime+BalancerTime, wait)
 	serving := start.Add(4500 * time.Millisecond)
-	g.Heard(serving, message("a:1", "y", 1, 1))
+	g.Observe(serving, message("a:1", "y", 1, 1))
 	wait, _ = g.NextServing(serving, limit)
 	require.Equal(t, BalancerTime, wait, "the balancer has not noticed yet")
-	g.Heard(serving.Add(BalancerTime), message("a:1", "y", 1, 1))
+	g.Observe(serving.Add(BalancerTime), message("a:1", "y", 1, 1))
 	wait, _ = g.NextServing(serving.Add(BalancerTime), limit)
 	require.Zero(t, wait)
-	g.Heard(start.Add(6*time.Second), stopping("a:1"))
+	g.Observe(start.Add(6*time.Second), stopping("a:1"))
 	wait, _ = g.NextServing(start.Add(6*time.Second), limit)
 	require.Equal(t, 4*time.Second+StartTime+BalancerTime, wait, "the other one's stop ends first")
 }
--- a/core/peering/ranks.go
+++ b/core/peering/ranks.go
@@ -36,7 +36,7 @@
 // candidates calls for each entry of the own zone that is heard and for which a condition holds.
 func (g *Group) candidates(now time.Time, holds func(*member) bool, call func(standing)) {
 	for _, m := range g.members {
-		if m.zone == g.zone && !m.heard.IsZero() && now.Sub(m.heard) < SilentAfter && holds(m) {
+		if m.zone == g.zone && !m.heard.IsZero() && now.Sub(m.heard) < SuspectAfter && holds(m) {
 			call(g.standingOf(m))
 		}
 	}
--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -148,9 +148,9 @@
 	return !m.serving.IsZero()
 }
 
-// Awoke forgets when others were heard: this process was suspended, and its clock stood
+// ResetLiveness forgets when others were heard: this process was suspended, and its clock stood
 // still meanwhile. What they knew then counts as fresh no more.
-func (g *Group) Awoke() {
+func (g *Group) ResetLiveness() {
 	for _, m := range g.members {
 		m.heard, m.vouched = time.Time{}, time.Time{}
 	}
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -23,7 +23,7 @@
 		m.Capacity = capacity(i)
 		for j := range groups {
 			if i != j {
-				groups[j].Heard(start, m)
+				groups[j].Observe(start, m)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 	m.SetStore(state)
 	for j, g := range groups {
 		if i != j {
-			g.Heard(now, m)
+			g.Observe(now, m)
 		}
 	}
 }
@@ -109,9 +109,9 @@
 			tell(groups, start.Add(at), i, StoreState{}, 10-i)
 		}
 	}
-	require.False(t, groups[1].ShouldRead(start.Add(SilentAfter-time.Millisecond), StoreState{}))
-	require.True(t, groups[1].ShouldRead(start.Add(SilentAfter), StoreState{}))
-	require.False(t, groups[2].ShouldRead(start.Add(SilentAfter), StoreState{}))
+	require.False(t, groups[1].ShouldRead(start.Add(SuspectAfter-time.Millisecond), StoreState{}))
+	require.True(t, groups[1].ShouldRead(start.Add(SuspectAfter), StoreState{}))
+	require.False(t, groups[2].ShouldRead(start.Add(SuspectAfter), StoreState{}))
 }
 
 // Below a bound there is no time to find out that readers are gone.
@@ -140,7 +140,7 @@
 	require.Equal(t, []string{entryAt(1)}, groups[0].withList(later))
 	_, known = groups[0].ListSource(start.Add(time.Second))
 	require.False(t, known)
-	groups[0].Awoke()
+	groups[0].ResetLiveness()
 	_, known = groups[0].ListSource(start)
 	require.False(t, known, "what was heard before a suspension is not fresh")
 }
@@ -156,7 +156,7 @@
 				m.Capacity = 10 - reader
 				m.SetStore(StoreState{Reads: true})
 				change(&m)
-				g.Heard(start, m)
+				g.Observe(start, m)
 			}
 		}
 	}
@@ -181,15 +181,15 @@
 	g := zoneGroups(2, sameCapacity)[0]
 	far := zoned("far:1", "there")
 	far.Version, far.Revision = 7, 70
-	g.Heard(start, far)
+	g.Observe(start, far)
 	near := zoned(entryAt(1), "here")
 	near.Version, near.Revision = 1, 1
 	near.SetStore(StoreState{Reads: true})
-	g.Heard(start, near)
+	g.Observe(start, near)
 	_, ok := g.Newer(start, 1, 1, true)
 	require.False(t, ok)
 	near.Version = 2
-	g.Heard(start, near)
+	g.Observe(start, near)
 	peer, ok := g.Newer(start, 1, 1, true)
 	require.True(t, ok)
 	require.Equal(t, entryAt(1), peer)
@@ -316,7 +316,7 @@
 		m := zoned(entryAt(i), "here")
 		m.Capacity = sameCapacity(i)
 		m.SetStore(z.state(i))
-		z.send(i, func(j int) { z.groups[j].Heard(z.clock(), m) })
+		z.send(i, func(j int) { z.groups[j].Observe(z.clock(), m) })
 	}
 }
 
--- a/core/peering/records_test.go
+++ b/core/peering/records_test.go
@@ -13,7 +13,7 @@
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
 	require.False(t, g.TellRecords(now, "b"), "an entry that is not known")
-	g.Heard(now, Message{From: "b", Incarnation: "1"})
+	g.Observe(now, Message{From: "b", Incarnation: "1"})
 	require.True(t, g.TellRecords(now, "b"))
 	require.False(t, g.TellRecords(now.Add(recordsAgain-1), "b"))
 	require.True(t, g.TellRecords(now.Add(recordsAgain), "b"))
@@ -25,10 +25,10 @@
 func TestARestartedEntryIsToldRecordsAtOnce(t *testing.T) {
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
-	g.Heard(now, Message{From: "b", Incarnation: "1"})
+	g.Observe(now, Message{From: "b", Incarnation: "1"})
 	require.True(t, g.TellRecords(now, "b"))
 	now = now.Add(300 * time.Millisecond)
 	require.False(t, g.TellRecords(now, "b"))
-	g.Heard(now, Message{From: "b", Incarnation: "2"})
+	g.Observe(now, Message{From: "b", Incarnation: "2"})
 	require.True(t, g.TellRecords(now, "b"))
 }
--- a/core/peering/return.go
+++ b/core/peering/return.go
@@ -24,9 +24,9 @@
 	case m.stopping:
 		return max(m.stopped.Add(limit).Sub(now), 0) + StartTime + BalancerTime, quiet < limit+StartTime
 	case m.serving.IsZero():
-		return StartTime + BalancerTime, quiet < AliveAfter
+		return StartTime + BalancerTime, quiet < AliveFor
 	}
-	return max(m.serving.Add(BalancerTime).Sub(now), 0), quiet < AliveAfter
+	return max(m.serving.Add(BalancerTime).Sub(now), 0), quiet < AliveFor
 }
 
 const (
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -18,7 +18,7 @@
 			if j != i {
 				m := zoned(entryAt(j), "here")
 				m.Starting, m.Capacity = true, 100-j
-				g.Heard(start, m)
+				g.Observe(start, m)
 			}
 		}
 		groups = append(groups, g)
@@ -57,7 +57,7 @@
 	for at := 10 * time.Millisecond; at < quietLimit; at += 10 * time.Millisecond {
 		m := zoned(entryAt(100+int(at/time.Millisecond)), "here")
 		m.Starting = true
-		g.Heard(start.Add(at), m)
+		g.Observe(start.Add(at), m)
 		require.False(t, g.ShouldReadAtStart(start.Add(at), at))
 	}
 	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit))
@@ -70,7 +70,7 @@
 	require.True(t, g.NoPeerHeard())
 	require.False(t, g.ShouldReadAtStart(start.Add(quietLimit-1), quietLimit-1))
 	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit), "nobody answers")
-	g.Heard(start, zoned("seed:1", "there"))
+	g.Observe(start, zoned("seed:1", "there"))
 	require.False(t, g.NoPeerHeard())
 	require.False(t, g.ShouldReadAtStart(start.Add(aloneWait-1), aloneWait-1))
 	require.True(t, g.ShouldReadAtStart(start.Add(aloneWait), aloneWait))
@@ -93,7 +93,7 @@
 		}
 		for j, g := range groups {
 			if j != i {
-				g.Heard(now, m)
+				g.Observe(now, m)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 		if i == 0 {
 			m.SetStore(StoreState{Reads: true})
 		}
-		g.Heard(start, m)
+		g.Observe(start, m)
 	}
 	source, known := g.ListSource(start)
 	require.True(t, known)
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -21,7 +21,7 @@
 	g.Divide(true)
 	for _, zone := range zones {
 		for i := range each {
-			g.Heard(start, zoned(fmt.Sprintf("%s-%d:1", zone, i), zone))
+			g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, i), zone))
 		}
 	}
 	return g
@@ -32,8 +32,8 @@
 func TestNewsStayWithinAZone(t *testing.T) {
 	g := dividedGroup([]string{"here", "there", "yonder"}, 4)
 	require.Equal(t, []string{"here-0:1", "here-1:1", "here-2:1", "here-3:1"}, g.Local(start))
-	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1", "there-3:1"}, g.In(start, "there"))
-	g.Heard(start, message("old:1", "x", 1, 1))
+	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1", "there-3:1"}, g.RunningIn(start, "there"))
+	g.Observe(start, message("old:1", "x", 1, 1))
 	require.Contains(t, g.Local(start), "old:1", "an entry of a version that tells no zone may use any server")
 	g.Divide(false)
 	require.Len(t, g.Local(start), 13)
@@ -57,9 +57,9 @@
 			g.Serve(true)
 			for _, zone := range []string{"there", "yonder"} {
 				for j := range 4 {
-					g.Heard(start, zoned(fmt.Sprintf("%s-%d:1", zone, j), zone))
+					g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, j), zone))
 				}
-				g.Heard(start, Message{From: zone + "-0:1", Zone: zone, Entries: 4, Delegates: []string{zone + "-0:1", zone + "-2:1"}})
+				g.Observe(start, Message{From: zone + "-0:1", Zone: zone, Entries: 4, Delegates: []string{zone + "-0:1", zone + "-2:1"}})
 			}
 			heard := map[string]bool{}
 			for turn := range 2 {
@@ -84,9 +84,9 @@
 	for _, g := range groups {
 		g.Divide(true)
 		g.Serve(true)
-		g.Heard(start, zoned("there-0:1", "there"))
+		g.Observe(start, zoned("there-0:1", "there"))
 	}
-	later := start.Add(SilentAfter)
+	later := start.Add(SuspectAfter)
 	tell(groups, later, 2, StoreState{}, 98)
 	tell(groups, later, 3, StoreState{}, 97)
 	require.Len(t, groups[2].Heartbeat(later, 0).Remote, 1)
@@ -98,9 +98,9 @@
 	g := New("self:1", "here", "i", nil)
 	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.Equal(t, []string{"self:1"}, g.delegates(start))
-	g.Heard(start, zoned("a:1", "here"))
+	g.Observe(start, zoned("a:1", "here"))
 	require.Equal(t, []string{"a:1", "self:1"}, g.delegates(start))
-	g.Heard(start, zoned("b:1", "here"))
+	g.Observe(start, zoned("b:1", "here"))
 	require.ElementsMatch(t, []string{"a:1", "b:1"}, g.delegates(start))
 	g.Serve(true)
 	require.Equal(t, "self:1", g.delegates(start)[0])
@@ -110,18 +110,18 @@
 // there are: they share its budgets.
 func TestFewEntriesOfAnotherZoneAreKnown(t *testing.T) {
 	g := dividedGroup([]string{"here"}, 1)
-	g.Heard(start, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: named("there-", 200)}))
-	require.Len(t, g.In(start, "there"), farMembers)
+	g.Observe(start, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: named("there-", 200)}))
+	require.Len(t, g.RunningIn(start, "there"), farMembers)
 	require.Equal(t, farMembers+2, g.Size())
 	m := zoned("there-0:1", "there")
 	m.Entries = 200
-	g.Heard(start, m)
+	g.Observe(start, m)
 	require.Equal(t, 202, g.Size())
 	m.Entries = 3
-	g.Heard(start, m)
+	g.Observe(start, m)
 	require.Equal(t, 202, g.Size(), "those that can't be heard keep their parts")
-	g.Heard(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: named("here:", 100)}))
-	require.Len(t, g.In(start, "here"), 101, "all of the own zone are known")
+	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: named("here:", 100)}))
+	require.Len(t, g.RunningIn(start, "here"), 101, "all of the own zone are known")
 }
 
 // Entries that don't speak with other zones themselves hear from those that do where there is room, how many entries there
@@ -132,12 +132,12 @@
 	m := zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1"}})
 	m.Entries, m.Delegates = 70, []string{"there-0:1", "there-1:1"}
 	m.SetRoom(0.6)
-	delegate.Heard(start, m)
+	delegate.Observe(start, m)
 	handed := zoned("self:1", "here")
 	handed.Zones = delegate.RemoteSummaries(start.Add(300*time.Millisecond), 0)
 	require.Len(t, handed.Zones, 1)
 	later := start.Add(time.Second)
-	g.Heard(later, handed)
+	g.Observe(later, handed)
 	address, room, ok := g.Roomiest(later)
 	require.True(t, ok)
 	require.Contains(t, []string{"there-0:1", "there-1:1"}, address)
@@ -149,7 +149,7 @@
 	require.Empty(t, delegate.RemoteSummaries(start.Add(handedOnFor), 0), "it is old by now")
 	older := handed
 	older.Zones[0].Age, older.Zones[0].Entries = 2000, 1
-	g.Heard(later, older)
+	g.Observe(later, older)
 	require.Equal(t, 70, g.far["there"].entries)
 }
 
@@ -189,7 +189,7 @@
 func TestNewsCrossZonesThroughRelays(t *testing.T) {
 	g := dividedGroup([]string{"there"}, 10)
 	require.Len(t, g.Relays(start, "there"), relaysPerZone)
-	g.Heard(start, Message{From: "there-0:1", Zone: "there", Entries: 10, Delegates: []string{"there-4:1", "there-7:1"}})
+	g.Observe(start, Message{From: "there-0:1", Zone: "there", Entries: 10, Delegates: []string{"there-4:1", "there-7:1"}})
 	require.ElementsMatch(t, []string{"there-4:1", "there-7:1"}, g.Relays(start, "there"))
 	require.True(t, g.ShouldRelay(Message{From: "there-1:1", Zone: "there", Relay: true}))
 	require.False(t, g.ShouldRelay(Message{From: "here-1:1", Zone: "here", Relay: true}), "it would be passed round")
@@ -200,12 +200,12 @@
 // it runs; when they stop saying so, it is taken for gone.
 func TestNeighboursVouchForAnEntry(t *testing.T) {
 	g := dividedGroup([]string{"there"}, 2)
-	later := start.Add(AliveAfter)
-	require.Empty(t, g.In(later, "there"))
-	g.Heard(later, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1", "there-2:1"}}))
-	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1"}, g.In(later, "there"))
+	later := start.Add(AliveFor)
+	require.Empty(t, g.RunningIn(later, "there"))
+	g.Observe(later, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1", "there-2:1"}}))
+	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1"}, g.RunningIn(later, "there"))
 	require.Equal(t, "there", g.Zone("there-2:1"))
-	require.Empty(t, g.In(later.Add(VouchedFor), "there"))
+	require.Empty(t, g.RunningIn(later.Add(IndirectAliveFor), "there"))
 	require.Empty(t, g.Zone("nobody:1"))
 }
 
@@ -213,8 +213,8 @@
 // its own zone only whom it hears itself.
 func TestADeadEntryIsNotKeptAliveByWord(t *testing.T) {
 	g := dividedGroup([]string{"here"}, 2)
-	later := start.Add(AliveAfter)
-	g.Heard(later, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}))
+	later := start.Add(AliveFor)
+	g.Observe(later, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}))
 	told := []ZoneMembers{{Zone: "here", Addresses: []string{"self:1", "here-0:1"}}}
 	var m Message
 	g.FillRemoteHeartbeat(later, 0, &m)
@@ -265,10 +265,10 @@
 func TestAStartingEntryFindsItsNeighboursThroughAnotherZone(t *testing.T) {
 	seed := New("there-0:1", "there", "i", nil)
 	seed.Divide(true)
-	seed.Heard(start, zoned("here-0:1", "here"))
-	seed.Heard(start, zoned("here-1:1", "here"))
+	seed.Observe(start, zoned("here-0:1", "here"))
+	seed.Observe(start, zoned("here-1:1", "here"))
 	for _, address := range named("there-", 40) {
-		seed.Heard(start, zoned(address, "there"))
+		seed.Observe(start, zoned(address, "there"))
 	}
 	g := New("self:1", "here", "i", []string{"there-0:1"})
 	require.Equal(t, []string{"there-0:1"}, g.Heartbeat(start, 0).Local, "the seed's zone is not known yet")
@@ -276,25 +276,25 @@
 	answer := seed.Answer(start, "here")
 	require.Equal(t, ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}, answer[0])
 	require.Len(t, answer[1].Addresses, farMembers, "a few of other zones")
-	sender := g.Heard(start, zoned("there-0:1", "there", answer...))
+	sender := g.Observe(start, zoned("there-0:1", "there", answer...))
 	require.Equal(t, []string{"here-0:1", "here-1:1"}, sender.Found)
 	asked, told := g.Greets(start, sender.Found)
 	require.Equal(t, []string{"here-0:1"}, asked)
 	require.Equal(t, []string{"here-1:1"}, told)
 	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.Heartbeat(start, 1).Local)
-	g.Heard(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
+	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
 	require.False(t, g.Asks(start), "a neighbour has told")
 	asked, told = g.Greets(start, []string{"here-2:1"})
 	require.Empty(t, asked)
 	require.Equal(t, []string{"here-2:1"}, told)
-	require.True(t, g.Asks(start.Add(AliveAfter)), "it hears nobody any more")
+	require.True(t, g.Asks(start.Add(AliveFor)), "it hears nobody any more")
 }
 
 // All entries start at once, or share all servers: an answer holds all.
 func TestWhereAllShareAllServersAllAreTold(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
 	for _, address := range named("there-", 40) {
-		g.Heard(start, zoned(address, "there"))
+		g.Observe(start, zoned(address, "there"))
 	}
 	require.Len(t, g.Answer(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
 	g.Divide(false)
@@ -306,13 +306,13 @@
 // be avoided; taken for joined at each heartbeat, they would be sent all that is open.
 func TestAFarEntryIsNeitherSilentNorJoinsAnew(t *testing.T) {
 	g := dividedGroup([]string{"here", "there"}, 1)
-	later := start.Add(SilentAfter + time.Second)
-	silent, all := g.Silent(later)
+	later := start.Add(SuspectAfter + time.Second)
+	silent, all := g.Suspects(later)
 	require.Equal(t, []string{"here-0:1"}, silent)
 	require.Equal(t, []string{"self:1", "here-0:1"}, all)
-	require.Equal(t, Sender{}, g.Heard(later, zoned("there-0:1", "there")))
-	require.Equal(t, Sender{Joined: true, Local: true, Missed: true}, g.Heard(later, zoned("here-0:1", "here")))
+	require.Equal(t, Sender{}, g.Observe(later, zoned("there-0:1", "there")))
+	require.Equal(t, Sender{Joined: true, Local: true, Missed: true}, g.Observe(later, zoned("here-0:1", "here")))
 	again := zoned("there-0:1", "there")
 	again.Incarnation = "y"
-	require.True(t, g.Heard(later, again).Restarted)
+	require.True(t, g.Observe(later, again).Restarted)
 }
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -34,7 +34,7 @@
 	beat := p.group.Heartbeat(now, turn)
 	near.Asks, near.Sum, near.Zones = p.group.Asks(now), p.group.Sum(now), p.group.RemoteSummaries(now, turn)
 	listed := p.group.Listed(now)
-	silent, _ = p.group.Silent(now)
+	silent, _ = p.group.Suspects(now)
 	p.mu.Unlock()
 	p.send(beat.Local, near)
 	p.sendMembers(beat.WithMembers, listed)
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -40,7 +40,7 @@
 	w.eventually("the servers are divided", func() bool {
 		there.peers.mu.Lock()
 		defer there.peers.mu.Unlock()
-		return there.peers.group.Divided() && len(there.peers.group.In(time.Now(), "here")) == 1
+		return there.peers.group.Divided() && len(there.peers.group.RunningIn(time.Now(), "here")) == 1
 	})
 	return here, there
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -94,7 +94,7 @@
 	s := w.serve()
 	const other = "127.0.0.1:1"
 	s.peers.mu.Lock()
-	s.peers.group.Heard(time.Now().Add(-peering.SilentAfter), peering.Message{From: other, Incarnation: "x"})
+	s.peers.group.Observe(time.Now().Add(-peering.SuspectAfter), peering.Message{From: other, Incarnation: "x"})
 	s.peers.mu.Unlock()
 	own := 0
 	owners := peering.Owners([]string{s.settings.PeerAddress, other}, []string{"i-0", "i-1", "i-2", "i-3"})
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -254,7 +254,7 @@
 
 func (p *peerExchange) take(now time.Time, m peering.Message) {
 	p.mu.Lock()
-	sender := p.group.Heard(now, m)
+	sender := p.group.Observe(now, m)
 	passes, redirects, mistakes := p.group.ShouldRelay(m), p.group.ShouldRedirect(now, m), p.group.MistakenForLocal(m)
 	p.mu.Unlock()
 	p.s.takeNews(now, m, sender.Restarted)
@@ -293,7 +293,7 @@
 // entries are heard.
 func (p *peerExchange) unheard(now time.Time, servers []directory.Server) map[string]bool {
 	p.mu.Lock()
-	silent, all := p.group.Silent(now)
+	silent, all := p.group.Suspects(now)
 	p.mu.Unlock()
 	if len(silent) == 0 {
 		return nil
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -108,7 +108,7 @@
 func (p *peerExchange) awoke() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Awoke()
+	p.group.ResetLiveness()
 }
 
 // source returns an entry of the zone from which this one takes over the list of servers as it starts.
@@ -131,7 +131,7 @@
 // is fetched by those that see the higher version.
 func (p *peerExchange) tellChanges(base uint64, changes platform.Changes) {
 	p.mu.Lock()
-	targets := p.group.In(time.Now(), p.s.settings.Zone)
+	targets := p.group.RunningIn(time.Now(), p.s.settings.Zone)
 	p.mu.Unlock()
 	if len(targets) == 0 || changes.Revision <= base || !p.s.readOptions.Load().AllowsSharedReads() {
 		return
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -234,7 +234,7 @@
 // tellChange tells the zone of a change of one row.
 func (e *entry) tellChange() {
 	update := &peering.Update{Base: e.revision - 1, Upto: e.revision}
-	e.send(e.group.In(e.now(), e.zone), peering.Message{Update: update}, Updating)
+	e.send(e.group.RunningIn(e.now(), e.zone), peering.Message{Update: update}, Updating)
 }
 
 func (e *entry) state() peering.StoreState {
@@ -262,7 +262,7 @@
 	}
 	now := e.now()
 	e.fleet.result.received(e)
-	sender := e.group.Heard(now, m)
+	sender := e.group.Observe(now, m)
 	if m.Update != nil && m.Update.Upto > e.revision && e.revision > 0 {
 		e.revision = m.Update.Upto
 		e.fleet.result.learned(e, e.revision)
--- a/proof/fleet/result.go
+++ b/proof/fleet/result.go
@@ -132,7 +132,7 @@
 		if !e.serving {
 			r.NotServing++
 		}
-		r.Apart += max(zones[e.zone]-1-len(e.group.In(f.clock.Now, e.zone)), 0)
+		r.Apart += max(zones[e.zone]-1-len(e.group.RunningIn(f.clock.Now, e.zone)), 0)
 		r.Known = max(r.Known, len(e.group.Addresses()))
 		r.SmallSize, r.LargeSize = min(r.SmallSize, e.group.Size()), max(r.LargeSize, e.group.Size())
 	}
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -7,7 +7,7 @@
 var fleetMutations = []mutation{
 	{"two entries speak for a zone", "core/peering/beats.go", "	if g.isDelegate(now) {\n", "	if true {\n", peeringPkg, "TestTwoEntriesOfAZoneSpeak"},
 	{"what crosses zones does not grow", "core/peering/beats.go", "	if g.isDelegate(now) {\n", "	if true {\n", fleetPkg, "TestWhatAnEntrySends"},
-	{"delegates are replaced", "core/peering/ranks.go", "!m.heard.IsZero() && now.Sub(m.heard) < SilentAfter && holds(m)", "!m.heard.IsZero() && holds(m)", peeringPkg, "TestDelegatesAreReplaced"},
+	{"delegates are replaced", "core/peering/ranks.go", "!m.heard.IsZero() && now.Sub(m.heard) < SuspectAfter && holds(m)", "!m.heard.IsZero() && holds(m)", peeringPkg, "TestDelegatesAreReplaced"},
 	{"those that serve speak first", "core/peering/far.go", "	delegates := g.firstOf(now, g.serves, func(m *member) bool { return !m.serving.IsZero() })\n", "	var delegates []string\n", peeringPkg, "TestThoseThatServe"},
 	{"few of another zone are known", "core/peering/group.go", "			if isNew && g.hasEnough(now, told.Zone) {\n				continue\n			}\n", "", peeringPkg, "TestFewEntriesOfAnotherZone"},
 	{"budgets are divided among all zones", "core/peering/group.go", "max(far.entries-known[zone], 0)", "0*max(far.entries-known[zone], 0)", peeringPkg, "TestFewEntriesOfAnotherZone"},
