--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -51,7 +51,7 @@
 	if isFar {
 		told := g.farZone(m.Zone)
 		told.direct = now
-		told.take(now, m.Entries, m.Room, m.Delegates)
+		told.take(now, m.Entries, m.SpareCapacity, m.Delegates)
 	}
 	for _, summary := range m.Zones {
 		if m.Zone == g.zone && summary.Zone != g.zone && summary.Zone != "" {
@@ -64,7 +64,7 @@
 // takeSummary takes in what a near entry hands on.
 func (g *Group) takeSummary(now time.Time, summary ZoneSummary) {
 	asOf := now.Add(-time.Duration(summary.Age) * time.Millisecond)
-	g.farZone(summary.Zone).take(asOf, summary.Entries, summary.Room, summary.Delegates)
+	g.farZone(summary.Zone).take(asOf, summary.Entries, summary.SpareCapacity, summary.Delegates)
 	for _, address := range slices.Concat(summary.Delegates, summary.Addresses) {
 		if m := g.addFar(now, summary.Zone, address); m != nil {
 			m.vouched = latest(m.vouched, asOf)
@@ -221,7 +221,7 @@
 		if far == nil || far.direct.IsZero() || now.Sub(far.direct) >= handedOnFor {
 			continue
 		}
-		summary := ZoneSummary{Zone: zone, Entries: far.entries, Room: far.room, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
+		summary := ZoneSummary{Zone: zone, Entries: far.entries, SpareCapacity: far.room, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
 		if running := g.RunningIn(now, zone); len(running) > 0 {
 			summary.Addresses = []string{running[turn%len(running)]}
 		}
@@ -230,9 +230,9 @@
 	return summaries
 }
 
-// Roomiest returns an entry of the other zone whose servers have the most room, and the
+// MostSpareCapacity returns an entry of the other zone whose servers have the most room, and the
 // room as a share; false if nothing fresh is heard.
-func (g *Group) Roomiest(now time.Time) (address string, room float64, ok bool) {
+func (g *Group) MostSpareCapacity(now time.Time) (address string, room float64, ok bool) {
 	best := 0
 	for _, zone := range g.RemoteZones() {
 		far := g.far[zone]
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -42,9 +42,9 @@
 	StoreLost bool  `cbor:"15,keyasint,omitempty"`
 	// Update is what has changed in the list of servers.
 	Update *Update `cbor:"16,keyasint,omitempty"`
-	// Room is the share, in hundredths plus one, of the servers of the sender's zone that
+	// SpareCapacity is the share, in hundredths plus one, of the servers of the sender's zone that
 	// could begin a short prompt at once; 0 if it isn't told. It is told to other zones.
-	Room int `cbor:"17,keyasint,omitempty"`
+	SpareCapacity int `cbor:"17,keyasint,omitempty"`
 	// Ask and Place are a question to another zone and its answer.
 	Ask   *Ask   `cbor:"18,keyasint,omitempty"`
 	Place *Place `cbor:"19,keyasint,omitempty"`
@@ -72,9 +72,9 @@
 type ZoneSummary struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
 	// Entries and Room are as in Message, as of Age milliseconds ago.
-	Entries int   `cbor:"2,keyasint,omitempty"`
-	Room    int   `cbor:"3,keyasint,omitempty"`
-	Age     int64 `cbor:"4,keyasint,omitempty"`
+	Entries       int   `cbor:"2,keyasint,omitempty"`
+	SpareCapacity int   `cbor:"3,keyasint,omitempty"`
+	Age           int64 `cbor:"4,keyasint,omitempty"`
 	// Delegates speak for the zone, Addresses are others that run there.
 	Delegates []string `cbor:"5,keyasint,omitempty"`
 	Addresses []string `cbor:"6,keyasint,omitempty"`
@@ -108,8 +108,8 @@
 	Predicted time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// SetRoom tells the room in the sender's zone, as a share.
-func (m *Message) SetRoom(room float64) { m.Room = 1 + int(room*100) }
+// SetSpareCapacity tells the room in the sender's zone, as a share.
+func (m *Message) SetSpareCapacity(room float64) { m.SpareCapacity = 1 + int(room*100) }
 
 // Update are the changes of the list of servers, and of the zones that are evacuated, from one
 // revision of the platform to a later one.
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -48,7 +48,7 @@
 		return
 	}
 	m := p.s.recordsTold()
-	m.SetRoom(p.s.tellRoom(now))
+	m.SetSpareCapacity(p.s.tellRoom(now))
 	p.mu.Lock()
 	p.group.FillRemoteHeartbeat(now, turn, &m)
 	p.mu.Unlock()
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -68,7 +68,7 @@
 		return "", false
 	}
 	s.peers.mu.Lock()
-	address, other, ok := s.peers.group.Roomiest(now)
+	address, other, ok := s.peers.group.MostSpareCapacity(now)
 	s.peers.mu.Unlock()
 	return address, ok && parts.Crosses(own, other)
 }
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -26,7 +26,7 @@
 	d := placement.Dispatch{ID: "d", Server: "i-0", Helpers: []string{"i-1"}, PromptTokens: 200_000, AnswerTokens: 500, Gap: time.Second, Target: time.Second,
 		Life: time.Minute, Held: []int64{1, 2}}
 	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
-	told.SetRoom(0.5)
+	told.SetSpareCapacity(0.5)
 	told.SetRecordsSum(7)
 	told.SetStore(peering.StoreState{Reads: true, Age: time.Second})
 	return []peering.Message{told, {Begun: []placement.Dispatch{d}, First: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -299,7 +299,7 @@
 		return
 	}
 	var m peering.Message
-	m.SetRoom(0.5)
+	m.SetSpareCapacity(0.5)
 	m.SetRecordsSum(0)
 	e.group.FillRemoteHeartbeat(e.now(), turn, &m)
 	e.send(targets, m, kind)
