--- a/core/peering/codec.go
+++ b/core/peering/codec.go
@@ -49,15 +49,15 @@
 			return fmt.Errorf("zone %s: %w", summary.Zone, err)
 		}
 	}
-	if m.Ask != nil {
-		if err := m.Ask.Dispatch.Check(); err != nil {
-			return fmt.Errorf("a question for request %s: %w", m.Ask.Dispatch.ID, err)
+	if m.PlacementRequest != nil {
+		if err := m.PlacementRequest.Dispatch.Check(); err != nil {
+			return fmt.Errorf("a question for request %s: %w", m.PlacementRequest.Dispatch.ID, err)
 		}
 	}
-	if m.Place != nil {
-		given := placement.Dispatch{Helpers: m.Place.Helpers, Held: m.Place.Held}
+	if m.PlacementReply != nil {
+		given := placement.Dispatch{Helpers: m.PlacementReply.Helpers, Held: m.PlacementReply.Held}
 		if err := given.Check(); err != nil {
-			return fmt.Errorf("a place for request %s: %w", m.Place.ID, err)
+			return fmt.Errorf("a place for request %s: %w", m.PlacementReply.ID, err)
 		}
 	}
 	return nil
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -69,8 +69,10 @@
 		"too many entries":      func(m *Message) { m.Entries = maxEntries + 1 },
 		"less than none":        func(m *Message) { m.Zones = []ZoneSummary{{Entries: -1}} },
 		"from the future":       func(m *Message) { m.Zones = []ZoneSummary{{Age: -1}} },
-		"a question":            func(m *Message) { m.Ask = &Ask{Dispatch: placement.Dispatch{PromptTokens: -1}} },
-		"a place":               func(m *Message) { m.Place = &Place{Held: []int64{1, 2}} },
+		"a question": func(m *Message) {
+			m.PlacementRequest = &PlacementRequest{Dispatch: placement.Dispatch{PromptTokens: -1}}
+		},
+		"a place": func(m *Message) { m.PlacementReply = &PlacementReply{Held: []int64{1, 2}} },
 	} {
 		m := usualMessage()
 		breaks(&m)
@@ -83,7 +85,7 @@
 
 func TestMessagesAreToldApart(t *testing.T) {
 	for kind, m := range map[Kind]Message{
-		KindUpdate: {Update: &Update{}}, KindPlace: {Place: &Place{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
+		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
 		KindHeartbeat: {Sum: 1, Asks: true}, KindList: {Members: []ZoneMembers{{}}}, KindQuestion: {Asks: true}, KindGreeting: {},
 		KindRecords: {Records: make([]quarantine.Record, 1)},
 	} {
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -13,7 +13,7 @@
 	KindNews            Kind = "news"
 	KindUpdate          Kind = "update"
 	KindRecords         Kind = "records"
-	KindPlace           Kind = "place"
+	KindPlacement       Kind = "place"
 )
 
 // Kind returns what the message is for.
@@ -21,8 +21,8 @@
 	switch {
 	case m.Update != nil:
 		return KindUpdate
-	case m.Ask != nil, m.Place != nil:
-		return KindPlace
+	case m.PlacementRequest != nil, m.PlacementReply != nil:
+		return KindPlacement
 	case len(m.Records) > 0:
 		return KindRecords
 	case m.HasNews():
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -45,9 +45,9 @@
 	// SpareCapacity is the share, in hundredths plus one, of the servers of the sender's zone that
 	// could begin a short prompt at once; 0 if it isn't told. It is told to other zones.
 	SpareCapacity int `cbor:"17,keyasint,omitempty"`
-	// Ask and Place are a question to another zone and its answer.
-	Ask   *Ask   `cbor:"18,keyasint,omitempty"`
-	Place *Place `cbor:"19,keyasint,omitempty"`
+	// PlacementRequest and Place are a question to another zone and its answer.
+	PlacementRequest *PlacementRequest `cbor:"18,keyasint,omitempty"`
+	PlacementReply   *PlacementReply   `cbor:"19,keyasint,omitempty"`
 	// Members are the entries that the sender takes for running, by zone.
 	Members []ZoneMembers `cbor:"12,keyasint,omitempty"`
 	// Records are of requests under which servers have ended.
@@ -88,8 +88,8 @@
 	return m.RecordsSum != 0 && m.RecordsSum != uint64(sum)+1
 }
 
-// Ask asks an entry of another zone to place a request among that zone's servers.
-type Ask struct {
+// PlacementRequest asks an entry of another zone to place a request among that zone's servers.
+type PlacementRequest struct {
 	Service string `cbor:"1,keyasint,omitempty"`
 	// Dispatch is the request without its servers.
 	Dispatch placement.Dispatch `cbor:"2,keyasint,omitempty"`
@@ -98,9 +98,9 @@
 	Exclude   []string      `cbor:"4,keyasint,omitempty"`
 }
 
-// Place answers an Ask: the servers by the names of their starts; Server is empty if there
+// PlacementReply answers an Ask: the servers by the names of their starts; Server is empty if there
 // is no place.
-type Place struct {
+type PlacementReply struct {
 	ID        string        `cbor:"1,keyasint,omitempty"`
 	Server    string        `cbor:"2,keyasint,omitempty"`
 	Helpers   []string      `cbor:"3,keyasint,omitempty"`
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -25,7 +25,7 @@
 )
 
 // placeAnswer brings the answer to a question for a place.
-type placeAnswer chan peering.Place
+type placeAnswer chan peering.PlacementReply
 
 // place finds a server for the request, in this zone or in one with more room.
 func (e *exchange) place(ctx context.Context, now time.Time) (placement.Choice, placement.Refusal) {
@@ -118,7 +118,7 @@
 func (e *exchange) ask(ctx context.Context, address string) (placement.Choice, bool) {
 	now := time.Now()
 	dispatch := e.dispatch(placement.Choice{})
-	answer := e.s.peers.askFor(ctx, address, peering.Ask{Service: e.service.Name, Dispatch: dispatch, Remaining: e.deadline.Sub(now) - answerMargin,
+	answer := e.s.peers.askFor(ctx, address, peering.PlacementRequest{Service: e.service.Name, Dispatch: dispatch, Remaining: e.deadline.Sub(now) - answerMargin,
 		Exclude: e.core.Excluded()})
 	if answer.Server == "" {
 		return placement.Choice{}, false
@@ -135,7 +135,7 @@
 
 // askFor sends a question and waits for its answer. A place that is not heard of in time is
 // given back: the one asked has it in its book.
-func (p *peerExchange) askFor(ctx context.Context, address string, question peering.Ask) peering.Place {
+func (p *peerExchange) askFor(ctx context.Context, address string, question peering.PlacementRequest) peering.PlacementReply {
 	answer := make(placeAnswer, 1)
 	id := question.Dispatch.ID
 	p.mu.Lock()
@@ -146,7 +146,7 @@
 		delete(p.asked, id)
 		p.mu.Unlock()
 	}()
-	p.send([]string{address}, peering.Message{Ask: &question})
+	p.send([]string{address}, peering.Message{PlacementRequest: &question})
 	timer := time.NewTimer(askTimeout)
 	defer timer.Stop()
 	select {
@@ -156,11 +156,11 @@
 	case <-ctx.Done():
 	}
 	p.send([]string{address}, peering.Message{Ended: []string{id}})
-	return peering.Place{}
+	return peering.PlacementReply{}
 }
 
 // takePlace hands an answer to the request that waits for it.
-func (p *peerExchange) takePlace(place peering.Place) {
+func (p *peerExchange) takePlace(place peering.PlacementReply) {
 	p.mu.Lock()
 	answer := p.asked[place.ID]
 	delete(p.asked, place.ID)
@@ -171,7 +171,7 @@
 }
 
 // choiceOf turns an answer into a choice; false if one of its servers is not known here, or takes no new work.
-func (s *Server) choiceOf(place peering.Place) (placement.Choice, bool) {
+func (s *Server) choiceOf(place peering.PlacementReply) (placement.Choice, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	choice := placement.Choice{Held: place.Held, Predicted: place.Predicted}
@@ -189,8 +189,8 @@
 
 // answerAsk places another zone's request among this zone's servers, and books it, so that
 // the next question doesn't get the same place.
-func (s *Server) answerAsk(now time.Time, from string, ask peering.Ask) {
-	place := peering.Place{ID: ask.Dispatch.ID}
+func (s *Server) answerAsk(now time.Time, from string, ask peering.PlacementRequest) {
+	place := peering.PlacementReply{ID: ask.Dispatch.ID}
 	d := ask.Dispatch
 	s.mu.Lock()
 	service := s.service(ask.Service)
@@ -208,7 +208,7 @@
 		}
 	}
 	s.mu.Unlock()
-	s.peers.send([]string{from}, peering.Message{Place: &place})
+	s.peers.send([]string{from}, peering.Message{PlacementReply: &place})
 }
 
 // takePlaced returns the identifier of the try that another zone has placed, once.
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -219,7 +219,7 @@
 	w.configure(nil)
 	w.zonesOfServers("here", "there")
 	here, there := w.twoZones()
-	ask := peering.Ask{Service: "engines", Remaining: 10 * time.Second,
+	ask := peering.PlacementRequest{Service: "engines", Remaining: 10 * time.Second,
 		Dispatch: placement.Dispatch{ID: "late", PromptTokens: 2000, AnswerTokens: 500, Gap: time.Second, Target: time.Second, Life: time.Minute}}
 	there.answerAsk(time.Now(), here.settings.PeerAddress, ask)
 	require.True(t, there.booked(1)())
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -147,10 +147,10 @@
 func TestAPlaceInAnEvacuatedZoneIsNotUsed(t *testing.T) {
 	s := loneEntry(t)
 	s.directory.Upsert(directory.Server{ID: "i-1", Service: "engines", Address: "127.0.0.1:1", Zone: "there", Slots: 1, Revision: 2})
-	_, ok := s.choiceOf(peering.Place{Server: "i-1"})
+	_, ok := s.choiceOf(peering.PlacementReply{Server: "i-1"})
 	require.True(t, ok)
 	s.takeUpdate(peering.Update{Evacuations: []evacuation.State{{Zone: "there", Revision: 3, Evacuated: true}}}, "reader")
-	_, ok = s.choiceOf(peering.Place{Server: "i-1"})
+	_, ok = s.choiceOf(peering.PlacementReply{Server: "i-1"})
 	require.False(t, ok)
 }
 
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -262,11 +262,11 @@
 	if m.Update != nil {
 		p.s.takeUpdate(*m.Update, m.From)
 	}
-	if m.Place != nil {
-		p.takePlace(*m.Place)
+	if m.PlacementReply != nil {
+		p.takePlace(*m.PlacementReply)
 	}
-	if m.Ask != nil {
-		p.s.answerAsk(now, m.From, *m.Ask)
+	if m.PlacementRequest != nil {
+		p.s.answerAsk(now, m.From, *m.PlacementRequest)
 	}
 	if passes {
 		p.pass(m)
