--- a/core/peering/beats.go
+++ b/core/peering/beats.go
@@ -20,7 +20,7 @@
 // Heartbeat picks who hears the heartbeat of a turn; turns are counted.
 func (g *Group) Heartbeat(now time.Time, turn int) Heartbeat {
 	var beat Heartbeat
-	sum := g.Sum(now)
+	sum := g.Digest(now)
 	beat.Local = g.KnownLocal()
 	for i := range beat.Local {
 		// Another one begins at each turn.
@@ -47,9 +47,9 @@
 	return byZone(zones)
 }
 
-// Sum stands for the entries that Listed returns; it is not 0. Heartbeats tell it, and entries whose sums are the same
+// Digest stands for the entries that Listed returns; it is not 0. Heartbeats tell it, and entries whose sums are the same
 // tell each other no lists: what they cost does not grow with the fleet once all know all.
-func (g *Group) Sum(now time.Time) uint32 {
+func (g *Group) Digest(now time.Time) uint32 {
 	sum := rank(g.self, "")
 	for _, m := range g.members {
 		if g.isNear(m) && m.zone != "" && m.isHeard(now) {
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -86,7 +86,7 @@
 func TestMessagesAreToldApart(t *testing.T) {
 	for kind, m := range map[Kind]Message{
 		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
-		KindHeartbeat: {Sum: 1, Asks: true}, KindList: {Members: []ZoneMembers{{}}}, KindQuestion: {Asks: true}, KindGreeting: {},
+		KindHeartbeat: {Digest: 1, Asks: true}, KindList: {Members: []ZoneMembers{{}}}, KindQuestion: {Asks: true}, KindGreeting: {},
 		KindRecords: {Records: make([]quarantine.Record, 1)},
 	} {
 		require.Equal(t, kind, m.Kind())
--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -195,7 +195,7 @@
 // MistakenForLocal says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
 // heard this entry, as seeds that start later than others.
 func (g *Group) MistakenForLocal(m Message) bool {
-	return g.scope != scopeWhole && m.Sum != 0 && m.Zone != "" && m.Zone != g.zone
+	return g.scope != scopeWhole && m.Digest != 0 && m.Zone != "" && m.Zone != g.zone
 }
 
 // FillRemoteHeartbeat completes a message to another zone: who runs in this one.
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -225,8 +225,8 @@
 	known.incarnation, known.heard, known.stopping = m.Incarnation, now, m.Stopping
 	known.version, known.revision = m.Version, m.Revision
 	known.capacity, known.store = m.Capacity, m.store()
-	if m.Sum != 0 {
-		known.sum = m.Sum
+	if m.Digest != 0 {
+		known.sum = m.Digest
 	}
 }
 
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -125,7 +125,7 @@
 	require.Len(t, had, 28)
 	for _, address := range named("e", 27) {
 		agrees := zoned(address, "here")
-		agrees.Sum = g.Sum(start)
+		agrees.Digest = g.Digest(start)
 		g.Observe(start, agrees)
 	}
 	for turn := range 14 {
@@ -142,12 +142,12 @@
 		a.Observe(start, zoned(address, "here"))
 		b.Observe(start, zoned(address, "here"))
 	}
-	require.NotEqual(t, a.Sum(start), b.Sum(start), "they have not heard each other")
+	require.NotEqual(t, a.Digest(start), b.Digest(start), "they have not heard each other")
 	a.Observe(start, zoned("b:1", "here"))
 	b.Observe(start, zoned("a:1", "here"))
-	require.Equal(t, a.Sum(start), b.Sum(start))
+	require.Equal(t, a.Digest(start), b.Digest(start))
 	b.Observe(start, zoned("more:1", "here"))
-	require.NotEqual(t, a.Sum(start), b.Sum(start))
+	require.NotEqual(t, a.Digest(start), b.Digest(start))
 }
 
 // Entries are restarted in turn, faster than they drain: all are stopping at the same time.
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -29,7 +29,7 @@
 		return KindNews
 	case m.Entries > 0:
 		return KindRemoteHeartbeat
-	case m.Sum != 0:
+	case m.Digest != 0:
 		return KindHeartbeat
 	case len(m.Members) > 0:
 		return KindList
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -52,12 +52,12 @@
 	Members []ZoneMembers `cbor:"12,keyasint,omitempty"`
 	// Records are of requests under which servers have ended.
 	Records []quarantine.Record `cbor:"21,keyasint,omitempty"`
-	// RecordsSum is quarantine.Watch.Sum of the sender, plus one; 0 if it isn't told.
-	RecordsSum uint64 `cbor:"22,keyasint,omitempty"`
+	// RecordsDigest is quarantine.Watch.Sum of the sender, plus one; 0 if it isn't told.
+	RecordsDigest uint64 `cbor:"22,keyasint,omitempty"`
 	// Asks says that the sender wants to be told the entries of its zone.
 	Asks bool `cbor:"23,keyasint,omitempty"`
-	// Sum stands for the near entries that the sender hears; 0 if it isn't told.
-	Sum uint32 `cbor:"24,keyasint,omitempty"`
+	// Digest stands for the near entries that the sender hears; 0 if it isn't told.
+	Digest uint32 `cbor:"24,keyasint,omitempty"`
 	// Entries is how many entries run in the sender's zone, Delegates are those that speak for it. They
 	// are told to other zones, as Room is.
 	Entries   int      `cbor:"25,keyasint,omitempty"`
@@ -80,12 +80,12 @@
 	Addresses []string `cbor:"6,keyasint,omitempty"`
 }
 
-// SetRecordsSum tells the sum of the sender's records.
-func (m *Message) SetRecordsSum(sum uint32) { m.RecordsSum = uint64(sum) + 1 }
+// SetRecordsDigest tells the sum of the sender's records.
+func (m *Message) SetRecordsDigest(sum uint32) { m.RecordsDigest = uint64(sum) + 1 }
 
 // RecordsDiffer says whether the sender's records are told, and are others than those of a sum.
 func (m *Message) RecordsDiffer(sum uint32) bool {
-	return m.RecordsSum != 0 && m.RecordsSum != uint64(sum)+1
+	return m.RecordsDigest != 0 && m.RecordsDigest != uint64(sum)+1
 }
 
 // PlacementRequest asks an entry of another zone to place a request among that zone's servers.
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -176,7 +176,7 @@
 	g := New("seed:1", "there", "i", nil)
 	beat := zoned("self:1", "here")
 	require.False(t, g.MistakenForLocal(beat))
-	beat.Sum = 7
+	beat.Digest = 7
 	require.True(t, g.MistakenForLocal(beat))
 	beat.Zone = "there"
 	require.False(t, g.MistakenForLocal(beat))
--- a/core/quarantine/watch.go
+++ b/core/quarantine/watch.go
@@ -217,10 +217,10 @@
 // requests that ran beside others, and decide nothing.
 const leastSummed = 2
 
-// Sum stands for the records that matter. Entries tell it with their heartbeats; those whose
+// Digest stands for the records that matter. Entries tell it with their heartbeats; those whose
 // sums differ tell each other their records, so that a record that was lost on its way reaches
 // everybody, and costs nothing once it has.
-func (w *Watch) Sum() uint32 {
+func (w *Watch) Digest() uint32 {
 	sum := uint64(0)
 	for f, r := range w.records {
 		if len(r.ended) < leastSummed {
--- a/core/quarantine/watch_test.go
+++ b/core/quarantine/watch_test.go
@@ -196,7 +196,7 @@
 			}
 		}
 		for _, w := range watches[1:] {
-			require.Equal(t, watches[0].Sum(), w.Sum())
+			require.Equal(t, watches[0].Digest(), w.Digest())
 			for _, f := range requests {
 				require.Equal(t, watches[0].Refused(now, f) > 0, w.Refused(now, f) > 0)
 			}
@@ -258,5 +258,5 @@
 		first.Ended(start, named("fatal"), fmt.Sprint(i))
 		second.Ended(start, named("fatal"), fmt.Sprint(ends-1-i))
 	}
-	require.Equal(t, first.Sum(), second.Sum())
+	require.Equal(t, first.Digest(), second.Digest())
 }
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	p.group.Forget(now)
 	beat := p.group.Heartbeat(now, turn)
-	near.Asks, near.Sum, near.Zones = p.group.Asks(now), p.group.Sum(now), p.group.RemoteSummaries(now, turn)
+	near.Asks, near.Digest, near.Zones = p.group.Asks(now), p.group.Digest(now), p.group.RemoteSummaries(now, turn)
 	listed := p.group.Listed(now)
 	silent, _ = p.group.Suspects(now)
 	p.mu.Unlock()
@@ -60,7 +60,7 @@
 	var m peering.Message
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m.SetRecordsSum(s.watch.Sum())
+	m.SetRecordsDigest(s.watch.Digest())
 	return m
 }
 
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -27,7 +27,7 @@
 		Life: time.Minute, Held: []int64{1, 2}}
 	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
 	told.SetSpareCapacity(0.5)
-	told.SetRecordsSum(7)
+	told.SetRecordsDigest(7)
 	told.SetStore(peering.StoreState{Reads: true, Age: time.Second})
 	return []peering.Message{told, {Begun: []placement.Dispatch{d}, First: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
 		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Held: []int64{1}}},
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -126,12 +126,12 @@
 // takeRecords takes in what another entry tells of requests under which servers have ended. An
 // entry whose records are others is told those of this one.
 func (p *peerExchange) takeRecords(now time.Time, m peering.Message) {
-	if len(m.Records) == 0 && m.RecordsSum == 0 {
+	if len(m.Records) == 0 && m.RecordsDigest == 0 {
 		return // as most messages, which tell of requests under way
 	}
 	p.s.mu.Lock()
 	p.s.watch.Join(now, m.Records)
-	differ := m.RecordsDiffer(p.s.watch.Sum())
+	differ := m.RecordsDiffer(p.s.watch.Digest())
 	p.s.mu.Unlock()
 	if !differ {
 		return
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -300,7 +300,7 @@
 	}
 	var m peering.Message
 	m.SetSpareCapacity(0.5)
-	m.SetRecordsSum(0)
+	m.SetRecordsDigest(0)
 	e.group.FillRemoteHeartbeat(e.now(), turn, &m)
 	e.send(targets, m, kind)
 }
@@ -309,8 +309,8 @@
 	now := e.now()
 	e.group.Forget(now)
 	beat := e.group.Heartbeat(now, e.turn)
-	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.RemoteSummaries(now, e.turn)}
-	m.SetRecordsSum(0)
+	m := peering.Message{Asks: e.group.Asks(now), Digest: e.group.Digest(now), Zones: e.group.RemoteSummaries(now, e.turn)}
+	m.SetRecordsDigest(0)
 	e.send(beat.Local, m, Heartbeat)
 	if len(beat.WithMembers) > 0 {
 		e.sendMembers(beat.WithMembers, e.group.Listed(now), List)
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -15,7 +15,7 @@
 	{"what was handed on is not handed on again", "core/peering/far.go", "far == nil || far.direct.IsZero() || now.Sub(far.direct) >= handedOnFor", "far == nil", peeringPkg, "TestWhatOtherZonesTell"},
 	{"older words of a zone change nothing", "core/peering/far.go", "	if asOf.Before(f.asOf) {\n		return\n	}\n", "", peeringPkg, "TestWhatOtherZonesTell"},
 	{"who speaks for a zone is told", "core/peering/far.go", "m.Zone != g.zone && !g.isDelegate(now)", "m.Zone != g.zone && false", peeringPkg, "TestWhoTakesAnEntryForADelegate"},
-	{"a mistaken entry is told the zone", "core/peering/far.go", "	return g.scope != scopeWhole && m.Sum != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestWhoTakesAnEntryForANear"},
+	{"a mistaken entry is told the zone", "core/peering/far.go", "	return g.scope != scopeWhole && m.Digest != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestWhoTakesAnEntryForANear"},
 	{"news cross zones through relays", "entry/gateway/peers.go", "	if passes {\n", "	if passes && false {\n", gatewayPkg, "TestNewsOfAPlaceReach"},
 	{"relayed news are not passed round", "core/peering/far.go", "m.Relay && m.Zone != \"\" && m.Zone != g.zone", "m.Relay", peeringPkg, "TestNewsCrossZones"},
 	{"a list that grows makes no zone near", "entry/gateway/peers.go", "	if divided || !grows || p.group.KnowsScope() {", "	if true || grows {", gatewayPkg, "TestAListThatGrows"},
