--- a/core/peering/beats.go
+++ b/core/peering/beats.go
@@ -9,17 +9,17 @@
 // listsPerHeartbeat is how many near entries a heartbeat tells of all others, of those that hear others than this one does.
 const listsPerHeartbeat = 2
 
-// Heartbeat is who is told that this entry lives.
-type Heartbeat struct {
+// HeartbeatTargets is who is told that this entry lives.
+type HeartbeatTargets struct {
 	// Local are the entries that this one tells of requests, WithMembers those of them that are told of all others as well.
 	Local, WithMembers []string
 	// Remote are entries of other zones, one of each. They are told of this entry's zone.
 	Remote []string
 }
 
-// Heartbeat picks who hears the heartbeat of a turn; turns are counted.
-func (g *Group) Heartbeat(now time.Time, turn int) Heartbeat {
-	var beat Heartbeat
+// HeartbeatTargets picks who hears the heartbeat of a turn; turns are counted.
+func (g *Group) HeartbeatTargets(now time.Time, turn int) HeartbeatTargets {
+	var beat HeartbeatTargets
 	sum := g.Digest(now)
 	beat.Local = g.KnownLocal()
 	for i := range beat.Local {
@@ -35,9 +35,9 @@
 	return beat
 }
 
-// Listed returns the entries that a near one is told of by turns: those that this one tells of each request, itself among
+// LocalMembers returns the entries that a near one is told of by turns: those that this one tells of each request, itself among
 // them.
-func (g *Group) Listed(now time.Time) []ZoneMembers {
+func (g *Group) LocalMembers(now time.Time) []ZoneMembers {
 	zones := map[string][]string{g.zone: {g.self}}
 	for _, address := range g.Local(now) {
 		if m := g.members[address]; m.zone != "" {
@@ -79,8 +79,8 @@
 // link (1,500 bytes); an address takes some 16 bytes.
 const maxMembers = 60
 
-// InParts divides a list of entries into parts that fit a message.
-func InParts(members []ZoneMembers) [][]ZoneMembers {
+// SplitMembers divides a list of entries into parts that fit a message.
+func SplitMembers(members []ZoneMembers) [][]ZoneMembers {
 	var parts [][]ZoneMembers
 	room := 0
 	for _, zone := range members {
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -19,7 +19,7 @@
 
 func TestAMessageIsReadAsItWasWritten(t *testing.T) {
 	m := usualMessage()
-	m.First, m.Ended, m.Known, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
+	m.First, m.Ended, m.KnownPeers, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
 	m.Begun[0].Held = []int64{200_000, 0}
 	data, err := Encode(m)
 	require.NoError(t, err)
@@ -86,7 +86,7 @@
 func TestMessagesAreToldApart(t *testing.T) {
 	for kind, m := range map[Kind]Message{
 		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
-		KindHeartbeat: {Digest: 1, Asks: true}, KindList: {Members: []ZoneMembers{{}}}, KindQuestion: {Asks: true}, KindGreeting: {},
+		KindHeartbeat: {Digest: 1, WantsMembers: true}, KindList: {Members: []ZoneMembers{{}}}, KindMembersRequest: {WantsMembers: true}, KindGreeting: {},
 		KindRecords: {Records: make([]quarantine.Record, 1)},
 	} {
 		require.Equal(t, kind, m.Kind())
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -165,16 +165,16 @@
 
 // Sender is what is known of the sender of a message.
 type Sender struct {
-	// Found are entries of this one's zone that were not known before.
-	Found []string
+	// Discovered are entries of this one's zone that were not known before.
+	Discovered []string
 	// Restarted: it is another start than the one known; what that had begun is over.
 	Restarted bool
 	// Joined: it is heard for the first time, or again after a silence. Local: it chooses among the same
 	// servers as this entry.
 	Joined, Local bool
-	// Missed, once: it joined and does not know what goes on here. For one that is
+	// NeedsSync, once: it joined and does not know what goes on here. For one that is
 	// starting this waits until it can book requests.
-	Missed bool
+	NeedsSync bool
 }
 
 // Observe takes in who sent a message.
@@ -195,8 +195,8 @@
 	// Entries of other zones are heard by turns only, and book nothing of this one's.
 	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.heard) >= SuspectAfter
 	known.untold = known.untold || sender.Joined
-	sender.Missed = known.untold && !m.Starting && sender.Local
-	if sender.Missed {
+	sender.NeedsSync = known.untold && !m.Starting && sender.Local
+	if sender.NeedsSync {
 		known.untold = false
 	}
 	if sender.Restarted {
@@ -204,7 +204,7 @@
 	}
 	known.take(now, m, sender.Restarted)
 	changed := g.hearFar(now, m)
-	sender.Found = g.learn(now, m)
+	sender.Discovered = g.learn(now, m)
 	if changed || g.grown {
 		g.most, g.grown = max(g.most, g.entries()), false
 	}
@@ -234,7 +234,7 @@
 // not known. Of another zone only a few are kept.
 func (g *Group) learn(now time.Time, m Message) []string {
 	var found []string
-	for _, address := range m.Known {
+	for _, address := range m.KnownPeers {
 		g.add(now, address)
 	}
 	for _, told := range m.Members {
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -10,7 +10,7 @@
 var start = time.Unix(1000, 0)
 
 func message(from, incarnation string, version, revision uint64, known ...string) Message {
-	return Message{From: from, Incarnation: incarnation, Version: version, Revision: revision, Known: known}
+	return Message{From: from, Incarnation: incarnation, Version: version, Revision: revision, KnownPeers: known}
 }
 
 func TestEntriesFindEachOtherThroughSeeds(t *testing.T) {
@@ -39,7 +39,7 @@
 func TestAnEntryThatMissedNewsIsNoticed(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	missed := func(after time.Duration, incarnation string) bool {
-		return g.Observe(start.Add(after), message("a:1", incarnation, 1, 1)).Missed
+		return g.Observe(start.Add(after), message("a:1", incarnation, 1, 1)).NeedsSync
 	}
 	require.True(t, missed(0, "x"), "it was never heard of")
 	require.False(t, missed(HeartbeatInterval, "x"))
@@ -55,7 +55,7 @@
 	starting.Starting = true
 	require.Equal(t, Sender{Joined: true, Local: true}, g.Observe(start, starting))
 	require.Equal(t, Sender{Local: true}, g.Observe(start, starting), "it joins once")
-	require.Equal(t, Sender{Missed: true, Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
+	require.Equal(t, Sender{NeedsSync: true, Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
 	require.Equal(t, Sender{Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
 }
 
@@ -115,7 +115,7 @@
 	}
 	had := map[string]bool{}
 	for turn := range 14 {
-		beat := g.Heartbeat(start, turn)
+		beat := g.HeartbeatTargets(start, turn)
 		require.Len(t, beat.WithMembers, listsPerHeartbeat)
 		require.Len(t, beat.Local, 28)
 		for _, address := range beat.WithMembers {
@@ -129,9 +129,9 @@
 		g.Observe(start, agrees)
 	}
 	for turn := range 14 {
-		require.Equal(t, named("e", 28)[27:], g.Heartbeat(start, turn).WithMembers)
+		require.Equal(t, named("e", 28)[27:], g.HeartbeatTargets(start, turn).WithMembers)
 	}
-	beat := New("self:1", "here", "i", []string{"a:1"}).Heartbeat(start, 7)
+	beat := New("self:1", "here", "i", []string{"a:1"}).HeartbeatTargets(start, 7)
 	require.Equal(t, []string{"a:1"}, beat.WithMembers)
 }
 
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -10,27 +10,27 @@
 // greeted greets back, and no more: where all start at once each pair meets, so that whole lists told at each meeting are
 // entries times entries times list. Lists by turns (beats.go) mend what was lost.
 
-// Asks says whether this entry asks whom it tells that it lives for the entries of its zone: as long as no neighbour has
+// NeedsMembers says whether this entry asks whom it tells that it lives for the entries of its zone: as long as no neighbour has
 // told them, and while it hears none.
-func (g *Group) Asks(now time.Time) bool {
+func (g *Group) NeedsMembers(now time.Time) bool {
 	return !g.joined || !slices.ContainsFunc(g.Addresses(), func(address string) bool {
 		m := g.members[address]
 		return m.zone == g.zone && m.isHeard(now)
 	})
 }
 
-// Greets returns which of some entries that were just found are asked for the entries of this zone; the others are only
+// SplitGreetings returns which of some entries that were just found are asked for the entries of this zone; the others are only
 // told that this one is there.
-func (g *Group) Greets(now time.Time, found []string) (asked, told []string) {
-	if len(found) > 0 && g.Asks(now) {
+func (g *Group) SplitGreetings(now time.Time, found []string) (asked, told []string) {
+	if len(found) > 0 && g.NeedsMembers(now) {
 		return found[:1], found[1:]
 	}
 	return nil, found
 }
 
-// Answer returns the entries that one is told which asks: those of its zone that run as far as is known here, and a few of
+// MembersFor returns the entries that one is told which asks: those of its zone that run as far as is known here, and a few of
 // each other zone. Where all entries share all servers it is told of all.
-func (g *Group) Answer(now time.Time, zone string) []ZoneMembers {
+func (g *Group) MembersFor(now time.Time, zone string) []ZoneMembers {
 	told := g.Running(now)
 	if g.scope == scopeWhole {
 		return told
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -8,7 +8,7 @@
 	KindHeartbeat       Kind = "heartbeat"
 	KindRemoteHeartbeat Kind = "farHeartbeat"
 	KindList            Kind = "list"
-	KindQuestion        Kind = "question"
+	KindMembersRequest  Kind = "question"
 	KindGreeting        Kind = "greeting"
 	KindNews            Kind = "news"
 	KindUpdate          Kind = "update"
@@ -33,8 +33,8 @@
 		return KindHeartbeat
 	case len(m.Members) > 0:
 		return KindList
-	case m.Asks:
-		return KindQuestion
+	case m.WantsMembers:
+		return KindMembersRequest
 	}
 	return KindGreeting
 }
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -14,8 +14,8 @@
 	// From is the sender's peer address, Incarnation its start.
 	From        string `cbor:"1,keyasint,omitempty"`
 	Incarnation string `cbor:"2,keyasint,omitempty"`
-	// Known are the addresses of other entries whose zones are not told.
-	Known []string `cbor:"3,keyasint,omitempty"`
+	// KnownPeers are the addresses of other entries whose zones are not told.
+	KnownPeers []string `cbor:"3,keyasint,omitempty"`
 	// Version is the sender's configuration, Revision the platform's revision
 	// up to which its list of servers is complete.
 	Version  uint64 `cbor:"4,keyasint,omitempty"`
@@ -54,8 +54,8 @@
 	Records []quarantine.Record `cbor:"21,keyasint,omitempty"`
 	// RecordsDigest is quarantine.Watch.Sum of the sender, plus one; 0 if it isn't told.
 	RecordsDigest uint64 `cbor:"22,keyasint,omitempty"`
-	// Asks says that the sender wants to be told the entries of its zone.
-	Asks bool `cbor:"23,keyasint,omitempty"`
+	// WantsMembers says that the sender wants to be told the entries of its zone.
+	WantsMembers bool `cbor:"23,keyasint,omitempty"`
 	// Digest stands for the near entries that the sender hears; 0 if it isn't told.
 	Digest uint32 `cbor:"24,keyasint,omitempty"`
 	// Entries is how many entries run in the sender's zone, Delegates are those that speak for it. They
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -63,7 +63,7 @@
 			}
 			heard := map[string]bool{}
 			for turn := range 2 {
-				for _, address := range g.Heartbeat(start, turn).Remote {
+				for _, address := range g.HeartbeatTargets(start, turn).Remote {
 					heard[address] = true
 				}
 			}
@@ -89,8 +89,8 @@
 	later := start.Add(SuspectAfter)
 	tell(groups, later, 2, StoreState{}, 98)
 	tell(groups, later, 3, StoreState{}, 97)
-	require.Len(t, groups[2].Heartbeat(later, 0).Remote, 1)
-	require.Len(t, groups[3].Heartbeat(later, 0).Remote, 1)
+	require.Len(t, groups[2].HeartbeatTargets(later, 0).Remote, 1)
+	require.Len(t, groups[3].HeartbeatTargets(later, 0).Remote, 1)
 }
 
 // An entry that starts, and one that stops, speak for their zone only while nobody else can.
@@ -221,14 +221,14 @@
 	require.Equal(t, told, m.Members)
 	require.Equal(t, 2, m.Entries)
 	require.Equal(t, told, g.Running(later))
-	require.Equal(t, told, g.Listed(later))
+	require.Equal(t, told, g.LocalMembers(later))
 }
 
 // Hundreds of entries don't fit one packet; a message that is cut into two on its way is lost
 // with either of them.
 func TestAListOfHundredsOfEntriesIsToldInParts(t *testing.T) {
 	members := []ZoneMembers{{Zone: "a", Addresses: named("10.100.200.1:5000", 70)}, {Zone: "b", Addresses: named("10.100.201.1:5000", 80)}}
-	parts := InParts(members)
+	parts := SplitMembers(members)
 	require.Len(t, parts, 3)
 	told := map[string]int{}
 	for _, part := range parts {
@@ -242,7 +242,7 @@
 		}
 	}
 	require.Equal(t, map[string]int{"a": 70, "b": 80}, told)
-	require.Empty(t, InParts(nil))
+	require.Empty(t, SplitMembers(nil))
 }
 
 // A zone of a hundred entries is told of a few at a time; within some turns all are.
@@ -271,23 +271,23 @@
 		seed.Observe(start, zoned(address, "there"))
 	}
 	g := New("self:1", "here", "i", []string{"there-0:1"})
-	require.Equal(t, []string{"there-0:1"}, g.Heartbeat(start, 0).Local, "the seed's zone is not known yet")
-	require.True(t, g.Asks(start))
-	answer := seed.Answer(start, "here")
+	require.Equal(t, []string{"there-0:1"}, g.HeartbeatTargets(start, 0).Local, "the seed's zone is not known yet")
+	require.True(t, g.NeedsMembers(start))
+	answer := seed.MembersFor(start, "here")
 	require.Equal(t, ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}, answer[0])
 	require.Len(t, answer[1].Addresses, farMembers, "a few of other zones")
 	sender := g.Observe(start, zoned("there-0:1", "there", answer...))
-	require.Equal(t, []string{"here-0:1", "here-1:1"}, sender.Found)
-	asked, told := g.Greets(start, sender.Found)
+	require.Equal(t, []string{"here-0:1", "here-1:1"}, sender.Discovered)
+	asked, told := g.SplitGreetings(start, sender.Discovered)
 	require.Equal(t, []string{"here-0:1"}, asked)
 	require.Equal(t, []string{"here-1:1"}, told)
-	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.Heartbeat(start, 1).Local)
+	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.HeartbeatTargets(start, 1).Local)
 	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
-	require.False(t, g.Asks(start), "a neighbour has told")
-	asked, told = g.Greets(start, []string{"here-2:1"})
+	require.False(t, g.NeedsMembers(start), "a neighbour has told")
+	asked, told = g.SplitGreetings(start, []string{"here-2:1"})
 	require.Empty(t, asked)
 	require.Equal(t, []string{"here-2:1"}, told)
-	require.True(t, g.Asks(start.Add(AliveFor)), "it hears nobody any more")
+	require.True(t, g.NeedsMembers(start.Add(AliveFor)), "it hears nobody any more")
 }
 
 // All entries start at once, or share all servers: an answer holds all.
@@ -296,9 +296,9 @@
 	for _, address := range named("there-", 40) {
 		g.Observe(start, zoned(address, "there"))
 	}
-	require.Len(t, g.Answer(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
+	require.Len(t, g.MembersFor(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
 	g.Divide(false)
-	require.Len(t, g.Answer(start, "here")[1].Addresses, 40)
+	require.Len(t, g.MembersFor(start, "here")[1].Addresses, 40)
 	require.Len(t, g.KnownLocal(), 40)
 }
 
@@ -311,7 +311,7 @@
 	require.Equal(t, []string{"here-0:1"}, silent)
 	require.Equal(t, []string{"self:1", "here-0:1"}, all)
 	require.Equal(t, Sender{}, g.Observe(later, zoned("there-0:1", "there")))
-	require.Equal(t, Sender{Joined: true, Local: true, Missed: true}, g.Observe(later, zoned("here-0:1", "here")))
+	require.Equal(t, Sender{Joined: true, Local: true, NeedsSync: true}, g.Observe(later, zoned("here-0:1", "here")))
 	again := zoned("there-0:1", "there")
 	again.Incarnation = "y"
 	require.True(t, g.Observe(later, again).Restarted)
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -64,7 +64,7 @@
 
 // keepToLoopback lets a message speak of no entry but those of this host.
 func keepToLoopback(m *peering.Message) {
-	m.From, m.Known = "127.0.0.1:1", nil
+	m.From, m.KnownPeers = "127.0.0.1:1", nil
 	for i := range m.Members {
 		for k := range m.Members[i].Addresses {
 			m.Members[i].Addresses[k] = fmt.Sprintf("127.0.0.1:%d", 2+k%1000)
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -87,9 +87,9 @@
 // nobody has told them yet.
 func (p *peerExchange) greet(now time.Time, found []string) {
 	p.mu.Lock()
-	asked, told := p.group.Greets(now, found)
+	asked, told := p.group.SplitGreetings(now, found)
 	p.mu.Unlock()
-	p.send(asked, peering.Message{Asks: true})
+	p.send(asked, peering.Message{WantsMembers: true})
 	p.send(told, peering.Message{})
 }
 
@@ -120,7 +120,7 @@
 // answer tells an entry that asks who runs.
 func (p *peerExchange) answer(now time.Time, target, zone string) {
 	p.mu.Lock()
-	told := p.group.Answer(now, zone)
+	told := p.group.MembersFor(now, zone)
 	p.mu.Unlock()
 	p.sendMembers([]string{target}, told)
 }
@@ -208,7 +208,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	for _, part := range peering.InParts(members) {
+	for _, part := range peering.SplitMembers(members) {
 		p.send(targets, peering.Message{Members: part})
 	}
 }
@@ -276,15 +276,15 @@
 	}
 	// Answers tell who is up to date. Where all start at once, nobody would hear of most others until
 	// the next heartbeat, and all would choose the same servers.
-	p.greet(now, sender.Found)
+	p.greet(now, sender.Discovered)
 	p.catchUpSoon(m)
 	switch {
-	case m.Asks:
+	case m.WantsMembers:
 		p.answer(now, m.From, m.Zone)
 	case sender.Joined && sender.Local, mistakes:
 		p.send([]string{m.From}, peering.Message{})
 	}
-	if sender.Missed {
+	if sender.NeedsSync {
 		p.tellOpen(now, m.From)
 	}
 }
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -81,7 +81,7 @@
 		seeds = p.group.KnownLocal()
 	}
 	p.mu.Unlock()
-	p.send(seeds, peering.Message{Asks: true})
+	p.send(seeds, peering.Message{WantsMembers: true})
 }
 
 // readsFirst says whether this entry, which has started a while ago, reads the store itself.
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -95,7 +95,7 @@
 		return
 	case e.group.NoPeerHeard() && now.Sub(e.asked) >= peering.SeedRetryInterval:
 		e.asked = now
-		e.send(e.group.KnownLocal(), peering.Message{Asks: true}, Asking)
+		e.send(e.group.KnownLocal(), peering.Message{WantsMembers: true}, Asking)
 	}
 	e.later(startPoll, e.learn)
 }
@@ -274,12 +274,12 @@
 	if e.group.ShouldRedirect(now, m) {
 		e.sendFar([]string{m.From}, 0, Redirection)
 	}
-	asked, told := e.group.Greets(now, sender.Found)
-	e.send(asked, peering.Message{Asks: true}, Asking)
+	asked, told := e.group.SplitGreetings(now, sender.Discovered)
+	e.send(asked, peering.Message{WantsMembers: true}, Asking)
 	e.send(told, peering.Message{}, Greeting)
 	switch {
-	case m.Asks:
-		e.sendMembers([]string{m.From}, e.group.Answer(now, m.Zone), Answer)
+	case m.WantsMembers:
+		e.sendMembers([]string{m.From}, e.group.MembersFor(now, m.Zone), Answer)
 	case sender.Joined && sender.Local, e.group.MistakenForLocal(m):
 		e.send([]string{m.From}, peering.Message{}, Greeting)
 	}
@@ -289,7 +289,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	for _, part := range peering.InParts(members) {
+	for _, part := range peering.SplitMembers(members) {
 		e.send(targets, peering.Message{Members: part}, kind)
 	}
 }
@@ -308,12 +308,12 @@
 func (e *entry) heartbeat() {
 	now := e.now()
 	e.group.Forget(now)
-	beat := e.group.Heartbeat(now, e.turn)
-	m := peering.Message{Asks: e.group.Asks(now), Digest: e.group.Digest(now), Zones: e.group.RemoteSummaries(now, e.turn)}
+	beat := e.group.HeartbeatTargets(now, e.turn)
+	m := peering.Message{WantsMembers: e.group.NeedsMembers(now), Digest: e.group.Digest(now), Zones: e.group.RemoteSummaries(now, e.turn)}
 	m.SetRecordsDigest(0)
 	e.send(beat.Local, m, Heartbeat)
 	if len(beat.WithMembers) > 0 {
-		e.sendMembers(beat.WithMembers, e.group.Listed(now), List)
+		e.sendMembers(beat.WithMembers, e.group.LocalMembers(now), List)
 	}
 	e.sendFar(beat.Remote, e.turn, FarHeartbeat)
 	e.turn++
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -19,7 +19,7 @@
 	{"news cross zones through relays", "entry/gateway/peers.go", "	if passes {\n", "	if passes && false {\n", gatewayPkg, "TestNewsOfAPlaceReach"},
 	{"relayed news are not passed round", "core/peering/far.go", "m.Relay && m.Zone != \"\" && m.Zone != g.zone", "m.Relay", peeringPkg, "TestNewsCrossZones"},
 	{"a list that grows makes no zone near", "entry/gateway/peers.go", "	if divided || !grows || p.group.KnowsScope() {", "	if true || grows {", gatewayPkg, "TestAListThatGrows"},
-	{"a joining entry asks a neighbour", "core/peering/join.go", "	if len(found) > 0 && g.Asks(now) {\n", "	if false {\n", peeringPkg, "TestAStartingEntryFinds"},
+	{"a joining entry asks a neighbour", "core/peering/join.go", "	if len(found) > 0 && g.NeedsMembers(now) {\n", "	if false {\n", peeringPkg, "TestAStartingEntryFinds"},
 	{"lists that all know are not told", "core/peering/beats.go", "g.members[address].sum != sum {", "(true || g.members[address].sum != sum) {", peeringPkg, "TestAllAreToldOfAll"},
 	{"few read the store first", "core/peering/start.go", "place < startReaders<<min(waited/readTurn, maxTurns)", "place < 1000", peeringPkg, "TestWhereAllStartAtOnce"},
 	{"calls at a start do not grow", "core/peering/start.go", "place < startReaders<<min(waited/readTurn, maxTurns)", "place < 1000", fleetPkg, "TestCallsOfTheStore"},
