--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -112,13 +112,13 @@
 // New returns a group of an entry in an availability zone that knows the seeds.
 func New(self, zone, incarnation string, seeds []string) *Group {
 	g := &Group{self: self, zone: zone, incarnation: incarnation, members: map[string]*member{}, far: map[string]*farZone{}}
-	g.Seed(time.Time{}, seeds)
+	g.SetSeeds(time.Time{}, seeds)
 	return g
 }
 
-// Seed takes in the addresses of the settings. They are kept for ever, since they
+// SetSeeds takes in the addresses of the settings. They are kept for ever, since they
 // are the only way back after everyone else was forgotten.
-func (g *Group) Seed(now time.Time, seeds []string) {
+func (g *Group) SetSeeds(now time.Time, seeds []string) {
 	g.seeds = slices.Clone(seeds)
 	for _, address := range seeds {
 		g.add(now, address)
@@ -151,8 +151,8 @@
 // KnowsScope says whether Divide was called.
 func (g *Group) KnowsScope() bool { return g.scope != scopeUnknown }
 
-// Serve sets whether this entry takes requests.
-func (g *Group) Serve(serves bool) { g.serves = serves }
+// SetServing sets whether this entry takes requests.
+func (g *Group) SetServing(serves bool) { g.serves = serves }
 
 // Divided returns whether they do.
 func (g *Group) Divided() bool { return g.scope == scopeZone }
--- a/core/peering/newer.go
+++ b/core/peering/newer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Newer returns a live member that knows a higher configuration version than version or,
+// NewerPeer returns a live member that knows a higher configuration version than version or,
 // if servers is set, a higher revision of the servers: the newest, and of equal ones another
 // one for each entry that asks. As long as this zone knows what the store holds, only its
 // own members are asked: those of other zones hear of a change some moments sooner as often
 // as later, and a view of 140 servers is some 35 KB.
-func (g *Group) Newer(now time.Time, version, revision uint64, servers bool) (string, bool) {
+func (g *Group) NewerPeer(now time.Time, version, revision uint64, servers bool) (string, bool) {
 	var best *member
 	within := g.Fresh(now)
 	for _, address := range g.Alive(now) {
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -186,14 +186,14 @@
 	near.Version, near.Revision = 1, 1
 	near.SetStore(StoreState{Reads: true})
 	g.Observe(start, near)
-	_, ok := g.Newer(start, 1, 1, true)
+	_, ok := g.NewerPeer(start, 1, 1, true)
 	require.False(t, ok)
 	near.Version = 2
 	g.Observe(start, near)
-	peer, ok := g.Newer(start, 1, 1, true)
+	peer, ok := g.NewerPeer(start, 1, 1, true)
 	require.True(t, ok)
 	require.Equal(t, entryAt(1), peer)
-	peer, ok = g.Newer(start.Add(2*time.Second), 2, 1, true)
+	peer, ok = g.NewerPeer(start.Add(2*time.Second), 2, 1, true)
 	require.True(t, ok, "the own zone knows nothing fresh")
 	require.Equal(t, "far:1", peer)
 }
--- a/core/peering/records.go
+++ b/core/peering/records.go
@@ -8,9 +8,9 @@
 // remembers a bounded number) don't fill the links.
 const recordsAgain = 2 * HeartbeatInterval
 
-// TellRecords says whether a member whose records differ is to be told all records now, and
+// ShouldSendRecords says whether a member whose records differ is to be told all records now, and
 // notes that it is.
-func (g *Group) TellRecords(now time.Time, address string) bool {
+func (g *Group) ShouldSendRecords(now time.Time, address string) bool {
 	m := g.members[address]
 	if m == nil || !m.recordsTold.IsZero() && now.Sub(m.recordsTold) < recordsAgain {
 		return false
--- a/core/peering/records_test.go
+++ b/core/peering/records_test.go
@@ -12,11 +12,11 @@
 func TestRecordsAreToldOnceASecond(t *testing.T) {
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
-	require.False(t, g.TellRecords(now, "b"), "an entry that is not known")
+	require.False(t, g.ShouldSendRecords(now, "b"), "an entry that is not known")
 	g.Observe(now, Message{From: "b", Incarnation: "1"})
-	require.True(t, g.TellRecords(now, "b"))
-	require.False(t, g.TellRecords(now.Add(recordsAgain-1), "b"))
-	require.True(t, g.TellRecords(now.Add(recordsAgain), "b"))
+	require.True(t, g.ShouldSendRecords(now, "b"))
+	require.False(t, g.ShouldSendRecords(now.Add(recordsAgain-1), "b"))
+	require.True(t, g.ShouldSendRecords(now.Add(recordsAgain), "b"))
 }
 
 // An entry is told of requests under which servers end, stops, and is started again within a
@@ -26,9 +26,9 @@
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
 	g.Observe(now, Message{From: "b", Incarnation: "1"})
-	require.True(t, g.TellRecords(now, "b"))
+	require.True(t, g.ShouldSendRecords(now, "b"))
 	now = now.Add(300 * time.Millisecond)
-	require.False(t, g.TellRecords(now, "b"))
+	require.False(t, g.ShouldSendRecords(now, "b"))
 	g.Observe(now, Message{From: "b", Incarnation: "2"})
-	require.True(t, g.TellRecords(now, "b"))
+	require.True(t, g.ShouldSendRecords(now, "b"))
 }
--- a/core/peering/return.go
+++ b/core/peering/return.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// NextServing is how long it takes at most until callers reach another entry that takes
+// TimeToNextServing is how long it takes at most until callers reach another entry that takes
 // requests; 0 if they do now. limit is how long a planned stop takes at most. It returns
 // false if no other entry is known to come back.
-func (g *Group) NextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
+func (g *Group) TimeToNextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
 	for _, m := range g.members {
 		wait, ok := m.nextServing(now, limit)
@@ -22,19 +22,19 @@
 	case m.heard.IsZero():
 		return 0, false
 	case m.stopping:
-		return max(m.stopped.Add(limit).Sub(now), 0) + StartTime + BalancerTime, quiet < limit+StartTime
+		return max(m.stopped.Add(limit).Sub(now), 0) + RestartTime + BalancerDelay, quiet < limit+RestartTime
 	case m.serving.IsZero():
-		return StartTime + BalancerTime, quiet < AliveFor
+		return RestartTime + BalancerDelay, quiet < AliveFor
 	}
-	return max(m.serving.Add(BalancerTime).Sub(now), 0), quiet < AliveFor
+	return max(m.serving.Add(BalancerDelay).Sub(now), 0), quiet < AliveFor
 }
 
 const (
-	// StartTime is how long an entry takes from its end to serving again: the platform's
+	// RestartTime is how long an entry takes from its end to serving again: the platform's
 	// delay before a start, and the first read of the store.
-	StartTime = 600 * time.Millisecond
-	// BalancerTime is how long the platform's balancer takes to send callers to an entry
+	RestartTime = 600 * time.Millisecond
+	// BalancerDelay is how long the platform's balancer takes to send callers to an entry
 	// that has begun to serve: it asks once a second. A caller that comes back sooner is
 	// sent to one that stops, and refused again.
-	BalancerTime = 1200 * time.Millisecond
+	BalancerDelay = 1200 * time.Millisecond
 )
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -54,7 +54,7 @@
 		speaking := 0
 		for i, g := range groups {
 			g.Divide(true)
-			g.Serve(true)
+			g.SetServing(true)
 			for _, zone := range []string{"there", "yonder"} {
 				for j := range 4 {
 					g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, j), zone))
@@ -83,7 +83,7 @@
 	groups := zoneGroups(4, func(i int) int { return 100 - i })
 	for _, g := range groups {
 		g.Divide(true)
-		g.Serve(true)
+		g.SetServing(true)
 		g.Observe(start, zoned("there-0:1", "there"))
 	}
 	later := start.Add(SuspectAfter)
@@ -102,7 +102,7 @@
 	require.Equal(t, []string{"a:1", "self:1"}, g.delegates(start))
 	g.Observe(start, zoned("b:1", "here"))
 	require.ElementsMatch(t, []string{"a:1", "b:1"}, g.delegates(start))
-	g.Serve(true)
+	g.SetServing(true)
 	require.Equal(t, "self:1", g.delegates(start)[0])
 }
 
@@ -162,7 +162,7 @@
 	far.Entries = 10
 	require.True(t, g.ShouldRedirect(start, far))
 	require.Len(t, farMessage(g, 0).Delegates, delegatesPerZone)
-	g.Serve(true)
+	g.SetServing(true)
 	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.False(t, g.ShouldRedirect(start, far), "it is one")
 	near := zoned("here-0:1", "here")
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -97,7 +97,7 @@
 // they tell it, and they tell it what is open.
 func (p *peerExchange) announce() {
 	p.mu.Lock()
-	p.group.Serve(true)
+	p.group.SetServing(true)
 	p.mu.Unlock()
 	p.tellState()
 }
@@ -114,7 +114,7 @@
 func (p *peerExchange) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Serve(false)
+	p.group.SetServing(false)
 }
 
 // answer tells an entry that asks who runs.
@@ -129,7 +129,7 @@
 func (p *peerExchange) seed(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Seed(time.Now(), seeds)
+	p.group.SetSeeds(time.Now(), seeds)
 }
 
 // divide sets whether entries keep to the servers of their own zone. While the list of servers still grows, too few of them
@@ -153,7 +153,7 @@
 func (p *peerExchange) nextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.NextServing(now, limit)
+	return p.group.TimeToNextServing(now, limit)
 }
 
 // send sends a message to some entries.
@@ -336,7 +336,7 @@
 	version, revision := p.s.versions()
 	servers := p.takesServers()
 	p.mu.Lock()
-	peer, ok := p.group.Newer(now, version, revision, servers)
+	peer, ok := p.group.NewerPeer(now, version, revision, servers)
 	ok = ok && !p.fetching
 	p.fetching = p.fetching || ok
 	p.mu.Unlock()
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -137,7 +137,7 @@
 		return
 	}
 	p.mu.Lock()
-	due := p.group.TellRecords(now, m.From)
+	due := p.group.ShouldSendRecords(now, m.From)
 	p.mu.Unlock()
 	if due {
 		p.tellRecords(now, m.From)
--- a/entry/gateway/stop.go
+++ b/entry/gateway/stop.go
@@ -41,7 +41,7 @@
 	if known && wait == 0 {
 		return elsewhereDelay
 	}
-	own := peering.StartTime + peering.BalancerTime
+	own := peering.RestartTime + peering.BalancerDelay
 	if since := s.stopping.Load(); since != nil {
 		own += max(since.Add(s.StopLimit()).Sub(now), 0)
 	}
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -115,7 +115,7 @@
 // catchUp takes over the view of an entry that knows more, unless this one reads the store.
 func (e *entry) catchUp() {
 	e.behind = false
-	source, ok := e.group.Newer(e.now(), version, e.revision, true)
+	source, ok := e.group.NewerPeer(e.now(), version, e.revision, true)
 	if e.reads || !ok {
 		return
 	}
@@ -192,7 +192,7 @@
 	e.serving = true
 	e.fleet.result.served(e)
 	e.group.Divide(e.fleet.options.Divided)
-	e.group.Serve(true)
+	e.group.SetServing(true)
 	e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 }
 
--- a/proof/processes/stop_test.go
+++ b/proof/processes/stop_test.go
@@ -159,7 +159,7 @@
 			<-r.Context().Done()
 		}
 	})...)
-	time.Sleep(peering.BalancerTime) // callers reach the other entry by then
+	time.Sleep(peering.BalancerDelay) // callers reach the other entry by then
 	f.stop(0)
 	time.Sleep(time.Second)
 	short := f.stream(0, "short", shortPrompt, shortAnswer, func() {})
