--- a/core/coldstart/limiter.go
+++ b/core/coldstart/limiter.go
@@ -15,8 +15,8 @@
 // knownShare is the part of what a server bears that entries use which know each other.
 const knownShare = 0.5
 
-// Places says which place an entry takes among those that it knows, itself included, for a server; the first is 0.
-type Places func(start string) int
+// RankFunc says which place an entry takes among those that it knows, itself included, for a server; the first is 0.
+type RankFunc func(start string) int
 
 // Senders is how many entries may send to a server that bears a number of requests a second. One always may: a service
 // whose servers are all cold would otherwise never warm up.
@@ -55,7 +55,7 @@
 }
 
 // Allows says whether a request may be sent to a server that bears a number of them a second while it is cold.
-func (l *Limiter) Allows(now time.Time, start string, perSecond float64, places Places) bool {
+func (l *Limiter) Allows(now time.Time, start string, perSecond float64, places RankFunc) bool {
 	if !l.IsCold(now, start) {
 		return true
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// Awoke forgets the places among other entries, after this process was suspended.
-func (l *Limiter) Awoke() {
+// ResetRanks forgets the places among other entries, after this process was suspended.
+func (l *Limiter) ResetRanks() {
 	for _, known := range l.servers {
 		known.placed = false
 	}
--- a/core/peering/owners.go
+++ b/core/peering/owners.go
@@ -37,8 +37,8 @@
 
 func rank(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
 
-// Place returns this entry's place among all that it knows by a hash of each and of a server; the first is 0.
-func (g *Group) Place(server string) int {
+// Rank returns this entry's place among all that it knows by a hash of each and of a server; the first is 0.
+func (g *Group) Rank(server string) int {
 	place, own := 0, rank(g.self, server)
 	for address := range g.members {
 		if rank(address, server) > own {
--- a/entry/gateway/cold.go
+++ b/entry/gateway/cold.go
@@ -43,5 +43,5 @@
 func (p *peerExchange) place(start string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.Place(start)
+	return p.group.Rank(start)
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -311,7 +311,7 @@
 	gap := s.pause.Tick(boottime(now))
 	if gap > 0 {
 		s.book.Awoke()
-		s.cold.Awoke()
+		s.cold.ResetRanks()
 	}
 	s.mu.Unlock()
 	if gap > 0 {
