--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -139,9 +139,9 @@
 	return m
 }
 
-// Divide sets whether entries keep to the servers of their own zone. Until it is called for the
+// SetLocalRouting sets whether entries keep to the servers of their own zone. Until it is called for the
 // first time that is not known.
-func (g *Group) Divide(divided bool) {
+func (g *Group) SetLocalRouting(divided bool) {
 	g.scope = scopeWhole
 	if divided {
 		g.scope = scopeZone
@@ -154,8 +154,8 @@
 // SetServing sets whether this entry takes requests.
 func (g *Group) SetServing(serves bool) { g.serves = serves }
 
-// Divided returns whether they do.
-func (g *Group) Divided() bool { return g.scope == scopeZone }
+// LocalRouting returns whether they do.
+func (g *Group) LocalRouting() bool { return g.scope == scopeZone }
 
 // isNear says whether a member chooses among the same servers as this entry does. One
 // whose zone is not known may.
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -18,7 +18,7 @@
 // dividedGroup returns the group of an entry "here" that knows some entries in each zone.
 func dividedGroup(zones []string, each int) *Group {
 	g := New("self:1", "here", "i", nil)
-	g.Divide(true)
+	g.SetLocalRouting(true)
 	for _, zone := range zones {
 		for i := range each {
 			g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, i), zone))
@@ -35,7 +35,7 @@
 	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1", "there-3:1"}, g.RunningIn(start, "there"))
 	g.Observe(start, message("old:1", "x", 1, 1))
 	require.Contains(t, g.Local(start), "old:1", "an entry of a version that tells no zone may use any server")
-	g.Divide(false)
+	g.SetLocalRouting(false)
 	require.Len(t, g.Local(start), 13)
 }
 
@@ -53,7 +53,7 @@
 		groups := zoneGroups(count, func(i int) int { return 100 - i })
 		speaking := 0
 		for i, g := range groups {
-			g.Divide(true)
+			g.SetLocalRouting(true)
 			g.SetServing(true)
 			for _, zone := range []string{"there", "yonder"} {
 				for j := range 4 {
@@ -82,7 +82,7 @@
 func TestDelegatesAreReplaced(t *testing.T) {
 	groups := zoneGroups(4, func(i int) int { return 100 - i })
 	for _, g := range groups {
-		g.Divide(true)
+		g.SetLocalRouting(true)
 		g.SetServing(true)
 		g.Observe(start, zoned("there-0:1", "there"))
 	}
@@ -128,7 +128,7 @@
 // are, and whom to ask. What they have been handed they don't hand on: it would be told round for ever, older each time.
 func TestWhatOtherZonesTellIsHandedOn(t *testing.T) {
 	delegate, g := dividedGroup([]string{"here"}, 1), New("other:1", "here", "i", nil)
-	g.Divide(true)
+	g.SetLocalRouting(true)
 	m := zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1"}})
 	m.Entries, m.Delegates = 70, []string{"there-0:1", "there-1:1"}
 	m.SetSpareCapacity(0.6)
@@ -181,7 +181,7 @@
 	beat.Zone = "there"
 	require.False(t, g.MistakenForLocal(beat))
 	beat.Zone = "here"
-	g.Divide(false)
+	g.SetLocalRouting(false)
 	require.False(t, g.MistakenForLocal(beat), "all are near")
 }
 
@@ -264,7 +264,7 @@
 // told nothing more.
 func TestAStartingEntryFindsItsNeighboursThroughAnotherZone(t *testing.T) {
 	seed := New("there-0:1", "there", "i", nil)
-	seed.Divide(true)
+	seed.SetLocalRouting(true)
 	seed.Observe(start, zoned("here-0:1", "here"))
 	seed.Observe(start, zoned("here-1:1", "here"))
 	for _, address := range named("there-", 40) {
@@ -297,7 +297,7 @@
 		g.Observe(start, zoned(address, "there"))
 	}
 	require.Len(t, g.MembersFor(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
-	g.Divide(false)
+	g.SetLocalRouting(false)
 	require.Len(t, g.MembersFor(start, "here")[1].Addresses, 40)
 	require.Len(t, g.KnownLocal(), 40)
 }
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -40,7 +40,7 @@
 	w.eventually("the servers are divided", func() bool {
 		there.peers.mu.Lock()
 		defer there.peers.mu.Unlock()
-		return there.peers.group.Divided() && len(there.peers.group.RunningIn(time.Now(), "here")) == 1
+		return there.peers.group.LocalRouting() && len(there.peers.group.RunningIn(time.Now(), "here")) == 1
 	})
 	return here, there
 }
@@ -99,7 +99,7 @@
 	divided := func() bool {
 		here.peers.mu.Lock()
 		defer here.peers.mu.Unlock()
-		return here.peers.group.Divided()
+		return here.peers.group.LocalRouting()
 	}
 	w.configure(standin.AddEngineService("small"))
 	w.eventually("the small service keeps the entries from it", func() bool { return w.known(here) && !divided() })
@@ -182,7 +182,7 @@
 			}
 			s.peers.mu.Lock()
 			defer s.peers.mu.Unlock()
-			return s.peers.group.Divided() && len(s.peers.group.Local(time.Now())) == len(entries)-1
+			return s.peers.group.LocalRouting() && len(s.peers.group.Local(time.Now())) == len(entries)-1
 		})
 	}
 	released := make(chan struct{})
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -174,7 +174,7 @@
 	require.EqualValues(t, 5, here.counters.crossed.Count())
 	for _, s := range []*Server{here, there} {
 		s.peers.mu.Lock()
-		require.True(t, s.peers.group.Divided())
+		require.True(t, s.peers.group.LocalRouting())
 		s.peers.mu.Unlock()
 	}
 }
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -79,7 +79,7 @@
 func (p *peerExchange) farZones(choice placement.Choice) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.group.Divided() {
+	if !p.group.LocalRouting() {
 		return nil
 	}
 	var far []string
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if divided || !grows || p.group.KnowsScope() {
-		p.group.Divide(divided)
+		p.group.SetLocalRouting(divided)
 	}
 }
 
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -355,7 +355,7 @@
 	w.eventually("the first divides the servers too", func() bool {
 		here.peers.mu.Lock()
 		defer here.peers.mu.Unlock()
-		return here.peers.group.Divided() && len(here.peers.group.RunningIn(time.Now(), "there")) == 1
+		return here.peers.group.LocalRouting() && len(here.peers.group.RunningIn(time.Now(), "there")) == 1
 	})
 	record := endedUnder("a", "b", "c")
 	here.peers.tellRecord(record)
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -191,7 +191,7 @@
 	}
 	e.serving = true
 	e.fleet.result.served(e)
-	e.group.Divide(e.fleet.options.Divided)
+	e.group.SetLocalRouting(e.fleet.options.Divided)
 	e.group.SetServing(true)
 	e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 }
