--- a/core/quarantine/answered.go
+++ b/core/quarantine/answered.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// AnsweredTime is for how long at least a whole answer speaks for a request. A request that
+	// ExonerationTime is for how long at least a whole answer speaks for a request. A request that
 	// many callers of a workspace repeat, as a check of a status, runs at all servers of its
 	// service at any moment: where a rack fails, as many servers end under it as under one at
 	// fault. It was answered a moment before, many times. Ten seconds are some repeats of such a
 	// caller, and short enough that a request which servers no longer bear after a release is
 	// soon recognised.
-	AnsweredTime = 10 * time.Second
+	ExonerationTime = 10 * time.Second
 	// maxAnswered bounds the answers that are remembered, twice: an entry answers some 50
 	// requests a second.
 	maxAnswered = 1024
@@ -41,9 +41,9 @@
 // turn forgets what is too old.
 func (a *answered) turn(now time.Time) {
 	switch age := now.Sub(a.since); {
-	case age >= 2*AnsweredTime:
+	case age >= 2*ExonerationTime:
 		a.older, a.newer, a.since = nil, nil, now
-	case age >= AnsweredTime:
+	case age >= ExonerationTime:
 		a.older, a.newer, a.since = a.newer, nil, now
 	}
 }
--- a/core/quarantine/apart.go
+++ b/core/quarantine/apart.go
@@ -10,11 +10,11 @@
 // request that nobody waits for any more is dropped within half a second (the users' bound).
 const apartTime = time.Second
 
-// Apart keeps suspects on different servers. A sound request that is sent right beside the one at
+// Separator keeps suspects on different servers. A sound request that is sent right beside the one at
 // fault, each time to the same server, is at all its ends. Nothing tells the two apart then: the one at
 // fault is sent on up to EndsInAnyCase, and the sound one is refused with it. On servers of their own
-// they differ at the next end. Apart is not safe for concurrent use.
-type Apart struct {
+// they differ at the next end. Separator is not safe for concurrent use.
+type Separator struct {
 	// sent is by start of a server which suspect was sent there last.
 	sent map[string]sending
 }
@@ -24,17 +24,17 @@
 	at          time.Time
 }
 
-// NewApart returns an Apart that knows of no suspect.
-func NewApart() *Apart { return &Apart{sent: map[string]sending{}} }
+// NewSeparator returns an Apart that knows of no suspect.
+func NewSeparator() *Separator { return &Separator{sent: map[string]sending{}} }
 
-// Sent takes in that a suspect is sent to a start of a server.
-func (a *Apart) Sent(now time.Time, f Fingerprint, start string) {
+// RecordSend takes in that a suspect is sent to a start of a server.
+func (a *Separator) RecordSend(now time.Time, f Fingerprint, start string) {
 	a.expire(now)
 	a.sent[start] = sending{f, now}
 }
 
-// Others returns the starts of servers that another suspect may be about to end, in a fixed order.
-func (a *Apart) Others(now time.Time, f Fingerprint) []string {
+// ServersOfOthers returns the starts of servers that another suspect may be about to end, in a fixed order.
+func (a *Separator) ServersOfOthers(now time.Time, f Fingerprint) []string {
 	a.expire(now)
 	var starts []string
 	for start, s := range a.sent {
@@ -47,7 +47,7 @@
 }
 
 // expire bounds what is remembered to the suspects of the last second.
-func (a *Apart) expire(now time.Time) {
+func (a *Separator) expire(now time.Time) {
 	for start, s := range a.sent {
 		if now.Sub(s.at) >= apartTime {
 			delete(a.sent, start)
--- a/core/quarantine/apart_test.go
+++ b/core/quarantine/apart_test.go
@@ -9,25 +9,25 @@
 // Two suspects come one after the other. The second one keeps away from the server of the first for as
 // long as that may end it, and no longer; the first one may go there again.
 func TestSuspectsAreKeptApartForAWhile(t *testing.T) {
-	a := NewApart()
-	a.Sent(start, named("one"), "a")
-	a.Sent(start, named("two"), "b")
-	require.Equal(t, []string{"a"}, a.Others(start, named("two")))
-	require.Equal(t, []string{"b"}, a.Others(start, named("one")))
-	require.Equal(t, []string{"a", "b"}, a.Others(start.Add(apartTime-1), named("three")))
-	require.Empty(t, a.Others(start.Add(apartTime), named("three")))
+	a := NewSeparator()
+	a.RecordSend(start, named("one"), "a")
+	a.RecordSend(start, named("two"), "b")
+	require.Equal(t, []string{"a"}, a.ServersOfOthers(start, named("two")))
+	require.Equal(t, []string{"b"}, a.ServersOfOthers(start, named("one")))
+	require.Equal(t, []string{"a", "b"}, a.ServersOfOthers(start.Add(apartTime-1), named("three")))
+	require.Empty(t, a.ServersOfOthers(start.Add(apartTime), named("three")))
 	require.Empty(t, a.sent)
 }
 
 // A request is a suspect from its second end on, until a whole answer clears it. Most requests beside an
 // end are there once: were they kept apart, answers would not be packed while servers are few.
 func TestOnlyWhatWasAtTwoEndsIsASuspect(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	f := named("sound")
 	for i, server := range []string{"a", "b", "c"} {
-		require.Equal(t, i >= 2, w.Suspected(f))
-		w.Ended(start, f, server)
+		require.Equal(t, i >= 2, w.IsSuspect(f))
+		w.ServerCrashed(start, f, server)
 	}
-	w.Answered(start, f)
-	require.False(t, w.Suspected(f))
+	w.Completed(start, f)
+	require.False(t, w.IsSuspect(f))
 }
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -22,21 +22,21 @@
 // BenchmarkWatch is the time to take in an end while as many requests as may be are remembered,
 // and to ask whether one is refused.
 func BenchmarkWatch(b *testing.B) {
-	w := NewWatch()
+	w := NewTracker()
 	for i := range MaxRecords {
 		for _, server := range []string{"a", "b", "c"} {
-			w.Ended(start, named(fmt.Sprint(i)), fmt.Sprint(server, i))
+			w.ServerCrashed(start, named(fmt.Sprint(i)), fmt.Sprint(server, i))
 		}
 	}
 	f := named("0")
 	b.Run("ended", func(b *testing.B) {
 		for i := range b.N {
-			w.Ended(start.Add(time.Duration(i)), named("new"), "a")
+			w.ServerCrashed(start.Add(time.Duration(i)), named("new"), "a")
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
 		for range b.N {
-			w.Refused(start, f)
+			w.RefusedFor(start, f)
 		}
 	})
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -14,9 +14,9 @@
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	// Cleared is how often a whole answer has cleared the request since it is remembered.
 	Cleared uint32 `cbor:"2,keyasint,omitempty"`
-	// Ended are the starts of servers that have ended under it since, see hashOf; EndsInAnyCase
+	// Crashes are the starts of servers that have ended under it since, see hashOf; EndsInAnyCase
 	// at the most.
-	Ended []uint64 `cbor:"3,keyasint,omitempty"`
+	Crashes []uint64 `cbor:"3,keyasint,omitempty"`
 	// Age is how long ago the last of these ends, or the answer that cleared it, was.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
@@ -38,11 +38,11 @@
 // are kept, so that entries that hear of the same ends keep the same ones.
 func (r *record) add(end uint64) bool {
 	at, found := slices.BinarySearch(r.ended, end)
-	if found || at >= EndsInAnyCase {
+	if found || at >= CrashLimit {
 		return false
 	}
 	r.ended = slices.Insert(r.ended, at, end)
-	r.ended = r.ended[:min(len(r.ended), EndsInAnyCase)]
+	r.ended = r.ended[:min(len(r.ended), CrashLimit)]
 	return true
 }
 
@@ -55,7 +55,7 @@
 	if isNew {
 		r.cleared, r.ended = told.Cleared, nil
 	}
-	for _, end := range told.Ended {
+	for _, end := range told.Crashes {
 		isNew = r.add(end) || isNew
 	}
 	if isNew && changed.After(r.changed) {
--- a/core/quarantine/watch.go
+++ b/core/quarantine/watch.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	// EndsToRefuse is after how many ends of servers that are charged to a request it is
+	// AttributedCrashLimit is after how many ends of servers that are charged to a request it is
 	// refused. One is chance, and two can be where servers fail one after the other; a request
 	// that comes again ends this many within seconds. The users allow three.
-	EndsToRefuse = 3
-	// EndsInAnyCase is after how many ends it is refused whatever else ran at these servers.
+	AttributedCrashLimit = 3
+	// CrashLimit is after how many ends it is refused whatever else ran at these servers.
 	// Two requests at fault that always meet at the same servers would otherwise hide each
 	// other. The users allow three sends after the third end; one of them is kept for a second
 	// attempt that is under way as the last server ends. A sound request is sent to four servers
 	// on the users' deployments: two in an attempt, and its caller repeats it once.
-	EndsInAnyCase = 5
-	// BeginTime is for how long after its first event a request has just begun. A server that
+	CrashLimit = 5
+	// StartWindow is for how long after its first event a request has just begun. A server that
 	// a request ends does so as it begins to run it, before its first event. It is longer by
 	// much, since events are late on a busy host, and short beside the time that answers last.
-	BeginTime = time.Second
-	// Term is how long a request is remembered after the last end. It bounds what such a
+	StartWindow = time.Second
+	// RecordTTL is how long a request is remembered after the last end. It bounds what such a
 	// request may do to three servers an hour, and a request that servers bear again after
 	// a release is served within the hour.
-	Term = time.Hour
+	RecordTTL = time.Hour
 	// MaxRecords bounds the requests that are remembered, and what an entry is told that has
 	// started, up to 76 bytes each. Where half of a fleet fails at once, a few requests have just
 	// begun at each server.
 	MaxRecords = 256
 )
 
-// JustBegun says whether a request had just begun at a server that has ended: it had no event
+// RecentlyStarted says whether a request had just begun at a server that has ended: it had no event
 // from it (answerBegan is zero), or its first one lately.
-func JustBegun(now, answerBegan time.Time) bool {
-	return answerBegan.IsZero() || now.Sub(answerBegan) < BeginTime
+func RecentlyStarted(now, answerBegan time.Time) bool {
+	return answerBegan.IsZero() || now.Sub(answerBegan) < StartWindow
 }
 
-// Watch remembers requests under which servers have ended. It is not safe for concurrent use.
-type Watch struct {
+// Tracker remembers requests under which servers have ended. It is not safe for concurrent use.
+type Tracker struct {
 	records  map[Fingerprint]*record
 	answered answered
 }
 
-// NewWatch returns a watch that knows no request.
-func NewWatch() *Watch { return &Watch{records: map[Fingerprint]*record{}} }
+// NewTracker returns a watch that knows no request.
+func NewTracker() *Tracker { return &Tracker{records: map[Fingerprint]*record{}} }
 
 // Empty says whether no request is remembered.
-func (w *Watch) Empty() bool { return len(w.records) == 0 }
+func (w *Tracker) Empty() bool { return len(w.records) == 0 }
 
-// Ended takes in that a start of a server has ended under a request that had just begun there.
+// ServerCrashed takes in that a start of a server has ended under a request that had just begun there.
 // It returns what the other entries are to be told; false if nothing is new. A request that was
 // answered lately is not at fault.
-func (w *Watch) Ended(now time.Time, f Fingerprint, start string) (Record, bool) {
+func (w *Tracker) ServerCrashed(now time.Time, f Fingerprint, start string) (Record, bool) {
 	if w.answered.has(now, f) {
 		return Record{}, false
 	}
@@ -70,9 +70,9 @@
 	return r.told(now, f), true
 }
 
-// Answered takes in that a request has got a whole answer that tells of success: no server ends
+// Completed takes in that a request has got a whole answer that tells of success: no server ends
 // under it. It returns what the other entries are to be told; false if nothing was believed of it.
-func (w *Watch) Answered(now time.Time, f Fingerprint) (Record, bool) {
+func (w *Tracker) Completed(now time.Time, f Fingerprint) (Record, bool) {
 	w.answered.add(now, f)
 	r := w.records[f]
 	if r == nil || len(r.ended) == 0 {
@@ -83,11 +83,11 @@
 	return r.told(now, f), true
 }
 
-// Join takes in what another entry tells. It returns the requests of which something is new.
-func (w *Watch) Join(now time.Time, told []Record) []Fingerprint {
+// Merge takes in what another entry tells. It returns the requests of which something is new.
+func (w *Tracker) Merge(now time.Time, told []Record) []Fingerprint {
 	var news []Fingerprint
 	for _, t := range told {
-		if t.Age < 0 || t.Age >= Term {
+		if t.Age < 0 || t.Age >= RecordTTL {
 			continue
 		}
 		r := w.records[t.Fingerprint]
@@ -103,7 +103,7 @@
 
 // make adds a record without an end. Where there are too many the one with the fewest ends
 // goes, the oldest of these: those that are refused stay.
-func (w *Watch) make(f Fingerprint) *record {
+func (w *Tracker) make(f Fingerprint) *record {
 	if len(w.records) >= MaxRecords {
 		delete(w.records, w.least())
 	}
@@ -112,7 +112,7 @@
 	return r
 }
 
-func (w *Watch) least() Fingerprint {
+func (w *Tracker) least() Fingerprint {
 	var found Fingerprint
 	var least *record
 	for f, r := range w.records {
@@ -127,21 +127,21 @@
 	return found
 }
 
-// Refused says whether a request is not to be sent to any server, and for how long; 0 if it may
+// RefusedFor says whether a request is not to be sent to any server, and for how long; 0 if it may
 // be sent.
-func (w *Watch) Refused(now time.Time, f Fingerprint) time.Duration {
+func (w *Tracker) RefusedFor(now time.Time, f Fingerprint) time.Duration {
 	r := w.records[f]
-	if r == nil || len(r.ended) < EndsInAnyCase && w.charged(f, r) < EndsToRefuse {
+	if r == nil || len(r.ended) < CrashLimit && w.charged(f, r) < AttributedCrashLimit {
 		return 0
 	}
-	return max(Term-now.Sub(r.changed), 0)
+	return max(RecordTTL-now.Sub(r.changed), 0)
 }
 
 // suspectedEnds is from how many ends on a request is a suspect, which is kept apart from others.
 const suspectedEnds = 2
 
-// Suspected says whether a request may well be the reason why servers have ended.
-func (w *Watch) Suspected(f Fingerprint) bool {
+// IsSuspect says whether a request may well be the reason why servers have ended.
+func (w *Tracker) IsSuspect(f Fingerprint) bool {
 	r := w.records[f]
 	return r != nil && len(r.ended) >= suspectedEnds
 }
@@ -150,8 +150,8 @@
 // was there too and was at as many ends, or at one less: of the newest end it may not have been
 // heard yet, and without that allowance a request beside the one at fault would be taken for it
 // until the news is there.
-func (w *Watch) charged(f Fingerprint, r *record) int {
-	if len(r.ended) < EndsToRefuse {
+func (w *Tracker) charged(f Fingerprint, r *record) int {
+	if len(r.ended) < AttributedCrashLimit {
 		return 0
 	}
 	count := len(r.ended)
@@ -164,7 +164,7 @@
 }
 
 // explained says whether another request was at an end, and at as many ends in all as given.
-func (w *Watch) explained(end uint64, f Fingerprint, ends int) bool {
+func (w *Tracker) explained(end uint64, f Fingerprint, ends int) bool {
 	for other, o := range w.records {
 		if other == f || len(o.ended) < ends {
 			continue
@@ -177,19 +177,19 @@
 }
 
 // Expire forgets the requests whose term is over.
-func (w *Watch) Expire(now time.Time) {
+func (w *Tracker) Expire(now time.Time) {
 	for f, r := range w.records {
-		if now.Sub(r.changed) >= Term {
+		if now.Sub(r.changed) >= RecordTTL {
 			delete(w.records, f)
 		}
 	}
 }
 
 // AllRefused returns the requests that are refused.
-func (w *Watch) AllRefused(now time.Time) map[Fingerprint]bool {
+func (w *Tracker) AllRefused(now time.Time) map[Fingerprint]bool {
 	refused := map[Fingerprint]bool{}
 	for f := range w.records {
-		if w.Refused(now, f) > 0 {
+		if w.RefusedFor(now, f) > 0 {
 			refused[f] = true
 		}
 	}
@@ -197,20 +197,20 @@
 }
 
 // Records returns what an entry is told that knows nothing, those with most ends first.
-func (w *Watch) Records(now time.Time) []Record {
+func (w *Tracker) Records(now time.Time) []Record {
 	records := make([]Record, 0, len(w.records))
 	for f, r := range w.records {
 		records = append(records, r.told(now, f))
 	}
 	slices.SortFunc(records, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(len(b.Ended), len(a.Ended)), Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return records
 }
 
 // told returns a record as other entries are told of it.
 func (r *record) told(now time.Time, f Fingerprint) Record {
-	return Record{Fingerprint: f, Cleared: r.cleared, Ended: slices.Clone(r.ended), Age: max(now.Sub(r.changed), 0)}
+	return Record{Fingerprint: f, Cleared: r.cleared, Crashes: slices.Clone(r.ended), Age: max(now.Sub(r.changed), 0)}
 }
 
 // leastSummed is how many ends a record has that counts for Sum. Most records have one, of
@@ -220,7 +220,7 @@
 // Digest stands for the records that matter. Entries tell it with their heartbeats; those whose
 // sums differ tell each other their records, so that a record that was lost on its way reaches
 // everybody, and costs nothing once it has.
-func (w *Watch) Digest() uint32 {
+func (w *Tracker) Digest() uint32 {
 	sum := uint64(0)
 	for f, r := range w.records {
 		if len(r.ended) < leastSummed {
--- a/core/quarantine/watch_test.go
+++ b/core/quarantine/watch_test.go
@@ -19,19 +19,19 @@
 // A request comes again and again and ends a server each time. It is refused from the third end
 // on, for as long as it is remembered, and not before.
 func TestARequestIsRefusedOnceThreeServersHaveEndedUnderIt(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	f := named("fatal")
 	for i, server := range []string{"a", "b", "b", "c"} {
-		require.Zero(t, w.Refused(start, f), server)
-		_, isNew := w.Ended(start, f, server)
+		require.Zero(t, w.RefusedFor(start, f), server)
+		_, isNew := w.ServerCrashed(start, f, server)
 		require.Equal(t, i != 2, isNew)
 	}
-	require.Equal(t, Term, w.Refused(start, f))
-	require.Equal(t, Term-time.Minute, w.Refused(start.Add(time.Minute), f))
-	require.Zero(t, w.Refused(start, named("another")))
-	w.Expire(start.Add(Term - 1))
+	require.Equal(t, RecordTTL, w.RefusedFor(start, f))
+	require.Equal(t, RecordTTL-time.Minute, w.RefusedFor(start.Add(time.Minute), f))
+	require.Zero(t, w.RefusedFor(start, named("another")))
+	w.Expire(start.Add(RecordTTL - 1))
 	require.False(t, w.Empty())
-	w.Expire(start.Add(Term))
+	w.Expire(start.Add(RecordTTL))
 	require.True(t, w.Empty())
 }
 
@@ -40,85 +40,85 @@
 // last of which the news of the other request are not there yet. It must be served; the other one is
 // refused once it was at two ends more.
 func TestARequestBesideTheOneAtFaultIsNotTakenForIt(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	fatal, sound := named("fatal"), named("sound")
 	for _, server := range []string{"a", "b"} {
-		w.Ended(start, sound, server)
-		w.Ended(start, fatal, server)
+		w.ServerCrashed(start, sound, server)
+		w.ServerCrashed(start, fatal, server)
 	}
-	w.Ended(start, sound, "c")
-	require.Zero(t, w.Refused(start, sound), "before the news")
-	w.Ended(start, fatal, "c")
-	require.Zero(t, w.Refused(start, sound), "after the news")
-	require.Zero(t, w.Refused(start, fatal), "either may be at fault")
-	w.Ended(start, fatal, "d")
-	require.Zero(t, w.Refused(start, fatal))
-	w.Ended(start, fatal, "e")
-	require.Positive(t, w.Refused(start, fatal))
-	require.Zero(t, w.Refused(start, sound))
+	w.ServerCrashed(start, sound, "c")
+	require.Zero(t, w.RefusedFor(start, sound), "before the news")
+	w.ServerCrashed(start, fatal, "c")
+	require.Zero(t, w.RefusedFor(start, sound), "after the news")
+	require.Zero(t, w.RefusedFor(start, fatal), "either may be at fault")
+	w.ServerCrashed(start, fatal, "d")
+	require.Zero(t, w.RefusedFor(start, fatal))
+	w.ServerCrashed(start, fatal, "e")
+	require.Positive(t, w.RefusedFor(start, fatal))
+	require.Zero(t, w.RefusedFor(start, sound))
 }
 
 // Two requests that both end servers always meet. Neither can hide behind the other for long.
 func TestTwoAtFaultDoNotHideEachOther(t *testing.T) {
-	w := NewWatch()
-	for i := range EndsInAnyCase {
-		require.Zero(t, w.Refused(start, named("one")))
-		w.Ended(start, named("one"), fmt.Sprint(i))
-		w.Ended(start, named("two"), fmt.Sprint(i))
+	w := NewTracker()
+	for i := range CrashLimit {
+		require.Zero(t, w.RefusedFor(start, named("one")))
+		w.ServerCrashed(start, named("one"), fmt.Sprint(i))
+		w.ServerCrashed(start, named("two"), fmt.Sprint(i))
 	}
-	require.Positive(t, w.Refused(start, named("one")))
-	require.Positive(t, w.Refused(start, named("two")))
+	require.Positive(t, w.RefusedFor(start, named("one")))
+	require.Positive(t, w.RefusedFor(start, named("two")))
 }
 
 // A request was beside others at ends of servers and is answered in whole. What is told of it
 // late, or once more, must not make it suspect again; what happens after that counts.
 func TestAWholeAnswerClearsARequest(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	f := named("sound")
-	late, _ := w.Ended(start, f, "a")
-	w.Ended(start, f, "b")
-	w.Ended(start, f, "c")
-	require.Positive(t, w.Refused(start, f))
-	_, isNew := w.Answered(start, f)
+	late, _ := w.ServerCrashed(start, f, "a")
+	w.ServerCrashed(start, f, "b")
+	w.ServerCrashed(start, f, "c")
+	require.Positive(t, w.RefusedFor(start, f))
+	_, isNew := w.Completed(start, f)
 	require.True(t, isNew)
-	require.Zero(t, w.Refused(start, f))
-	require.Empty(t, w.Join(start, []Record{late}))
-	later := start.Add(2 * AnsweredTime)
-	w.Ended(later, f, "d")
-	w.Ended(later, f, "e")
-	require.Zero(t, w.Refused(later, f))
-	w.Ended(later, f, "f")
-	require.Positive(t, w.Refused(later, f))
+	require.Zero(t, w.RefusedFor(start, f))
+	require.Empty(t, w.Merge(start, []Record{late}))
+	later := start.Add(2 * ExonerationTime)
+	w.ServerCrashed(later, f, "d")
+	w.ServerCrashed(later, f, "e")
+	require.Zero(t, w.RefusedFor(later, f))
+	w.ServerCrashed(later, f, "f")
+	require.Positive(t, w.RefusedFor(later, f))
 }
 
 // Many callers of a workspace ask for the same status again and again, and are answered. Then the
 // whole rack of its three servers fails, and the request has just begun at each of them. It must not
 // be refused when they are back. Only a request that is no longer answered is suspected.
 func TestARequestThatWasAnsweredLatelyIsNotAtFault(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	f := named("status")
-	_, isNew := w.Answered(start, f)
+	_, isNew := w.Completed(start, f)
 	require.False(t, isNew, "nothing is believed of it")
 	for _, server := range []string{"a", "b", "c"} {
-		_, isNew := w.Ended(start.Add(AnsweredTime), f, server)
+		_, isNew := w.ServerCrashed(start.Add(ExonerationTime), f, server)
 		require.False(t, isNew)
 	}
 	require.True(t, w.Empty())
 	for _, server := range []string{"d", "e", "f"} {
-		w.Ended(start.Add(2*AnsweredTime), f, server)
+		w.ServerCrashed(start.Add(2*ExonerationTime), f, server)
 	}
-	require.Positive(t, w.Refused(start.Add(2*AnsweredTime), f))
+	require.Positive(t, w.RefusedFor(start.Add(2*ExonerationTime), f))
 }
 
 // An entry answers many requests a second for a long time. What it remembers of them is bounded,
 // and the newest ones are among it.
 func TestAnswersThatAreRememberedAreBounded(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	for i := range 10 * maxAnswered {
 		f := named(fmt.Sprint(i))
-		w.Answered(start.Add(time.Duration(i)*time.Millisecond), f)
+		w.Completed(start.Add(time.Duration(i)*time.Millisecond), f)
 		require.LessOrEqual(t, len(w.answered.newer)+len(w.answered.older), 2*maxAnswered)
-		_, isNew := w.Ended(start.Add(time.Duration(i)*time.Millisecond), f, "a")
+		_, isNew := w.ServerCrashed(start.Add(time.Duration(i)*time.Millisecond), f, "a")
 		require.False(t, isNew)
 	}
 }
@@ -126,38 +126,38 @@
 // Servers end under one request each, many thousand times, as in a crash of half a fleet that
 // goes on. What is remembered stays bounded, and what is refused stays refused.
 func TestWhatIsRememberedIsBounded(t *testing.T) {
-	w := NewWatch()
+	w := NewTracker()
 	for _, server := range []string{"a", "b", "c"} {
-		w.Ended(start, named("fatal"), server)
+		w.ServerCrashed(start, named("fatal"), server)
 	}
 	for i := range 20_000 {
 		at := start.Add(time.Duration(i) * time.Millisecond)
-		w.Ended(at, named(fmt.Sprint(i)), fmt.Sprint("s", i))
+		w.ServerCrashed(at, named(fmt.Sprint(i)), fmt.Sprint("s", i))
 		require.LessOrEqual(t, len(w.records), MaxRecords)
 	}
-	require.Positive(t, w.Refused(start, named("fatal")))
+	require.Positive(t, w.RefusedFor(start, named("fatal")))
 	require.Len(t, w.records, MaxRecords)
 	require.Len(t, w.AllRefused(start), 1)
 	for i := range 100 {
-		w.Ended(start, named("fatal"), fmt.Sprint("t", i))
+		w.ServerCrashed(start, named("fatal"), fmt.Sprint("t", i))
 	}
-	require.Len(t, w.records[named("fatal")].ended, EndsInAnyCase)
+	require.Len(t, w.records[named("fatal")].ended, CrashLimit)
 }
 
 // What another entry tells of times that are past or to come can't keep a request for longer
 // than its term.
 func TestTellingDoesNotKeepARequestForLonger(t *testing.T) {
-	first, second := NewWatch(), NewWatch()
+	first, second := NewTracker(), NewTracker()
 	f := named("fatal")
 	for _, server := range []string{"a", "b", "c"} {
-		first.Ended(start, f, server)
+		first.ServerCrashed(start, f, server)
 	}
-	later := start.Add(Term - time.Minute)
-	require.Len(t, second.Join(later, first.Records(later)), 1)
-	require.Equal(t, time.Minute, second.Refused(later, f))
+	later := start.Add(RecordTTL - time.Minute)
+	require.Len(t, second.Merge(later, first.Records(later)), 1)
+	require.Equal(t, time.Minute, second.RefusedFor(later, f))
 	second.Expire(later.Add(time.Minute))
 	require.True(t, second.Empty())
-	require.Empty(t, second.Join(start, []Record{{Fingerprint: f, Ended: []uint64{1}, Age: Term}, {Fingerprint: f, Ended: []uint64{1}, Age: -1}}))
+	require.Empty(t, second.Merge(start, []Record{{Fingerprint: f, Crashes: []uint64{1}, Age: RecordTTL}, {Fingerprint: f, Crashes: []uint64{1}, Age: -1}}))
 	require.True(t, second.Empty())
 }
 
@@ -165,25 +165,25 @@
 // each other all that they know they decide alike, and their sums are equal.
 func TestEntriesThatKnowTheSameDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		watches := []*Watch{NewWatch(), NewWatch(), NewWatch()}
+		watches := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
 		var told []Record
 		requests := []Fingerprint{named("a"), named("b"), named("c")}
 		now := start
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
-			now = now.Add(rapid.SampledFrom([]time.Duration{0, AnsweredTime, 2 * AnsweredTime}).Draw(t, "pause"))
+			now = now.Add(rapid.SampledFrom([]time.Duration{0, ExonerationTime, 2 * ExonerationTime}).Draw(t, "pause"))
 			w := watches[rapid.IntRange(0, len(watches)-1).Draw(t, "entry")]
 			f := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				if r, isNew := w.Answered(now, f); isNew {
+				if r, isNew := w.Completed(now, f); isNew {
 					told = append(told, r)
 				}
 			case 1:
 				if len(told) > 0 {
-					w.Join(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "news"):][:1])
+					w.Merge(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "news"):][:1])
 				}
 			default:
-				if r, isNew := w.Ended(now, f, fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "server"))); isNew {
+				if r, isNew := w.ServerCrashed(now, f, fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "server"))); isNew {
 					told = append(told, r)
 				}
 			}
@@ -191,14 +191,14 @@
 		for range 2 {
 			for _, from := range watches {
 				for _, to := range watches {
-					to.Join(now, from.Records(now))
+					to.Merge(now, from.Records(now))
 				}
 			}
 		}
 		for _, w := range watches[1:] {
 			require.Equal(t, watches[0].Digest(), w.Digest())
 			for _, f := range requests {
-				require.Equal(t, watches[0].Refused(now, f) > 0, w.Refused(now, f) > 0)
+				require.Equal(t, watches[0].RefusedFor(now, f) > 0, w.RefusedFor(now, f) > 0)
 			}
 		}
 	})
@@ -209,14 +209,14 @@
 // the one at fault is before it has ended more than EndsInAnyCase servers.
 func TestSoundRequestsAreNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := NewWatch()
+		w := NewTracker()
 		fatal := named("fatal")
 		sent := map[Fingerprint]int{}
 		servers := 0
-		for w.Refused(start, fatal) == 0 {
+		for w.RefusedFor(start, fatal) == 0 {
 			server := fmt.Sprint(servers)
 			servers++
-			require.LessOrEqual(t, servers, EndsInAnyCase)
+			require.LessOrEqual(t, servers, CrashLimit)
 			order := []Fingerprint{fatal}
 			for i := range rapid.IntRange(0, 6).Draw(t, "beside") {
 				f := named(fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "which")))
@@ -227,14 +227,14 @@
 			}
 			for _, f := range order {
 				if f != fatal {
-					require.Zero(t, w.Refused(start, f))
+					require.Zero(t, w.RefusedFor(start, f))
 				}
-				w.Ended(start, f, server)
+				w.ServerCrashed(start, f, server)
 			}
 			for f := range sent {
-				require.Zero(t, w.Refused(start, f))
+				require.Zero(t, w.RefusedFor(start, f))
 				if rapid.IntRange(0, 3).Draw(t, "answered") > 0 {
-					w.Answered(start, f)
+					w.Completed(start, f)
 				}
 			}
 		}
@@ -244,19 +244,19 @@
 // A server ends while it writes answers. Those that have come for longer didn't end it, those
 // that have just begun may have.
 func TestOnlyWhatHasJustBegunMayHaveEndedItsServer(t *testing.T) {
-	require.True(t, JustBegun(start, time.Time{}), "no event yet")
-	require.True(t, JustBegun(start, start.Add(-BeginTime/2)))
-	require.False(t, JustBegun(start, start.Add(-BeginTime)))
+	require.True(t, RecentlyStarted(start, time.Time{}), "no event yet")
+	require.True(t, RecentlyStarted(start, start.Add(-StartWindow/2)))
+	require.False(t, RecentlyStarted(start, start.Add(-StartWindow)))
 }
 
 // Two entries hear of more ends than are kept of a request, in opposite orders. They must keep the
 // same ones, or they would tell each other all records for ever.
 func TestEntriesKeepTheSameEnds(t *testing.T) {
-	first, second := NewWatch(), NewWatch()
-	const ends = EndsInAnyCase + 2
+	first, second := NewTracker(), NewTracker()
+	const ends = CrashLimit + 2
 	for i := range ends {
-		first.Ended(start, named("fatal"), fmt.Sprint(i))
-		second.Ended(start, named("fatal"), fmt.Sprint(ends-1-i))
+		first.ServerCrashed(start, named("fatal"), fmt.Sprint(i))
+		second.ServerCrashed(start, named("fatal"), fmt.Sprint(ends-1-i))
 	}
 	require.Equal(t, first.Digest(), second.Digest())
 }
--- a/core/wire/convert.go
+++ b/core/wire/convert.go
@@ -156,7 +156,7 @@
 func fromRecords(records []quarantine.Record) []*QuarantineRecord {
 	var told []*QuarantineRecord
 	for _, r := range records {
-		told = append(told, &QuarantineRecord{Fingerprint: r.Fingerprint[:], Cleared: r.Cleared, Ended: r.Ended, AgeMs: r.Age.Milliseconds()})
+		told = append(told, &QuarantineRecord{Fingerprint: r.Fingerprint[:], Cleared: r.Cleared, Ended: r.Crashes, AgeMs: r.Age.Milliseconds()})
 	}
 	return told
 }
@@ -165,7 +165,7 @@
 func toRecords(told []*QuarantineRecord) []quarantine.Record {
 	var records []quarantine.Record
 	for _, m := range told {
-		r := quarantine.Record{Cleared: m.Cleared, Ended: m.Ended, Age: time.Duration(m.AgeMs) * time.Millisecond}
+		r := quarantine.Record{Cleared: m.Cleared, Crashes: m.Ended, Age: time.Duration(m.AgeMs) * time.Millisecond}
 		if len(m.Fingerprint) == len(r.Fingerprint) {
 			copy(r.Fingerprint[:], m.Fingerprint)
 			records = append(records, r)
--- a/entry/gateway/ended.go
+++ b/entry/gateway/ended.go
@@ -36,7 +36,7 @@
 // connection the caller waits for the look, which tells whether the request may be sent on. Where it fell
 // silent the caller has waited long, and the look goes on beside it.
 func (e *exchange) lookForEnd(ctx context.Context, choice placement.Choice, result *tryResult) {
-	if result.lost == nil || !quarantine.JustBegun(time.Now(), result.answerBegan) {
+	if result.lost == nil || !quarantine.RecentlyStarted(time.Now(), result.answerBegan) {
 		return
 	}
 	request := begunRequest{e.info.ID, e.fingerprint()}
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -33,7 +33,7 @@
 		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Held: []int64{1}}},
 		{Update: &peering.Update{Base: 1, Upto: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
 			Gone: []directory.Gone{{ID: "i-1", Revision: 3}}}},
-		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Ended: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
+		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
 
 // FuzzMessagesOfEntries lets an entry take any message. Each one goes to all entries: one that ended
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -26,7 +26,7 @@
 	}
 	f := e.fingerprint()
 	e.s.mu.Lock()
-	left := e.s.watch.Refused(now, f)
+	left := e.s.watch.RefusedFor(now, f)
 	e.s.mu.Unlock()
 	if left == 0 {
 		return execution.Refusal{}, false
@@ -45,18 +45,18 @@
 // otherSuspects returns the starts of servers that other suspects may be about to end, if the request
 // is a suspect too; the caller holds the lock.
 func (e *exchange) otherSuspects(now time.Time) []string {
-	if e.s.watch.Empty() || !e.s.watch.Suspected(e.fingerprint()) {
+	if e.s.watch.Empty() || !e.s.watch.IsSuspect(e.fingerprint()) {
 		return nil
 	}
-	return e.s.apart.Others(now, e.fingerprint())
+	return e.s.apart.ServersOfOthers(now, e.fingerprint())
 }
 
 // keepApart keeps other suspects away from the server to which the request is sent, if it is one.
 func (e *exchange) keepApart(now time.Time, choice placement.Choice) {
 	e.s.mu.Lock()
 	defer e.s.mu.Unlock()
-	if !e.s.watch.Empty() && e.s.watch.Suspected(e.fingerprint()) {
-		e.s.apart.Sent(now, e.fingerprint(), choice.Server.Start())
+	if !e.s.watch.Empty() && e.s.watch.IsSuspect(e.fingerprint()) {
+		e.s.apart.RecordSend(now, e.fingerprint(), choice.Server.Start())
 	}
 }
 
@@ -69,13 +69,13 @@
 		s.mu.Unlock()
 		return
 	}
-	record, isNew := s.watch.Ended(now, request.fingerprint, start)
-	refused := s.watch.Refused(now, request.fingerprint) > 0
+	record, isNew := s.watch.ServerCrashed(now, request.fingerprint, start)
+	refused := s.watch.RefusedFor(now, request.fingerprint) > 0
 	s.mu.Unlock()
 	if !isNew {
 		return
 	}
-	s.log.WithFields(logrus.Fields{"request": request.id, "fingerprint": request.fingerprint.String(), "server": start, "ends": len(record.Ended), "refused": refused}).
+	s.log.WithFields(logrus.Fields{"request": request.id, "fingerprint": request.fingerprint.String(), "server": start, "ends": len(record.Crashes), "refused": refused}).
 		Info("a server has ended under a request that had just begun there")
 	s.peers.tellRecord(record)
 }
@@ -92,7 +92,7 @@
 func (e *exchange) noteAnswer(now time.Time) {
 	f := e.fingerprint()
 	e.s.mu.Lock()
-	record, isNew := e.s.watch.Answered(now, f)
+	record, isNew := e.s.watch.Completed(now, f)
 	e.s.mu.Unlock()
 	if isNew {
 		e.s.peers.tellRecord(record)
@@ -130,7 +130,7 @@
 		return // as most messages, which tell of requests under way
 	}
 	p.s.mu.Lock()
-	p.s.watch.Join(now, m.Records)
+	p.s.watch.Merge(now, m.Records)
 	differ := m.RecordsDiffer(p.s.watch.Digest())
 	p.s.mu.Unlock()
 	if !differ {
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -212,8 +212,8 @@
 	defer s.mu.Unlock()
 	for _, body := range bodies {
 		f := quarantine.FingerprintOf("press", http.MethodPost, "press.example", "/stream/x", []byte(body))
-		s.watch.Ended(time.Now(), f, "a")
-		s.watch.Ended(time.Now(), f, "b")
+		s.watch.ServerCrashed(time.Now(), f, "a")
+		s.watch.ServerCrashed(time.Now(), f, "b")
 	}
 }
 
@@ -317,10 +317,10 @@
 
 // endedUnder is what an entry remembers of a request under which some servers have ended.
 func endedUnder(servers ...string) quarantine.Record {
-	watch := quarantine.NewWatch()
+	watch := quarantine.NewTracker()
 	var record quarantine.Record
 	for _, server := range servers {
-		record, _ = watch.Ended(time.Now(), quarantine.FingerprintOf("press", http.MethodGet, "press.example", "/read/x", nil), server)
+		record, _ = watch.ServerCrashed(time.Now(), quarantine.FingerprintOf("press", http.MethodGet, "press.example", "/read/x", nil), server)
 	}
 	return record
 }
@@ -330,7 +330,7 @@
 	return func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.watch.Refused(time.Now(), record.Fingerprint) > 0
+		return s.watch.RefusedFor(time.Now(), record.Fingerprint) > 0
 	}
 }
 
@@ -340,7 +340,7 @@
 	f := newFatalFleet(t, 2, "plain", 1, nil)
 	record := endedUnder("a", "b", "c")
 	f.entries[0].mu.Lock()
-	f.entries[0].watch.Join(time.Now(), []quarantine.Record{record})
+	f.entries[0].watch.Merge(time.Now(), []quarantine.Record{record})
 	f.entries[0].mu.Unlock()
 	f.eventually("the second refuses it", f.entries[1].refuses(record))
 }
@@ -369,7 +369,7 @@
 	record := endedUnder("a", "b")
 	for _, s := range f.entries {
 		s.mu.Lock()
-		s.watch.Join(time.Now(), []quarantine.Record{record})
+		s.watch.Merge(time.Now(), []quarantine.Record{record})
 		s.mu.Unlock()
 	}
 	require.Equal(t, 200, f.send(f.entries[0], http.MethodGet, "/read/x", "key-1", "").status)
@@ -378,12 +378,12 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			known := s.watch.Records(time.Now())
-			return len(known) == 1 && len(known[0].Ended) == 0
+			return len(known) == 1 && len(known[0].Crashes) == 0
 		})
 	}
 	s := f.entries[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, isNew := s.watch.Ended(time.Now(), record.Fingerprint, "c")
+	_, isNew := s.watch.ServerCrashed(time.Now(), record.Fingerprint, "c")
 	require.False(t, isNew, "it was answered a moment ago")
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -102,9 +102,9 @@
 	divisions map[string]parts.Division
 	budgets   map[string]*execution.RetryBudget
 	// watch remembers requests under which servers have ended.
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	// apart keeps those of them that come through this entry on different servers.
-	apart  *quarantine.Apart
+	apart  *quarantine.Separator
 	random *rand.Rand
 	pause  *membership.PauseDetector
 }
@@ -121,7 +121,7 @@
 		options: options, settings: settings, loaded: settings, log: options.Log, incarnation: uuid.NewString()[:incarnationLength], registry: metrics.NewRegistry(),
 		directory: directory.New(directory.Options{}), book: placement.NewBook(placement.DefaultOptions(settings.Zone)),
 		cold: coldstart.NewLimiter(), divisions: map[string]parts.Division{}, started: make(chan struct{}),
-		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewWatch(), apart: quarantine.NewApart(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewTracker(), apart: quarantine.NewSeparator(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pause: membership.NewPauseDetector(pauseLimit),
 	}
 	s.counters = newCounters(s.registry)
--- a/entry/server/quarantine.go
+++ b/entry/server/quarantine.go
@@ -23,7 +23,7 @@
 // quarantined returns why a request is refused because servers end under it; nil if it isn't.
 func (s *Server) quarantined(now time.Time, f quarantine.Fingerprint) *execution.Refusal {
 	s.mu.Lock()
-	left := s.watch.Refused(now, f)
+	left := s.watch.RefusedFor(now, f)
 	s.mu.Unlock()
 	if left == 0 {
 		return nil
@@ -41,13 +41,13 @@
 func (s *Server) noteEnd(t *task, server string) {
 	now := time.Now()
 	s.mu.Lock()
-	record, isNew := s.watch.Ended(now, t.fingerprint, endName(server, now))
-	refused := s.watch.Refused(now, t.fingerprint) > 0
+	record, isNew := s.watch.ServerCrashed(now, t.fingerprint, endName(server, now))
+	refused := s.watch.RefusedFor(now, t.fingerprint) > 0
 	s.mu.Unlock()
 	if !isNew {
 		return
 	}
-	s.Log.WithFields(logrus.Fields{"request": t.options.ID, "fingerprint": t.fingerprint.String(), "server": server, "ends": len(record.Ended),
+	s.Log.WithFields(logrus.Fields{"request": t.options.ID, "fingerprint": t.fingerprint.String(), "server": server, "ends": len(record.Crashes),
 		"refused": refused}).Info("a server has ended under a request that had just begun there")
 	s.tellRecords([]quarantine.Record{record})
 	if refused {
@@ -58,7 +58,7 @@
 // noteAnswer clears a request that has got its whole answer.
 func (s *Server) noteAnswer(t *task) {
 	s.mu.Lock()
-	record, isNew := s.watch.Answered(time.Now(), t.fingerprint)
+	record, isNew := s.watch.Completed(time.Now(), t.fingerprint)
 	s.mu.Unlock()
 	if isNew {
 		s.tellRecords([]quarantine.Record{record})
@@ -102,7 +102,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch.Join(now, told)
+	s.watch.Merge(now, told)
 	s.watch.Expire(now)
 	return s.watch.Records(now)
 }
@@ -149,5 +149,5 @@
 // endedUnder says whether the last frame of an attempt tells that the engine has ended, and the
 // attempt had just begun there.
 func endedUnder(frame execution.Frame, answerBegan time.Time) bool {
-	return frame.Last && frame.Code == execution.CodeEngineEnded && quarantine.JustBegun(time.Now(), answerBegan)
+	return frame.Last && frame.Code == execution.CodeEngineEnded && quarantine.RecentlyStarted(time.Now(), answerBegan)
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -72,7 +72,7 @@
 	core  *frontend.Core
 	pause *membership.PauseDetector
 	// watch remembers requests under which servers have ended.
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	// met says that this entry has asked the others what they remember.
 	met atomic.Bool
 }
@@ -91,7 +91,7 @@
 		routes:  &routeLog{},
 		core:    frontend.New(options.Frontend),
 		pause:   membership.NewPauseDetector(pauseLimit),
-		watch:   quarantine.NewWatch(),
+		watch:   quarantine.NewTracker(),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
