--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -14,7 +14,7 @@
 	"arbutusdeck/core/routing"
 )
 
-func knownFleet(b *testing.B, servers int) (*Core, []membership.Listed, time.Time) {
+func knownFleet(b *testing.B, servers int) (*Core, []membership.ListedServer, time.Time) {
 	var text strings.Builder
 	text.WriteString("lengthClasses: {short: {upTo: 8000, firstToken: 360ms}}\nhalls: {h: {model: m}}\nservers:\n")
 	for i := range servers {
@@ -27,9 +27,9 @@
 	now := time.Unix(1000, 0)
 	core := New(DefaultOptions("z", rand.New(rand.NewPCG(1, 1))))
 	core.Configure(now, snapshot)
-	var rows []membership.Listed
+	var rows []membership.ListedServer
 	for name := range snapshot.Servers {
-		rows = append(rows, membership.Listed{Server: name})
+		rows = append(rows, membership.ListedServer{Server: name})
 		core.Heard(now, name, execution.Incarnation(name+"#1"), false)
 		core.Observe("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
 	}
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -82,25 +82,25 @@
 
 // Heard takes in who has sent a message.
 func (c *Core) Heard(now time.Time, server string, incarnation execution.Incarnation, draining bool) []membership.Change {
-	return c.view.Heard(now, server, incarnation, draining)
+	return c.view.Observe(now, server, incarnation, draining)
 }
 
 // ReadList takes in the platform's list of hosts.
-func (c *Core) ReadList(now time.Time, rows []membership.Listed) ([]membership.Change, bool) {
-	return c.view.ReadList(now, rows)
+func (c *Core) ReadList(now time.Time, rows []membership.ListedServer) ([]membership.Change, bool) {
+	return c.view.ApplyHostList(now, rows)
 }
 
 // Failed takes in that a server could not be reached or broke off; pool may be
 // empty.
 func (c *Core) Failed(now time.Time, server, pool string) []membership.Change {
 	c.picker.Failed(now, pool, server)
-	return c.view.Failed(now, server)
+	return c.view.RecordFailure(now, server)
 }
 
 // Awoke drops what was believed before the process was paused.
 func (c *Core) Awoke(now time.Time) []membership.Change {
 	c.picker.Expire()
-	return c.view.Expire(now)
+	return c.view.ResetAfterPause(now)
 }
 
 // Incarnation returns the known incarnation of a server.
@@ -121,7 +121,7 @@
 
 // Pick chooses a server and counts the work that it is about to be offered.
 func (c *Core) Pick(now time.Time, q routing.Query) (routing.Reason, execution.Target, bool) {
-	q.Eligible, q.Since = c.view.Eligible, c.view.Since
+	q.Eligible, q.Since = c.view.Eligible, c.view.FirstObserved
 	reason, ok := c.picker.Pick(now, q, c.random)
 	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
 }
@@ -192,7 +192,7 @@
 }
 
 // Probing notes that a probe is under way.
-func (c *Core) Probing(now time.Time, server string) { c.view.Probing(now, server) }
+func (c *Core) Probing(now time.Time, server string) { c.view.RecordProbe(now, server) }
 
 func (c *Core) randomLive() []string {
 	var live []string
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -15,16 +15,16 @@
 type State string
 
 const (
-	// Unheard: configured, but nothing is known of it yet.
-	Unheard State = "unheard"
+	// Unknown: configured, but nothing is known of it yet.
+	Unknown State = "unheard"
 	// Live: it has answered of late.
 	Live State = "live"
 	// Suspect: recent failures; it gets probes but no work until it answers.
 	Suspect State = "suspect"
-	// Leaving: it has said, or the list says, that it is leaving.
-	Leaving State = "leaving"
-	// Gone: configured no more.
-	Gone State = "gone"
+	// Draining: it has said, or the list says, that it is leaving.
+	Draining State = "leaving"
+	// Removed: configured no more.
+	Removed State = "gone"
 )
 
 // Options are the bounds of a View.
@@ -32,19 +32,19 @@
 	// FailuresToSuspect is the number of failures in a row before a server is
 	// suspect.
 	FailuresToSuspect int
-	// SuspectFor is the first wait before a suspect server is tried again; it
+	// ProbeBackoff is the first wait before a suspect server is tried again; it
 	// doubles up to SuspectMax.
-	SuspectFor time.Duration
-	SuspectMax time.Duration
-	// ShrinkLimit is the part of the listed hosts that may vanish from the
+	ProbeBackoff    time.Duration
+	MaxProbeBackoff time.Duration
+	// MaxShrinkShare is the part of the listed hosts that may vanish from the
 	// list at once and still be believed.
-	ShrinkLimit float64
+	MaxShrinkShare float64
 }
 
 // DefaultOptions returns the bounds used when the settings name none.
 func DefaultOptions() Options {
-	return Options{FailuresToSuspect: 2, SuspectFor: 500 * time.Millisecond, SuspectMax: 15 * time.Second,
-		ShrinkLimit: 0.3}
+	return Options{FailuresToSuspect: 2, ProbeBackoff: 500 * time.Millisecond, MaxProbeBackoff: 15 * time.Second,
+		MaxShrinkShare: 0.3}
 }
 
 // Change is one transition, for the audit trail.
@@ -87,22 +87,22 @@
 	for _, name := range servers {
 		wanted[name] = true
 		if v.members[name] == nil {
-			v.members[name] = &member{state: Unheard, since: now, left: map[execution.Incarnation]bool{}}
+			v.members[name] = &member{state: Unknown, since: now, left: map[execution.Incarnation]bool{}}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		if wanted[name] {
 			continue
 		}
-		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Gone, Why: "left the configuration"})
+		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Removed, Why: "left the configuration"})
 		delete(v.members, name)
 	}
 	return changes
 }
 
-// Heard takes in direct evidence: a message from the server's daemon. It goes
+// Observe takes in direct evidence: a message from the server's daemon. It goes
 // before everything the list says.
-func (v *View) Heard(now time.Time, server string, incarnation execution.Incarnation, draining bool) []Change {
+func (v *View) Observe(now time.Time, server string, incarnation execution.Incarnation, draining bool) []Change {
 	m := v.members[server]
 	if m == nil || incarnation == "" {
 		return nil
@@ -120,14 +120,14 @@
 	}
 	if draining {
 		m.left[incarnation] = true
-		return m.move(server, Leaving, "its daemon is stopping")
+		return m.move(server, Draining, "its daemon is stopping")
 	}
 	m.failures, m.backoff = 0, 0
 	return m.move(server, Live, "its daemon answered")
 }
 
-// Failed takes in a failure to reach the server.
-func (v *View) Failed(now time.Time, server string) []Change {
+// RecordFailure takes in a failure to reach the server.
+func (v *View) RecordFailure(now time.Time, server string) []Change {
 	m := v.members[server]
 	if m == nil {
 		return nil
@@ -137,27 +137,27 @@
 		return nil
 	}
 	if m.backoff == 0 {
-		m.backoff = v.options.SuspectFor
+		m.backoff = v.options.ProbeBackoff
 	} else if !now.Before(m.retryAt) {
-		m.backoff = min(m.backoff*2, v.options.SuspectMax)
+		m.backoff = min(m.backoff*2, v.options.MaxProbeBackoff)
 	}
 	m.retryAt = now.Add(m.backoff)
-	if m.state == Leaving {
+	if m.state == Draining {
 		return nil
 	}
 	return m.move(server, Suspect, "it can't be reached")
 }
 
-// Listed is one row of the platform's host list.
-type Listed struct {
-	Server  string
-	Leaving bool
+// ListedServer is one row of the platform's host list.
+type ListedServer struct {
+	Server   string
+	Draining bool
 }
 
-// ReadList takes in the platform's lagging list of hosts. It is a hint: a server
+// ApplyHostList takes in the platform's lagging list of hosts. It is a hint: a server
 // that vanishes is only suspect, and a list that shrinks at a stroke is not
 // believed at all, because the list fails more often than half the fleet does.
-func (v *View) ReadList(now time.Time, rows []Listed) (changes []Change, believed bool) {
+func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, believed bool) {
 	present := map[string]bool{}
 	for _, row := range rows {
 		if m := v.members[row.Server]; m != nil {
@@ -171,13 +171,13 @@
 			vanished++
 		}
 	}
-	if vanished > 1 && float64(vanished) > v.options.ShrinkLimit*float64(v.listed) {
+	if vanished > 1 && float64(vanished) > v.options.MaxShrinkShare*float64(v.listed) {
 		return changes, false
 	}
 	v.listed = len(present)
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		if m.listed && !present[name] && now.Sub(m.heard) > v.options.SuspectFor {
+		if m.listed && !present[name] && now.Sub(m.heard) > v.options.ProbeBackoff {
 			changes = append(changes, m.vanish(now, name, v.options)...)
 		}
 		m.listed = present[name]
@@ -186,34 +186,34 @@
 }
 
 func (m *member) vanish(now time.Time, name string, options Options) []Change {
-	if m.state == Leaving {
+	if m.state == Draining {
 		return nil
 	}
-	m.retryAt = now.Add(options.SuspectFor)
+	m.retryAt = now.Add(options.ProbeBackoff)
 	return m.move(name, Suspect, "it vanished from the host list")
 }
 
 // listedAs believes a leaving notice at once, since the promise is that a
 // leaving server gets no new work; it is undone only by another incarnation.
-func (m *member) listedAs(now time.Time, row Listed) []Change {
-	if !row.Leaving {
+func (m *member) listedAs(now time.Time, row ListedServer) []Change {
+	if !row.Draining {
 		return nil
 	}
 	if m.incarnation == "" {
 		m.listLeaving = now
-		return m.move(row.Server, Leaving, "the host list says so")
+		return m.move(row.Server, Draining, "the host list says so")
 	}
-	if m.listLeaving.IsZero() && now.Sub(m.since) < ListLag {
+	if m.listLeaving.IsZero() && now.Sub(m.since) < HostListLag {
 		// The lagging list still tells of the incarnation before this one.
 		return nil
 	}
 	m.listLeaving = now
 	m.left[m.incarnation] = true
-	return m.move(row.Server, Leaving, "the host list says so")
+	return m.move(row.Server, Draining, "the host list says so")
 }
 
-// ListLag is how far the list may lag behind a restarted server.
-const ListLag = 20 * time.Second
+// HostListLag is how far the list may lag behind a restarted server.
+const HostListLag = 20 * time.Second
 
 func (m *member) move(server string, to State, why string) []Change {
 	if m.state == to {
@@ -224,15 +224,15 @@
 	return []Change{change}
 }
 
-// Expire forgets what may have changed while the process was paused: every live
+// ResetAfterPause forgets what may have changed while the process was paused: every live
 // server has to be heard again before it is trusted. Leaving stays.
-func (v *View) Expire(now time.Time) []Change {
+func (v *View) ResetAfterPause(now time.Time) []Change {
 	var changes []Change
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
 		if m.state == Live {
 			m.retryAt = now
-			changes = append(changes, m.move(name, Unheard, "this process was paused")...)
+			changes = append(changes, m.move(name, Unknown, "this process was paused")...)
 		}
 	}
 	return changes
@@ -256,23 +256,23 @@
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
 		waiting := now.Before(m.retryAt)
-		if !waiting && (m.state == Suspect || m.state == Unheard || m.state == Leaving) {
+		if !waiting && (m.state == Suspect || m.state == Unknown || m.state == Draining) {
 			due = append(due, name)
 		}
 	}
 	return due
 }
 
-// Probing notes that a probe is under way, so that it is not due again at once.
-func (v *View) Probing(now time.Time, server string) {
+// RecordProbe notes that a probe is under way, so that it is not due again at once.
+func (v *View) RecordProbe(now time.Time, server string) {
 	m := v.members[server]
 	if m == nil {
 		return
 	}
-	wait := max(m.backoff, v.options.SuspectFor)
-	if m.state == Leaving {
+	wait := max(m.backoff, v.options.ProbeBackoff)
+	if m.state == Draining {
 		// Only a new incarnation can change its state; no need to hurry.
-		wait = v.options.SuspectMax / 3
+		wait = v.options.MaxProbeBackoff / 3
 	}
 	m.retryAt = now.Add(wait)
 }
@@ -285,8 +285,8 @@
 	return ""
 }
 
-// Since returns when the present incarnation was first heard.
-func (v *View) Since(server string) time.Time {
+// FirstObserved returns when the present incarnation was first heard.
+func (v *View) FirstObserved(server string) time.Time {
 	if m := v.members[server]; m != nil {
 		return m.since
 	}
--- a/core/membership/view_test.go
+++ b/core/membership/view_test.go
@@ -14,7 +14,7 @@
 	v := NewView(DefaultOptions())
 	v.Configure(start, names)
 	for _, name := range names {
-		v.Heard(start, name, "1", false)
+		v.Observe(start, name, "1", false)
 	}
 	return v
 }
@@ -23,13 +23,13 @@
 // the lagging list still shows it. It gets no new work until it has restarted.
 func TestViewLeavingIsSticky(t *testing.T) {
 	v := liveView("a")
-	v.Heard(start, "a", "1", true)
+	v.Observe(start, "a", "1", true)
 	require.False(t, v.Eligible("a"))
-	v.Heard(start.Add(time.Second), "a", "1", false)
+	v.Observe(start.Add(time.Second), "a", "1", false)
 	require.False(t, v.Eligible("a"))
-	v.ReadList(start.Add(time.Minute), []Listed{{Server: "a"}})
+	v.ApplyHostList(start.Add(time.Minute), []ListedServer{{Server: "a"}})
 	require.False(t, v.Eligible("a"))
-	v.Heard(start.Add(time.Minute), "a", "2", false)
+	v.Observe(start.Add(time.Minute), "a", "2", false)
 	require.True(t, v.Eligible("a"))
 }
 
@@ -37,9 +37,9 @@
 // daemon so young that the list may still tell of the one before it.
 func TestViewListedAsLeaving(t *testing.T) {
 	v := liveView("a")
-	v.ReadList(start.Add(5*time.Second), []Listed{{Server: "a", Leaving: true}})
+	v.ApplyHostList(start.Add(5*time.Second), []ListedServer{{Server: "a", Draining: true}})
 	require.True(t, v.Eligible("a"))
-	v.ReadList(start.Add(ListLag+time.Second), []Listed{{Server: "a", Leaving: true}})
+	v.ApplyHostList(start.Add(HostListLag+time.Second), []ListedServer{{Server: "a", Draining: true}})
 	require.False(t, v.Eligible("a"))
 }
 
@@ -47,27 +47,27 @@
 // fleet. One host that vanishes is suspect until it answers.
 func TestViewShrinkingList(t *testing.T) {
 	var names []string
-	var rows []Listed
+	var rows []ListedServer
 	for i := range 20 {
 		names = append(names, fmt.Sprintf("s%02d", i))
-		rows = append(rows, Listed{Server: names[i]})
+		rows = append(rows, ListedServer{Server: names[i]})
 	}
 	later := start.Add(time.Minute)
 	for _, left := range []int{0, 10, 13} {
 		v := liveView(names...)
-		v.ReadList(start, rows)
-		_, believed := v.ReadList(later, rows[:left])
+		v.ApplyHostList(start, rows)
+		_, believed := v.ApplyHostList(later, rows[:left])
 		require.False(t, believed)
 		for _, name := range names {
 			require.True(t, v.Eligible(name))
 		}
 	}
 	v := liveView(names...)
-	v.ReadList(start, rows)
-	_, believed := v.ReadList(later, rows[:19])
+	v.ApplyHostList(start, rows)
+	_, believed := v.ApplyHostList(later, rows[:19])
 	require.True(t, believed)
 	require.False(t, v.Eligible("s19"))
-	v.Heard(later, "s19", "1", false)
+	v.Observe(later, "s19", "1", false)
 	require.True(t, v.Eligible("s19"))
 }
 
@@ -75,16 +75,16 @@
 // work before it has answered again.
 func TestViewAfterAPause(t *testing.T) {
 	v := liveView("a", "b")
-	v.Heard(start, "b", "1", true)
+	v.Observe(start, "b", "1", true)
 	detector := NewPauseDetector(2 * time.Second)
 	require.Zero(t, detector.Tick(start))
 	require.Zero(t, detector.Tick(start.Add(time.Second)))
 	require.Equal(t, time.Minute, detector.Tick(start.Add(61*time.Second)))
 	require.Equal(t, time.Hour, detector.Tick(start.Add(61*time.Second-time.Hour)), "a clock set back is a pause too")
-	v.Expire(start.Add(time.Minute))
+	v.ResetAfterPause(start.Add(time.Minute))
 	require.False(t, v.Eligible("a"))
 	require.Contains(t, v.DueForProbe(start.Add(time.Minute)), "a")
-	v.Heard(start.Add(time.Minute), "a", "1", false)
+	v.Observe(start.Add(time.Minute), "a", "1", false)
 	require.True(t, v.Eligible("a"))
 	require.False(t, v.Eligible("b"), "leaving survives a pause")
 }
@@ -93,12 +93,12 @@
 // with its first answer.
 func TestViewSuspects(t *testing.T) {
 	v := liveView("a")
-	v.Failed(start, "a")
+	v.RecordFailure(start, "a")
 	require.True(t, v.Eligible("a"), "one failure is no evidence")
 	now := start
 	var waits []time.Duration
 	for range 8 {
-		v.Failed(now, "a")
+		v.RecordFailure(now, "a")
 		require.False(t, v.Eligible("a"))
 		begun := now
 		for len(v.DueForProbe(now)) == 0 {
@@ -108,6 +108,6 @@
 	}
 	require.Less(t, waits[0], time.Second)
 	require.Equal(t, 15*time.Second, waits[7])
-	v.Heard(now, "a", "1", false)
+	v.Observe(now, "a", "1", false)
 	require.True(t, v.Eligible("a"))
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -222,9 +222,9 @@
 
 // readHosts takes in the platform's list.
 func (s *Server) readHosts(hosts []platform.Host) {
-	var rows []membership.Listed
+	var rows []membership.ListedServer
 	for _, host := range hosts {
-		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Leaving})
+		rows = append(rows, membership.ListedServer{Server: host.Server, Draining: host.Leaving})
 	}
 	s.mu.Lock()
 	changes, believed := s.core.ReadList(time.Now(), rows)
