--- a/core/coldstart/limiter.go
+++ b/core/coldstart/limiter.go
@@ -18,9 +18,9 @@
 // RankFunc says which place an entry takes among those that it knows, itself included, for a server; the first is 0.
 type RankFunc func(start string) int
 
-// Senders is how many entries may send to a server that bears a number of requests a second. One always may: a service
+// MaxSenders is how many entries may send to a server that bears a number of requests a second. One always may: a service
 // whose servers are all cold would otherwise never warm up.
-func Senders(perSecond float64) int { return max(int(knownShare*perSecond), 1) }
+func MaxSenders(perSecond float64) int { return max(int(knownShare*perSecond), 1) }
 
 // Limiter knows which servers are cold, and when this entry has sent them requests. It is not safe for concurrent use.
 type Limiter struct{ servers map[string]*server }
@@ -36,8 +36,8 @@
 // NewLimiter returns a limiter that takes no server for cold.
 func NewLimiter() *Limiter { return &Limiter{servers: map[string]*server{}} }
 
-// Cold takes in that a start of a server is cold until a time, as told at one of several moments: the latest counts.
-func (l *Limiter) Cold(start string, until time.Time) {
+// MarkCold takes in that a start of a server is cold until a time, as told at one of several moments: the latest counts.
+func (l *Limiter) MarkCold(start string, until time.Time) {
 	known := l.servers[start]
 	if known == nil {
 		known = &server{}
@@ -66,11 +66,11 @@
 	if !known.placed {
 		known.place, known.placed = places(start), true
 	}
-	return known.place < Senders(perSecond)
+	return known.place < MaxSenders(perSecond)
 }
 
-// Sent notes that a request is sent to a server.
-func (l *Limiter) Sent(now time.Time, start string) {
+// RecordSend notes that a request is sent to a server.
+func (l *Limiter) RecordSend(now time.Time, start string) {
 	if l.IsCold(now, start) {
 		l.servers[start].sent = now
 	}
--- a/core/coldstart/limiter_test.go
+++ b/core/coldstart/limiter_test.go
@@ -19,12 +19,12 @@
 // A server that was cold ended under the requests of one entry alone, which had a burst of callers.
 func TestAnEntrySendsAColdServerOneRequestASecond(t *testing.T) {
 	l := NewLimiter()
-	l.Cold("a", start.Add(3*time.Second))
+	l.MarkCold("a", start.Add(3*time.Second))
 	require.True(t, l.Allows(start, "a", 40, first))
-	l.Sent(start, "a")
+	l.RecordSend(start, "a")
 	require.False(t, l.Allows(start.Add(interval-time.Millisecond), "a", 40, first))
 	require.True(t, l.Allows(start.Add(interval), "a", 40, first))
-	l.Sent(start, "b")
+	l.RecordSend(start, "b")
 	require.True(t, l.Allows(start, "b", 40, first), "a warm server")
 	require.True(t, l.Allows(start.Add(3*time.Second), "a", 40, first), "it is warm by now")
 	l.Expire(start.Add(3 * time.Second))
@@ -34,12 +34,12 @@
 // Of many entries only some send to a server that is cold.
 func TestOfManyEntriesFewSendToAColdServer(t *testing.T) {
 	l := NewLimiter()
-	l.Cold("a", start.Add(time.Second))
-	l.Cold("b", start.Add(time.Second))
+	l.MarkCold("a", start.Add(time.Second))
+	l.MarkCold("b", start.Add(time.Second))
 	places := func(start string) int { return map[string]int{"a": 19, "b": 20}[start] }
 	require.True(t, l.Allows(start, "a", 40, places))
 	require.False(t, l.Allows(start, "b", 40, places))
-	require.Equal(t, 1, Senders(0.5))
+	require.Equal(t, 1, MaxSenders(0.5))
 }
 
 // entry is one of a group in the exploration below.
@@ -79,7 +79,7 @@
 			if i < strangers {
 				e.knows = all[i : i+1]
 			}
-			e.limiter.Cold("s", start.Add(time.Minute))
+			e.limiter.MarkCold("s", start.Add(time.Minute))
 			entries[i] = e
 		}
 		var sent []time.Time
@@ -88,7 +88,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "pause")) * time.Millisecond)
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, count-1), 0, count).Draw(r, "who") {
 				if e := entries[i]; e.limiter.Allows(now, "s", perSecond, e.place) {
-					e.limiter.Sent(now, "s")
+					e.limiter.RecordSend(now, "s")
 					sent = append(sent, now)
 				}
 			}
--- a/core/evacuation/zones.go
+++ b/core/evacuation/zones.go
@@ -20,8 +20,8 @@
 // is not safe for concurrent use.
 type Zones struct{ states map[string]State }
 
-// Take takes in what is known of a zone. It returns false if nothing changes for the zone's servers.
-func (z *Zones) Take(state State) bool {
+// Apply takes in what is known of a zone. It returns false if nothing changes for the zone's servers.
+func (z *Zones) Apply(state State) bool {
 	known := z.states[state.Zone]
 	if state.Revision <= known.Revision {
 		return false
@@ -40,13 +40,13 @@
 	isListed := map[string]bool{}
 	for _, state := range listed {
 		isListed[state.Zone] = true
-		if z.Take(state) {
+		if z.Apply(state) {
 			changed = append(changed, state)
 		}
 	}
 	for _, zone := range z.Evacuated() {
 		back := State{Zone: zone, Revision: revision}
-		if !isListed[zone] && z.Take(back) {
+		if !isListed[zone] && z.Apply(back) {
 			changed = append(changed, back)
 		}
 	}
@@ -58,15 +58,15 @@
 func (z *Zones) Restore(listed []State) []State {
 	var changed []State
 	for _, state := range listed {
-		if z.Take(state) {
+		if z.Apply(state) {
 			changed = append(changed, state)
 		}
 	}
 	return changed
 }
 
-// Is says whether a zone is evacuated.
-func (z *Zones) Is(zone string) bool { return z.states[zone].Evacuated }
+// IsEvacuated says whether a zone is evacuated.
+func (z *Zones) IsEvacuated(zone string) bool { return z.states[zone].Evacuated }
 
 // Evacuated returns the zones that are, in a fixed order.
 func (z *Zones) Evacuated() []string {
--- a/core/evacuation/zones_test.go
+++ b/core/evacuation/zones_test.go
@@ -15,23 +15,23 @@
 // another one, or a message that came late.
 func TestAnOlderStateDoesNotTakeAZoneBack(t *testing.T) {
 	var z Zones
-	require.True(t, z.Take(evacuated("a", 5)))
-	require.False(t, z.Take(State{Zone: "a", Revision: 4}))
-	require.False(t, z.Take(State{Zone: "a", Revision: 5}))
+	require.True(t, z.Apply(evacuated("a", 5)))
+	require.False(t, z.Apply(State{Zone: "a", Revision: 4}))
+	require.False(t, z.Apply(State{Zone: "a", Revision: 5}))
 	require.Empty(t, z.Replace(nil, 4), "a list that was read before")
-	require.True(t, z.Is("a"))
-	require.False(t, z.Take(evacuated("a", 6)), "evacuated again")
-	require.True(t, z.Take(State{Zone: "a", Revision: 7}))
-	require.False(t, z.Take(evacuated("a", 6)), "the evacuation before, told late")
-	require.False(t, z.Is("a"))
+	require.True(t, z.IsEvacuated("a"))
+	require.False(t, z.Apply(evacuated("a", 6)), "evacuated again")
+	require.True(t, z.Apply(State{Zone: "a", Revision: 7}))
+	require.False(t, z.Apply(evacuated("a", 6)), "the evacuation before, told late")
+	require.False(t, z.IsEvacuated("a"))
 }
 
 // A zone stayed without work for ever: it was taken back while the entry could not read the store.
 func TestAZoneThatIsNotListedHasBeenTakenBack(t *testing.T) {
 	var z Zones
-	z.Take(evacuated("a", 5))
-	z.Take(evacuated("b", 6))
-	z.Take(evacuated("c", 9))
+	z.Apply(evacuated("a", 5))
+	z.Apply(evacuated("b", 6))
+	z.Apply(evacuated("c", 9))
 	require.Equal(t, []State{{Zone: "a", Revision: 8}}, z.Replace([]State{evacuated("b", 6)}, 8))
 	require.Equal(t, []string{"b", "c"}, z.Evacuated(), "c was evacuated after the list was read")
 }
@@ -39,10 +39,10 @@
 // The store comes back from a copy that was made before the evacuation, and the operators don't know that it is lost.
 func TestAnEvacuationOutlivesAStoreThatComesBackFromAnOlderCopy(t *testing.T) {
 	var z Zones
-	z.Take(evacuated("a", 5))
+	z.Apply(evacuated("a", 5))
 	require.Equal(t, []State{evacuated("b", 8)}, z.Restore([]State{evacuated("b", 8)}))
 	require.Equal(t, []string{"a", "b"}, z.Evacuated())
-	require.True(t, z.Take(State{Zone: "a", Revision: 9}))
+	require.True(t, z.Apply(State{Zone: "a", Revision: 9}))
 }
 
 // Entries hear of the same states in any order, some of them twice, and must agree.
@@ -55,7 +55,7 @@
 		heard = append(heard, states[random.IntN(len(states))])
 		random.Shuffle(len(heard), func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
 		for _, state := range heard {
-			z.Take(state)
+			z.Apply(state)
 		}
 		require.Equal(t, []State{evacuated("a", 3), {Zone: "b", Revision: 5}}, z.All())
 	}
--- a/entry/gateway/cold.go
+++ b/entry/gateway/cold.go
@@ -12,7 +12,7 @@
 func (s *Server) noteCold(now time.Time, servers []directory.Server) {
 	for _, server := range servers {
 		if server.SlowFor > 0 {
-			s.cold.Cold(server.Start(), now.Add(server.SlowFor))
+			s.cold.MarkCold(server.Start(), now.Add(server.SlowFor))
 		}
 	}
 }
@@ -35,7 +35,7 @@
 // noteChosen notes that a choice is about to be sent; the caller holds the lock.
 func (s *Server) noteChosen(now time.Time, choice placement.Choice, refusal placement.Refusal) {
 	if refusal == "" && choice.Wait == 0 {
-		s.cold.Sent(now, choice.Server.Start())
+		s.cold.RecordSend(now, choice.Server.Start())
 	}
 }
 
--- a/entry/gateway/evacuation.go
+++ b/entry/gateway/evacuation.go
@@ -12,7 +12,7 @@
 func (s *Server) takeEvacuations(states []evacuation.State) []evacuation.State {
 	var changed []evacuation.State
 	for _, state := range states {
-		if s.evacuation.Take(state) {
+		if s.evacuation.Apply(state) {
 			changed = append(changed, state)
 		}
 	}
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -29,7 +29,7 @@
 func (s *Server) avoids(zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.evacuation.Is(zone)
+	return s.evacuation.IsEvacuated(zone)
 }
 
 // Operators evacuate a zone. Requests of every kind went on reaching its servers, since no entry read that they should
