--- a/core/peering/codec.go
+++ b/core/peering/codec.go
@@ -36,15 +36,15 @@
 
 // check returns an error that names the first thing told that makes no sense.
 func (m *Message) check() error {
-	for i := range m.Begun {
-		if err := m.Begun[i].Check(); err != nil {
-			return fmt.Errorf("request %s: %w", m.Begun[i].ID, err)
+	for i := range m.Dispatches {
+		if err := m.Dispatches[i].Check(); err != nil {
+			return fmt.Errorf("request %s: %w", m.Dispatches[i].ID, err)
 		}
 	}
-	if m.Entries < 0 || m.Entries > maxEntries {
-		return fmt.Errorf("%d entries in a zone: 0 to %d", m.Entries, maxEntries)
+	if m.EntryCount < 0 || m.EntryCount > maxEntries {
+		return fmt.Errorf("%d entries in a zone: 0 to %d", m.EntryCount, maxEntries)
 	}
-	for _, summary := range m.Zones {
+	for _, summary := range m.ZoneSummaries {
 		if err := summary.check(); err != nil {
 			return fmt.Errorf("zone %s: %w", summary.Zone, err)
 		}
@@ -55,7 +55,7 @@
 		}
 	}
 	if m.PlacementReply != nil {
-		given := placement.Dispatch{Helpers: m.PlacementReply.Helpers, Held: m.PlacementReply.Held}
+		given := placement.Dispatch{Helpers: m.PlacementReply.Helpers, Held: m.PlacementReply.Reserved}
 		if err := given.Check(); err != nil {
 			return fmt.Errorf("a place for request %s: %w", m.PlacementReply.ID, err)
 		}
@@ -71,8 +71,8 @@
 )
 
 func (z *ZoneSummary) check() error {
-	if z.Entries < 0 || z.Entries > maxEntries {
-		return fmt.Errorf("%d entries: 0 to %d", z.Entries, maxEntries)
+	if z.EntryCount < 0 || z.EntryCount > maxEntries {
+		return fmt.Errorf("%d entries: 0 to %d", z.EntryCount, maxEntries)
 	}
 	if z.Age < 0 || z.Age > maxAge {
 		return fmt.Errorf("as of %d ms ago: 0 to %d", z.Age, maxAge)
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -13,14 +13,14 @@
 
 func usualMessage() Message {
 	return Message{From: "10.1.0.40:8229", Incarnation: "5f1c07a2", Version: 18, Revision: 1234,
-		Begun: []placement.Dispatch{{ID: "2kq0x1v9m4c7z", Server: "i-3888e856cb", Helpers: []string{"i-4097e082f0"}, PromptTokens: 27_000, AnswerTokens: 1600,
+		Dispatches: []placement.Dispatch{{ID: "2kq0x1v9m4c7z", Server: "i-3888e856cb", Helpers: []string{"i-4097e082f0"}, PromptTokens: 27_000, AnswerTokens: 1600,
 			Gap: 600 * time.Millisecond, Target: 1500 * time.Millisecond, Life: 10 * time.Second}}}
 }
 
 func TestAMessageIsReadAsItWasWritten(t *testing.T) {
 	m := usualMessage()
-	m.First, m.Ended, m.KnownPeers, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
-	m.Begun[0].Held = []int64{200_000, 0}
+	m.FirstEvents, m.Ended, m.KnownPeers, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
+	m.Dispatches[0].Held = []int64{200_000, 0}
 	data, err := Encode(m)
 	require.NoError(t, err)
 	read, err := Decode(data)
@@ -62,17 +62,17 @@
 // took it in ended, all of them, and again after their start: what is open is told anew.
 func TestAMessageThatMakesNoSenseIsRefused(t *testing.T) {
 	for name, breaks := range map[string]func(*Message){
-		"held at fewer servers": func(m *Message) { m.Begun[0].Held = []int64{1} },
-		"negative tokens":       func(m *Message) { m.Begun[0].PromptTokens = -1 },
-		"too many tokens":       func(m *Message) { m.Begun[0].AnswerTokens = 1 << 40 },
-		"too long":              func(m *Message) { m.Begun[0].Life = 1 << 60 },
-		"too many entries":      func(m *Message) { m.Entries = maxEntries + 1 },
-		"less than none":        func(m *Message) { m.Zones = []ZoneSummary{{Entries: -1}} },
-		"from the future":       func(m *Message) { m.Zones = []ZoneSummary{{Age: -1}} },
+		"held at fewer servers": func(m *Message) { m.Dispatches[0].Held = []int64{1} },
+		"negative tokens":       func(m *Message) { m.Dispatches[0].PromptTokens = -1 },
+		"too many tokens":       func(m *Message) { m.Dispatches[0].AnswerTokens = 1 << 40 },
+		"too long":              func(m *Message) { m.Dispatches[0].Life = 1 << 60 },
+		"too many entries":      func(m *Message) { m.EntryCount = maxEntries + 1 },
+		"less than none":        func(m *Message) { m.ZoneSummaries = []ZoneSummary{{EntryCount: -1}} },
+		"from the future":       func(m *Message) { m.ZoneSummaries = []ZoneSummary{{Age: -1}} },
 		"a question": func(m *Message) {
 			m.PlacementRequest = &PlacementRequest{Dispatch: placement.Dispatch{PromptTokens: -1}}
 		},
-		"a place": func(m *Message) { m.PlacementReply = &PlacementReply{Held: []int64{1, 2}} },
+		"a place": func(m *Message) { m.PlacementReply = &PlacementReply{Reserved: []int64{1, 2}} },
 	} {
 		m := usualMessage()
 		breaks(&m)
@@ -85,7 +85,7 @@
 
 func TestMessagesAreToldApart(t *testing.T) {
 	for kind, m := range map[Kind]Message{
-		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindNews: {Ended: []string{"a"}}, KindRemoteHeartbeat: {Entries: 3, Members: []ZoneMembers{{}}},
+		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindEvents: {Ended: []string{"a"}}, KindRemoteHeartbeat: {EntryCount: 3, Members: []ZoneMembers{{}}},
 		KindHeartbeat: {Digest: 1, WantsMembers: true}, KindList: {Members: []ZoneMembers{{}}}, KindMembersRequest: {WantsMembers: true}, KindGreeting: {},
 		KindRecords: {Records: make([]quarantine.Record, 1)},
 	} {
--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -47,24 +47,24 @@
 	if g.scope == scopeWhole {
 		return false
 	}
-	isFar := m.Entries > 0 && m.Zone != "" && m.Zone != g.zone
+	isFar := m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone
 	if isFar {
 		told := g.farZone(m.Zone)
 		told.direct = now
-		told.take(now, m.Entries, m.SpareCapacity, m.Delegates)
+		told.take(now, m.EntryCount, m.SpareCapacity, m.Delegates)
 	}
-	for _, summary := range m.Zones {
+	for _, summary := range m.ZoneSummaries {
 		if m.Zone == g.zone && summary.Zone != g.zone && summary.Zone != "" {
 			g.takeSummary(now, summary)
 		}
 	}
-	return isFar || len(m.Zones) > 0
+	return isFar || len(m.ZoneSummaries) > 0
 }
 
 // takeSummary takes in what a near entry hands on.
 func (g *Group) takeSummary(now time.Time, summary ZoneSummary) {
 	asOf := now.Add(-time.Duration(summary.Age) * time.Millisecond)
-	g.farZone(summary.Zone).take(asOf, summary.Entries, summary.SpareCapacity, summary.Delegates)
+	g.farZone(summary.Zone).take(asOf, summary.EntryCount, summary.SpareCapacity, summary.Delegates)
 	for _, address := range slices.Concat(summary.Delegates, summary.Addresses) {
 		if m := g.addFar(now, summary.Zone, address); m != nil {
 			m.vouched = latest(m.vouched, asOf)
@@ -189,7 +189,7 @@
 // ShouldRedirect says whether the sender of a message is to be told who speaks for this zone: it belongs to another one and has
 // taken this entry for one that does.
 func (g *Group) ShouldRedirect(now time.Time, m Message) bool {
-	return g.scope != scopeWhole && m.Entries > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
+	return g.scope != scopeWhole && m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
 // MistakenForLocal says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
@@ -201,7 +201,7 @@
 // FillRemoteHeartbeat completes a message to another zone: who runs in this one.
 func (g *Group) FillRemoteHeartbeat(now time.Time, turn int, m *Message) {
 	heard := g.pick(func(m *member) bool { return m.zone == g.zone && m.isHeard(now) })
-	m.Entries = len(heard) + 1
+	m.EntryCount = len(heard) + 1
 	m.Delegates = g.delegates(now)
 	named := []string{g.self}
 	for i := range min(len(heard), toldFar-1) {
@@ -221,7 +221,7 @@
 		if far == nil || far.direct.IsZero() || now.Sub(far.direct) >= handedOnFor {
 			continue
 		}
-		summary := ZoneSummary{Zone: zone, Entries: far.entries, SpareCapacity: far.room, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
+		summary := ZoneSummary{Zone: zone, EntryCount: far.entries, SpareCapacity: far.room, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
 		if running := g.RunningIn(now, zone); len(running) > 0 {
 			summary.Addresses = []string{running[turn%len(running)]}
 		}
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -10,7 +10,7 @@
 	KindList            Kind = "list"
 	KindMembersRequest  Kind = "question"
 	KindGreeting        Kind = "greeting"
-	KindNews            Kind = "news"
+	KindEvents          Kind = "news"
 	KindUpdate          Kind = "update"
 	KindRecords         Kind = "records"
 	KindPlacement       Kind = "place"
@@ -25,9 +25,9 @@
 		return KindPlacement
 	case len(m.Records) > 0:
 		return KindRecords
-	case m.HasNews():
-		return KindNews
-	case m.Entries > 0:
+	case m.HasEvents():
+		return KindEvents
+	case m.EntryCount > 0:
 		return KindRemoteHeartbeat
 	case m.Digest != 0:
 		return KindHeartbeat
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -20,11 +20,11 @@
 	// up to which its list of servers is complete.
 	Version  uint64 `cbor:"4,keyasint,omitempty"`
 	Revision uint64 `cbor:"5,keyasint,omitempty"`
-	// Begun, First and Ended are requests that were sent to a server, have
+	// Dispatches, First and Ended are requests that were sent to a server, have
 	// their first event, and are over.
-	Begun []placement.Dispatch `cbor:"6,keyasint,omitempty"`
-	First []string             `cbor:"7,keyasint,omitempty"`
-	Ended []string             `cbor:"8,keyasint,omitempty"`
+	Dispatches  []placement.Dispatch `cbor:"6,keyasint,omitempty"`
+	FirstEvents []string             `cbor:"7,keyasint,omitempty"`
+	Ended       []string             `cbor:"8,keyasint,omitempty"`
 	// Unreachable are servers, by the names of their starts, that take no requests.
 	Unreachable []string `cbor:"20,keyasint,omitempty"`
 	// Stopping says that the sender leaves.
@@ -58,12 +58,12 @@
 	WantsMembers bool `cbor:"23,keyasint,omitempty"`
 	// Digest stands for the near entries that the sender hears; 0 if it isn't told.
 	Digest uint32 `cbor:"24,keyasint,omitempty"`
-	// Entries is how many entries run in the sender's zone, Delegates are those that speak for it. They
+	// EntryCount is how many entries run in the sender's zone, Delegates are those that speak for it. They
 	// are told to other zones, as Room is.
-	Entries   int      `cbor:"25,keyasint,omitempty"`
-	Delegates []string `cbor:"26,keyasint,omitempty"`
-	// Zones is what the sender hands on of other zones.
-	Zones []ZoneSummary `cbor:"27,keyasint,omitempty"`
+	EntryCount int      `cbor:"25,keyasint,omitempty"`
+	Delegates  []string `cbor:"26,keyasint,omitempty"`
+	// ZoneSummaries is what the sender hands on of other zones.
+	ZoneSummaries []ZoneSummary `cbor:"27,keyasint,omitempty"`
 	// Relay asks an entry of another zone to pass the news on to the entries of its own.
 	Relay bool `cbor:"28,keyasint,omitempty"`
 }
@@ -71,8 +71,8 @@
 // ZoneSummary is what is known of a zone.
 type ZoneSummary struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
-	// Entries and Room are as in Message, as of Age milliseconds ago.
-	Entries       int   `cbor:"2,keyasint,omitempty"`
+	// EntryCount and Room are as in Message, as of Age milliseconds ago.
+	EntryCount    int   `cbor:"2,keyasint,omitempty"`
 	SpareCapacity int   `cbor:"3,keyasint,omitempty"`
 	Age           int64 `cbor:"4,keyasint,omitempty"`
 	// Delegates speak for the zone, Addresses are others that run there.
@@ -104,7 +104,7 @@
 	ID        string        `cbor:"1,keyasint,omitempty"`
 	Server    string        `cbor:"2,keyasint,omitempty"`
 	Helpers   []string      `cbor:"3,keyasint,omitempty"`
-	Held      []int64       `cbor:"4,keyasint,omitempty"`
+	Reserved  []int64       `cbor:"4,keyasint,omitempty"`
 	Predicted time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
@@ -114,16 +114,16 @@
 // Update are the changes of the list of servers, and of the zones that are evacuated, from one
 // revision of the platform to a later one.
 type Update struct {
-	Base    uint64             `cbor:"1,keyasint,omitempty"`
-	Upto    uint64             `cbor:"2,keyasint,omitempty"`
-	Servers []directory.Server `cbor:"3,keyasint,omitempty"`
-	Gone    []directory.Gone   `cbor:"4,keyasint,omitempty"`
+	Base       uint64             `cbor:"1,keyasint,omitempty"`
+	Revision   uint64             `cbor:"2,keyasint,omitempty"`
+	Servers    []directory.Server `cbor:"3,keyasint,omitempty"`
+	Tombstones []directory.Gone   `cbor:"4,keyasint,omitempty"`
 	// Evacuations are the zones whose evacuation was asked for or taken back.
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
 
-// SetStore says how the sender reads the store.
-func (m *Message) SetStore(state StoreState) {
+// SetStoreState says how the sender reads the store.
+func (m *Message) SetStoreState(state StoreState) {
 	m.StoreLost = state.Lost
 	if state.Reads {
 		m.StoreAge = state.Age.Milliseconds() + 1
@@ -141,7 +141,7 @@
 	Addresses []string `cbor:"2,keyasint,omitempty"`
 }
 
-// HasNews says whether the message tells of requests or servers.
-func (m *Message) HasNews() bool {
-	return len(m.Begun)+len(m.First)+len(m.Ended)+len(m.Unreachable)+len(m.Records) > 0
+// HasEvents says whether the message tells of requests or servers.
+func (m *Message) HasEvents() bool {
+	return len(m.Dispatches)+len(m.FirstEvents)+len(m.Ended)+len(m.Unreachable)+len(m.Records) > 0
 }
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -49,7 +49,7 @@
 func tell(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
 	m := zoned(entryAt(i), "here")
 	m.Capacity = capacity
-	m.SetStore(state)
+	m.SetStoreState(state)
 	for j, g := range groups {
 		if i != j {
 			g.Observe(now, m)
@@ -154,7 +154,7 @@
 			for _, g := range groups {
 				m := zoned(entryAt(reader), "here")
 				m.Capacity = 10 - reader
-				m.SetStore(StoreState{Reads: true})
+				m.SetStoreState(StoreState{Reads: true})
 				change(&m)
 				g.Observe(start, m)
 			}
@@ -184,7 +184,7 @@
 	g.Observe(start, far)
 	near := zoned(entryAt(1), "here")
 	near.Version, near.Revision = 1, 1
-	near.SetStore(StoreState{Reads: true})
+	near.SetStoreState(StoreState{Reads: true})
 	g.Observe(start, near)
 	_, ok := g.NewerPeer(start, 1, 1, true)
 	require.False(t, ok)
@@ -315,7 +315,7 @@
 	if z.now%HeartbeatInterval == 0 {
 		m := zoned(entryAt(i), "here")
 		m.Capacity = sameCapacity(i)
-		m.SetStore(z.state(i))
+		m.SetStoreState(z.state(i))
 		z.send(i, func(j int) { z.groups[j].Observe(z.clock(), m) })
 	}
 }
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -89,7 +89,7 @@
 		m := zoned(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i < startReaders {
-			m.SetStore(StoreState{Reads: true})
+			m.SetStoreState(StoreState{Reads: true})
 		}
 		for j, g := range groups {
 			if j != i {
@@ -137,7 +137,7 @@
 		m := zoned(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i == 0 {
-			m.SetStore(StoreState{Reads: true})
+			m.SetStoreState(StoreState{Reads: true})
 		}
 		g.Observe(start, m)
 	}
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -59,7 +59,7 @@
 				for j := range 4 {
 					g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, j), zone))
 				}
-				g.Observe(start, Message{From: zone + "-0:1", Zone: zone, Entries: 4, Delegates: []string{zone + "-0:1", zone + "-2:1"}})
+				g.Observe(start, Message{From: zone + "-0:1", Zone: zone, EntryCount: 4, Delegates: []string{zone + "-0:1", zone + "-2:1"}})
 			}
 			heard := map[string]bool{}
 			for turn := range 2 {
@@ -114,10 +114,10 @@
 	require.Len(t, g.RunningIn(start, "there"), farMembers)
 	require.Equal(t, farMembers+2, g.Size())
 	m := zoned("there-0:1", "there")
-	m.Entries = 200
+	m.EntryCount = 200
 	g.Observe(start, m)
 	require.Equal(t, 202, g.Size())
-	m.Entries = 3
+	m.EntryCount = 3
 	g.Observe(start, m)
 	require.Equal(t, 202, g.Size(), "those that can't be heard keep their parts")
 	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: named("here:", 100)}))
@@ -130,12 +130,12 @@
 	delegate, g := dividedGroup([]string{"here"}, 1), New("other:1", "here", "i", nil)
 	g.SetLocalRouting(true)
 	m := zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1"}})
-	m.Entries, m.Delegates = 70, []string{"there-0:1", "there-1:1"}
+	m.EntryCount, m.Delegates = 70, []string{"there-0:1", "there-1:1"}
 	m.SetSpareCapacity(0.6)
 	delegate.Observe(start, m)
 	handed := zoned("self:1", "here")
-	handed.Zones = delegate.RemoteSummaries(start.Add(300*time.Millisecond), 0)
-	require.Len(t, handed.Zones, 1)
+	handed.ZoneSummaries = delegate.RemoteSummaries(start.Add(300*time.Millisecond), 0)
+	require.Len(t, handed.ZoneSummaries, 1)
 	later := start.Add(time.Second)
 	g.Observe(later, handed)
 	address, room, ok := g.MostSpareCapacity(later)
@@ -148,7 +148,7 @@
 	require.False(t, ok)
 	require.Empty(t, delegate.RemoteSummaries(start.Add(handedOnFor), 0), "it is old by now")
 	older := handed
-	older.Zones[0].Age, older.Zones[0].Entries = 2000, 1
+	older.ZoneSummaries[0].Age, older.ZoneSummaries[0].EntryCount = 2000, 1
 	g.Observe(later, older)
 	require.Equal(t, 70, g.far["there"].entries)
 }
@@ -159,14 +159,14 @@
 	g := dividedGroup([]string{"here"}, 3)
 	far := zoned("there-0:1", "there")
 	require.False(t, g.ShouldRedirect(start, far), "no word to a delegate")
-	far.Entries = 10
+	far.EntryCount = 10
 	require.True(t, g.ShouldRedirect(start, far))
 	require.Len(t, farMessage(g, 0).Delegates, delegatesPerZone)
 	g.SetServing(true)
 	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.False(t, g.ShouldRedirect(start, far), "it is one")
 	near := zoned("here-0:1", "here")
-	near.Entries = 10
+	near.EntryCount = 10
 	require.False(t, g.ShouldRedirect(start, near))
 }
 
@@ -189,7 +189,7 @@
 func TestNewsCrossZonesThroughRelays(t *testing.T) {
 	g := dividedGroup([]string{"there"}, 10)
 	require.Len(t, g.Relays(start, "there"), relaysPerZone)
-	g.Observe(start, Message{From: "there-0:1", Zone: "there", Entries: 10, Delegates: []string{"there-4:1", "there-7:1"}})
+	g.Observe(start, Message{From: "there-0:1", Zone: "there", EntryCount: 10, Delegates: []string{"there-4:1", "there-7:1"}})
 	require.ElementsMatch(t, []string{"there-4:1", "there-7:1"}, g.Relays(start, "there"))
 	require.True(t, g.ShouldRelay(Message{From: "there-1:1", Zone: "there", Relay: true}))
 	require.False(t, g.ShouldRelay(Message{From: "here-1:1", Zone: "here", Relay: true}), "it would be passed round")
@@ -219,7 +219,7 @@
 	var m Message
 	g.FillRemoteHeartbeat(later, 0, &m)
 	require.Equal(t, told, m.Members)
-	require.Equal(t, 2, m.Entries)
+	require.Equal(t, 2, m.EntryCount)
 	require.Equal(t, told, g.Running(later))
 	require.Equal(t, told, g.LocalMembers(later))
 }
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -32,7 +32,7 @@
 	p.mu.Lock()
 	p.group.Forget(now)
 	beat := p.group.HeartbeatTargets(now, turn)
-	near.WantsMembers, near.Digest, near.Zones = p.group.NeedsMembers(now), p.group.Digest(now), p.group.RemoteSummaries(now, turn)
+	near.WantsMembers, near.Digest, near.ZoneSummaries = p.group.NeedsMembers(now), p.group.Digest(now), p.group.RemoteSummaries(now, turn)
 	listed := p.group.LocalMembers(now)
 	silent, _ = p.group.Suspects(now)
 	p.mu.Unlock()
--- a/entry/gateway/crossing.go
+++ b/entry/gateway/crossing.go
@@ -174,7 +174,7 @@
 func (s *Server) choiceOf(place peering.PlacementReply) (placement.Choice, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	choice := placement.Choice{Held: place.Held, Predicted: place.Predicted}
+	choice := placement.Choice{Held: place.Reserved, Predicted: place.Predicted}
 	var found []directory.Server
 	for _, start := range append([]string{place.Server}, place.Helpers...) {
 		server, ok := s.directory.Lookup(start)
@@ -202,8 +202,8 @@
 		choice, refusal := s.book.Choose(now, query)
 		s.noteChosen(now, choice, refusal)
 		if refusal == "" && choice.Wait == 0 {
-			place.Server, place.Helpers, place.Held, place.Predicted = choice.Server.Start(), directory.Starts(choice.Helpers), choice.Held, choice.Predicted
-			d.Server, d.Helpers, d.Held = place.Server, place.Helpers, place.Held
+			place.Server, place.Helpers, place.Reserved, place.Predicted = choice.Server.Start(), directory.Starts(choice.Helpers), choice.Held, choice.Predicted
+			d.Server, d.Helpers, d.Held = place.Server, place.Helpers, place.Reserved
 			s.book.BeginFrom(now, from, d, service.Engine)
 		}
 	}
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -77,7 +77,7 @@
 	busy := peering.Message{From: "127.0.0.1:1", Incarnation: "x"}
 	for _, server := range w.available(here, "engines") {
 		if server.Zone == "here" {
-			busy.Begun = append(busy.Begun, placement.Dispatch{ID: server.ID, Server: server.Start(), PromptTokens: 8000, Life: time.Minute})
+			busy.Dispatches = append(busy.Dispatches, placement.Dispatch{ID: server.ID, Server: server.Start(), PromptTokens: 8000, Life: time.Minute})
 		}
 	}
 	here.takeNews(time.Now(), busy, false)
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -28,11 +28,11 @@
 	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
 	told.SetSpareCapacity(0.5)
 	told.SetRecordsDigest(7)
-	told.SetStore(peering.StoreState{Reads: true, Age: time.Second})
-	return []peering.Message{told, {Begun: []placement.Dispatch{d}, First: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
-		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Held: []int64{1}}},
-		{Update: &peering.Update{Base: 1, Upto: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
-			Gone: []directory.Gone{{ID: "i-1", Revision: 3}}}},
+	told.SetStoreState(peering.StoreState{Reads: true, Age: time.Second})
+	return []peering.Message{told, {Dispatches: []placement.Dispatch{d}, FirstEvents: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
+		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Reserved: []int64{1}}},
+		{Update: &peering.Update{Base: 1, Revision: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
+			Tombstones: []directory.Gone{{ID: "i-1", Revision: 3}}}},
 		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
 
@@ -113,9 +113,9 @@
 		now := time.Now()
 		for range rapid.IntRange(1, 4).Draw(r, "messages") {
 			d := drawDispatch(r)
-			place := peering.PlacementReply{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Held: d.Held, Predicted: d.Target}
-			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Begun: []placement.Dispatch{d},
-				First: []string{d.ID}, PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: d.Life, Exclude: d.Helpers}, PlacementReply: &place}
+			place := peering.PlacementReply{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Reserved: d.Held, Predicted: d.Target}
+			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Dispatches: []placement.Dispatch{d},
+				FirstEvents: []string{d.ID}, PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: d.Life, Exclude: d.Helpers}, PlacementReply: &place}
 			if rapid.Bool().Draw(r, "ended") {
 				m.Ended = []string{d.ID}
 			}
--- a/entry/gateway/news.go
+++ b/entry/gateway/news.go
@@ -51,7 +51,7 @@
 	s.book.Begin(time.Now(), d, engine, choice.Predicted)
 	s.mu.Unlock()
 	b := booking{id: d.ID, far: s.peers.farZones(choice)}
-	s.peers.tell(b, func(m *peering.Message) { m.Begun = append(m.Begun, d) })
+	s.peers.tell(b, func(m *peering.Message) { m.Dispatches = append(m.Dispatches, d) })
 	// At once, but not in the request's own way: on a small host the messages to some
 	// thirty entries take milliseconds.
 	go s.peers.flush()
@@ -62,7 +62,7 @@
 	s.mu.Lock()
 	s.book.FirstEvent(time.Now(), b.id)
 	s.mu.Unlock()
-	s.peers.tell(b, func(m *peering.Message) { m.First = append(m.First, b.id) })
+	s.peers.tell(b, func(m *peering.Message) { m.FirstEvents = append(m.FirstEvents, b.id) })
 	s.peers.flushSoon()
 }
 
@@ -142,8 +142,8 @@
 // pass passes on to near entries what one of another zone has told.
 func (p *peerExchange) pass(m peering.Message) {
 	p.tell(booking{}, func(news *peering.Message) {
-		news.Begun = append(news.Begun, m.Begun...)
-		news.First = append(news.First, m.First...)
+		news.Dispatches = append(news.Dispatches, m.Dispatches...)
+		news.FirstEvents = append(news.FirstEvents, m.FirstEvents...)
 		news.Ended = append(news.Ended, m.Ended...)
 		news.Records = append(news.Records, m.Records...)
 	})
@@ -153,11 +153,11 @@
 func (p *peerExchange) sendNews(targets []string, news peering.Message) {
 	p.sendRecords(targets, news.Records, news.Relay)
 	news.Records = nil
-	for len(news.Begun) > maxDispatches {
-		p.send(targets, peering.Message{Begun: news.Begun[:maxDispatches], Relay: news.Relay})
-		news.Begun = news.Begun[maxDispatches:]
+	for len(news.Dispatches) > maxDispatches {
+		p.send(targets, peering.Message{Dispatches: news.Dispatches[:maxDispatches], Relay: news.Relay})
+		news.Dispatches = news.Dispatches[maxDispatches:]
 	}
-	if news.HasNews() {
+	if news.HasEvents() {
 		p.send(targets, news)
 	}
 }
@@ -170,7 +170,7 @@
 	if restarted {
 		s.book.EndFrom(now, m.From)
 	}
-	for _, d := range m.Begun {
+	for _, d := range m.Dispatches {
 		if engine, ok := s.engineOf(d.Server); ok {
 			s.book.BeginFrom(now, m.From, d, engine)
 		}
@@ -180,7 +180,7 @@
 			s.book.UnreachableFrom(now, server, s.random.Float64())
 		}
 	}
-	for _, id := range m.First {
+	for _, id := range m.FirstEvents {
 		s.book.FirstEvent(now, id)
 	}
 	for _, id := range m.Ended {
@@ -196,9 +196,9 @@
 	p.s.mu.Unlock()
 	targets := []string{target}
 	for part := range slices.Chunk(begun, maxDispatches) {
-		p.send(targets, peering.Message{Begun: part})
+		p.send(targets, peering.Message{Dispatches: part})
 	}
 	if len(first) > 0 {
-		p.send(targets, peering.Message{First: first})
+		p.send(targets, peering.Message{FirstEvents: first})
 	}
 }
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -164,7 +164,7 @@
 	m.From, m.Zone, m.Incarnation = p.s.settings.PeerAddress, p.s.settings.Zone, p.s.incarnation
 	m.Version, m.Revision = p.s.versions()
 	m.Capacity = p.s.readOptions.Load().Capacity
-	m.SetStore(p.s.storeState(time.Now()))
+	m.SetStoreState(p.s.storeState(time.Now()))
 	m.Stopping = p.s.stopping.Load() != nil
 	m.Starting = p.s.manager.State() == lifecycle.Starting
 	data, err := peering.Encode(m)
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -101,7 +101,7 @@
 	s := w.serve()
 	begun := func(id string, born int64) peering.Message {
 		start := directory.Server{ID: "i-1", Born: born}.Start()
-		return peering.Message{From: "127.0.0.1:1", Incarnation: "x", Begun: []placement.Dispatch{{ID: id, Server: start, PromptTokens: 2000, Life: time.Minute}}}
+		return peering.Message{From: "127.0.0.1:1", Incarnation: "x", Dispatches: []placement.Dispatch{{ID: id, Server: start, PromptTokens: 2000, Life: time.Minute}}}
 	}
 	s.takeNews(time.Now(), begun("late", firstBirth), false)
 	require.True(t, s.booked(0)())
--- a/entry/gateway/viewcache_test.go
+++ b/entry/gateway/viewcache_test.go
@@ -110,7 +110,7 @@
 				return
 			}
 			m := peering.Message{From: address, Incarnation: "silent", Zone: "here", Version: 1, Revision: 1}
-			m.SetStore(peering.StoreState{Reads: true})
+			m.SetStoreState(peering.StoreState{Reads: true})
 			data, err := peering.Encode(m)
 			if err != nil {
 				return
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -233,7 +233,7 @@
 
 // tellChange tells the zone of a change of one row.
 func (e *entry) tellChange() {
-	update := &peering.Update{Base: e.revision - 1, Upto: e.revision}
+	update := &peering.Update{Base: e.revision - 1, Revision: e.revision}
 	e.send(e.group.RunningIn(e.now(), e.zone), peering.Message{Update: update}, Updating)
 }
 
@@ -247,7 +247,7 @@
 	}
 	m.From, m.Zone, m.Incarnation = e.name, e.zone, "5f1c07a"+strconv.Itoa(e.life%10)
 	m.Version, m.Revision, m.Capacity = version, e.revision, e.linkMbps
-	m.SetStore(e.state())
+	m.SetStoreState(e.state())
 	m.Starting = !e.serving
 	data, err := peering.Encode(m)
 	if err != nil {
@@ -263,8 +263,8 @@
 	now := e.now()
 	e.fleet.result.received(e)
 	sender := e.group.Observe(now, m)
-	if m.Update != nil && m.Update.Upto > e.revision && e.revision > 0 {
-		e.revision = m.Update.Upto
+	if m.Update != nil && m.Update.Revision > e.revision && e.revision > 0 {
+		e.revision = m.Update.Revision
 		e.fleet.result.learned(e, e.revision)
 	}
 	if m.Revision > e.revision && e.serving && !e.behind {
@@ -309,7 +309,7 @@
 	now := e.now()
 	e.group.Forget(now)
 	beat := e.group.HeartbeatTargets(now, e.turn)
-	m := peering.Message{WantsMembers: e.group.NeedsMembers(now), Digest: e.group.Digest(now), Zones: e.group.RemoteSummaries(now, e.turn)}
+	m := peering.Message{WantsMembers: e.group.NeedsMembers(now), Digest: e.group.Digest(now), ZoneSummaries: e.group.RemoteSummaries(now, e.turn)}
 	m.SetRecordsDigest(0)
 	e.send(beat.Local, m, Heartbeat)
 	if len(beat.WithMembers) > 0 {
