--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -195,10 +195,10 @@
 // WorkspaceOf returns the workspace that holds an API key, or nil.
 func (t *Table) WorkspaceOf(key string) *Workspace { return t.keys[key] }
 
-// Choose divides requests between the services of a route by their weights. draw
+// PickService divides requests between the services of a route by their weights. draw
 // is a random number from 0 to 1; callers choose once for a request, so that all
 // its attempts go to one service.
-func (r *Route) Choose(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, share := range r.Shares {
 		total += max(share.Weight, 0)
--- a/core/routes/table_test.go
+++ b/core/routes/table_test.go
@@ -55,10 +55,10 @@
 	route := Route{Shares: []Share{{"orders", 90}, {"orders-new", 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[route.Choose(float64(i)/1000)]++
+		counts[route.PickService(float64(i)/1000)]++
 	}
 	require.Equal(t, map[string]int{"orders": 900, "orders-new": 100}, counts)
-	require.Equal(t, "orders", (&Route{Shares: []Share{{"orders", 0}}}).Choose(0.5))
+	require.Equal(t, "orders", (&Route{Shares: []Share{{"orders", 0}}}).PickService(0.5))
 }
 
 // A configuration that can't be served is refused as a whole, with the place of
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -15,7 +15,7 @@
 // run tries servers until the request is over.
 func (e *exchange) run() {
 	e.draw = e.s.random01()
-	e.service = e.table.Service(e.route.Choose(e.draw))
+	e.service = e.table.Service(e.route.PickService(e.draw))
 	e.core = execution.NewForward(execution.ForwardOptions{Repeat: e.route.Repeat, MaxAttempts: e.route.MaxAttempts, Deadline: e.deadline,
 		TakeRetry: func(now time.Time) bool { return e.paid.Swap(false) || e.s.takeRetry(now, e.service.Name) }})
 	e.s.countRequest(e.service.Name)
