--- a/core/peering/beats.go
+++ b/core/peering/beats.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// listsPerHeartbeat is how many near entries a heartbeat tells of all others, of those that hear others than this one does.
-const listsPerHeartbeat = 2
+// memberListsPerHeartbeat is how many near entries a heartbeat tells of all others, of those that hear others than this one does.
+const memberListsPerHeartbeat = 2
 
 // HeartbeatTargets is who is told that this entry lives.
 type HeartbeatTargets struct {
@@ -19,20 +19,20 @@
 
 // HeartbeatTargets picks who hears the heartbeat of a turn; turns are counted.
 func (g *Group) HeartbeatTargets(now time.Time, turn int) HeartbeatTargets {
-	var beat HeartbeatTargets
+	var targets HeartbeatTargets
 	sum := g.Digest(now)
-	beat.Local = g.KnownLocal()
-	for i := range beat.Local {
+	targets.Local = g.KnownLocal()
+	for i := range targets.Local {
 		// Another one begins at each turn.
-		address := beat.Local[(i+turn*listsPerHeartbeat)%len(beat.Local)]
-		if len(beat.WithMembers) < listsPerHeartbeat && g.members[address].sum != sum {
-			beat.WithMembers = append(beat.WithMembers, address)
+		address := targets.Local[(i+turn*memberListsPerHeartbeat)%len(targets.Local)]
+		if len(targets.WithMembers) < memberListsPerHeartbeat && g.members[address].digest != sum {
+			targets.WithMembers = append(targets.WithMembers, address)
 		}
 	}
 	if g.isDelegate(now) {
-		beat.Remote = g.farTargets(now, turn)
+		targets.Remote = g.remoteTargets(now, turn)
 	}
-	return beat
+	return targets
 }
 
 // LocalMembers returns the entries that a near one is told of by turns: those that this one tells of each request, itself among
@@ -44,15 +44,15 @@
 			zones[m.zone] = append(zones[m.zone], address)
 		}
 	}
-	return byZone(zones)
+	return sortedByZone(zones)
 }
 
 // Digest stands for the entries that Listed returns; it is not 0. Heartbeats tell it, and entries whose sums are the same
 // tell each other no lists: what they cost does not grow with the fleet once all know all.
 func (g *Group) Digest(now time.Time) uint32 {
-	sum := rank(g.self, "")
+	sum := rendezvousHash(g.self, "")
 	for _, m := range g.members {
-		if g.isNear(m) && m.zone != "" && m.isHeard(now) {
+		if g.isLocal(m) && m.zone != "" && m.isAlive(now) {
 			sum += m.hash()
 		}
 	}
@@ -61,23 +61,23 @@
 
 // hash is that of the address; it is made once.
 func (m *member) hash() uint64 {
-	if m.hashed == 0 {
-		m.hashed = rank(m.address, "")
+	if m.addressHash == 0 {
+		m.addressHash = rendezvousHash(m.address, "")
 	}
-	return m.hashed
+	return m.addressHash
 }
 
-func byZone(zones map[string][]string) []ZoneMembers {
-	told := make([]ZoneMembers, 0, len(zones))
+func sortedByZone(zones map[string][]string) []ZoneMembers {
+	members := make([]ZoneMembers, 0, len(zones))
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		told = append(told, ZoneMembers{Zone: zone, Addresses: zones[zone]})
+		members = append(members, ZoneMembers{Zone: zone, Addresses: zones[zone]})
 	}
-	return told
+	return members
 }
 
-// maxMembers bounds the addresses of a message so that it stays within one packet of a usual
+// maxAddressesPerMessage bounds the addresses of a message so that it stays within one packet of a usual
 // link (1,500 bytes); an address takes some 16 bytes.
-const maxMembers = 60
+const maxAddressesPerMessage = 60
 
 // SplitMembers divides a list of entries into parts that fit a message.
 func SplitMembers(members []ZoneMembers) [][]ZoneMembers {
@@ -86,7 +86,7 @@
 	for _, zone := range members {
 		for rest := zone.Addresses; len(rest) > 0; {
 			if room == 0 {
-				parts, room = append(parts, nil), maxMembers
+				parts, room = append(parts, nil), maxAddressesPerMessage
 			}
 			count := min(room, len(rest))
 			last := len(parts) - 1
--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -33,7 +33,7 @@
 		g := New("self:1", "here", "i", nil)
 		var messages []Message
 		for i := range entries {
-			messages = append(messages, zoned(fmt.Sprintf("e%d:1", i), "here"))
+			messages = append(messages, heartbeatFrom(fmt.Sprintf("e%d:1", i), "here"))
 			g.Observe(start, messages[i])
 		}
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
--- a/core/peering/codec.go
+++ b/core/peering/codec.go
@@ -55,8 +55,8 @@
 		}
 	}
 	if m.PlacementReply != nil {
-		given := placement.Dispatch{Helpers: m.PlacementReply.Helpers, Held: m.PlacementReply.Reserved}
-		if err := given.Check(); err != nil {
+		dispatch := placement.Dispatch{Helpers: m.PlacementReply.Helpers, Held: m.PlacementReply.Reserved}
+		if err := dispatch.Check(); err != nil {
 			return fmt.Errorf("a place for request %s: %w", m.PlacementReply.ID, err)
 		}
 	}
@@ -66,16 +66,16 @@
 // Bounds of what is told of a zone. A count that is far too high would leave no entry a part of shared budgets.
 const (
 	maxEntries = 10_000
-	// maxAge is in milliseconds.
-	maxAge = 60_000
+	// maxSummaryAgeMs is in milliseconds.
+	maxSummaryAgeMs = 60_000
 )
 
 func (z *ZoneSummary) check() error {
 	if z.EntryCount < 0 || z.EntryCount > maxEntries {
 		return fmt.Errorf("%d entries: 0 to %d", z.EntryCount, maxEntries)
 	}
-	if z.Age < 0 || z.Age > maxAge {
-		return fmt.Errorf("as of %d ms ago: 0 to %d", z.Age, maxAge)
+	if z.Age < 0 || z.Age > maxSummaryAgeMs {
+		return fmt.Errorf("as of %d ms ago: 0 to %d", z.Age, maxSummaryAgeMs)
 	}
 	return nil
 }
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -47,28 +47,28 @@
 	address     string
 	incarnation string
 	// zone is empty until it is known.
-	zone  string
-	heard time.Time // zero if it was only told of
-	told  time.Time // when it became known
-	// vouched is when an entry of its own zone last said that it runs.
-	vouched  time.Time
-	version  uint64
-	revision uint64
-	stopping bool
-	// stopped is when it was first heard to stop.
-	stopped time.Time
-	// serving is since when it is heard to take requests; zero while it does not.
-	serving  time.Time
-	capacity int
-	store    StoreState
-	// sum is what it last told of whom it hears, as in Message.
-	sum uint32
-	// hashed is the hash of its address, placing that of its address and this zone; 0 until they are made.
-	hashed, placing uint64
-	// untold says that it has missed news and was not told of them yet.
-	untold bool
-	// recordsTold is when it was last told all records of requests.
-	recordsTold time.Time
+	zone      string
+	lastHeard time.Time // zero if it was only told of
+	learnedAt time.Time // when it became known
+	// indirectlyHeard is when an entry of its own zone last said that it runs.
+	indirectlyHeard time.Time
+	version         uint64
+	revision        uint64
+	stopping        bool
+	// stoppedAt is when it was first heard to stop.
+	stoppedAt time.Time
+	// servingSince is since when it is heard to take requests; zero while it does not.
+	servingSince time.Time
+	capacity     int
+	store        StoreState
+	// digest is what it last told of whom it hears, as in Message.
+	digest uint32
+	// addressHash is the hash of its address, rankHash that of its address and this zone; 0 until they are made.
+	addressHash, rankHash uint64
+	// needsSync says that it has missed news and was not told of them yet.
+	needsSync bool
+	// recordsSentAt is when it was last told all records of requests.
+	recordsSentAt time.Time
 }
 
 // scope is among whose servers entries choose, and so whom they tell of requests.
@@ -90,28 +90,28 @@
 	incarnation string
 	seeds       []string
 	members     map[string]*member
-	// order is the addresses of members in their order; nil after a change.
-	order []string
-	// far is what is known of other zones, as long as entries keep to theirs.
-	far map[string]*farZone
-	// most is how many others were known at once, grown that more are known since that was counted.
-	most  int
-	grown bool
-	scope scope
+	// sorted is the addresses of members in their sorted; nil after a change.
+	sorted []string
+	// remote is what is known of other zones, as long as entries keep to theirs.
+	remote map[string]*remoteZone
+	// maxSeen is how many others were known at once, grown that more are known since that was counted.
+	maxSeen int
+	grown   bool
+	scope   scope
 	// joined says that a neighbour has told the entries of the zone.
-	joined  bool
-	reading ReadOptions
+	joined      bool
+	readOptions ReadOptions
 	// serves says that this entry takes requests.
 	serves bool
-	// heardFirst is when any entry was heard for the first time, foundAt when one of the own zone became known last.
-	heardFirst, foundAt time.Time
-	// listKnown is since when somebody is known to have the list of servers.
-	listKnown time.Time
+	// firstHeard is when any entry was heard for the first time, lastLocalFound when one of the own zone became known last.
+	firstHeard, lastLocalFound time.Time
+	// listKnownSince is since when somebody is known to have the list of servers.
+	listKnownSince time.Time
 }
 
 // New returns a group of an entry in an availability zone that knows the seeds.
 func New(self, zone, incarnation string, seeds []string) *Group {
-	g := &Group{self: self, zone: zone, incarnation: incarnation, members: map[string]*member{}, far: map[string]*farZone{}}
+	g := &Group{self: self, zone: zone, incarnation: incarnation, members: map[string]*member{}, remote: map[string]*remoteZone{}}
 	g.SetSeeds(time.Time{}, seeds)
 	return g
 }
@@ -123,7 +123,7 @@
 	for _, address := range seeds {
 		g.add(now, address)
 	}
-	g.most = max(g.most, g.entries())
+	g.maxSeen = max(g.maxSeen, g.countOthers())
 }
 
 func (g *Group) add(now time.Time, address string) *member {
@@ -132,9 +132,9 @@
 	}
 	m := g.members[address]
 	if m == nil {
-		m = &member{address: address, told: now}
+		m = &member{address: address, learnedAt: now}
 		g.members[address] = m
-		g.order, g.grown = nil, true
+		g.sorted, g.grown = nil, true
 	}
 	return m
 }
@@ -157,9 +157,9 @@
 // LocalRouting returns whether they do.
 func (g *Group) LocalRouting() bool { return g.scope == scopeZone }
 
-// isNear says whether a member chooses among the same servers as this entry does. One
+// isLocal says whether a member chooses among the same servers as this entry does. One
 // whose zone is not known may.
-func (g *Group) isNear(m *member) bool {
+func (g *Group) isLocal(m *member) bool {
 	return g.scope == scopeWhole || m.zone == "" || m.zone == g.zone
 }
 
@@ -184,55 +184,55 @@
 		return Sender{}
 	}
 	known.zone = cmp.Or(m.Zone, known.zone)
-	sender := Sender{Restarted: known.incarnation != "" && known.incarnation != m.Incarnation, Local: g.isNear(known)}
-	first := known.heard.IsZero()
-	if g.heardFirst.IsZero() {
-		g.heardFirst = now
+	sender := Sender{Restarted: known.incarnation != "" && known.incarnation != m.Incarnation, Local: g.isLocal(known)}
+	first := known.lastHeard.IsZero()
+	if g.firstHeard.IsZero() {
+		g.firstHeard = now
 	}
 	if first && known.zone == g.zone {
-		g.foundAt = now
+		g.lastLocalFound = now
 	}
 	// Entries of other zones are heard by turns only, and book nothing of this one's.
-	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.heard) >= SuspectAfter
-	known.untold = known.untold || sender.Joined
-	sender.NeedsSync = known.untold && !m.Starting && sender.Local
+	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.lastHeard) >= SuspectAfter
+	known.needsSync = known.needsSync || sender.Joined
+	sender.NeedsSync = known.needsSync && !m.Starting && sender.Local
 	if sender.NeedsSync {
-		known.untold = false
+		known.needsSync = false
 	}
 	if sender.Restarted {
-		known.recordsTold = time.Time{} // what the start before was told is lost
+		known.recordsSentAt = time.Time{} // what the start before was told is lost
 	}
-	known.take(now, m, sender.Restarted)
-	changed := g.hearFar(now, m)
-	sender.Discovered = g.learn(now, m)
+	known.update(now, m, sender.Restarted)
+	changed := g.observeRemote(now, m)
+	sender.Discovered = g.learnMembers(now, m)
 	if changed || g.grown {
-		g.most, g.grown = max(g.most, g.entries()), false
+		g.maxSeen, g.grown = max(g.maxSeen, g.countOthers()), false
 	}
 	return sender
 }
 
-// take notes what a member says of itself.
-func (known *member) take(now time.Time, m Message, restarted bool) {
+// update notes what a member says of itself.
+func (known *member) update(now time.Time, m Message, restarted bool) {
 	if m.Stopping && (!known.stopping || restarted) {
-		known.stopped = now
+		known.stoppedAt = now
 	}
 	switch {
 	case m.Starting || m.Stopping:
-		known.serving = time.Time{}
-	case known.serving.IsZero() || restarted:
-		known.serving = now
+		known.servingSince = time.Time{}
+	case known.servingSince.IsZero() || restarted:
+		known.servingSince = now
 	}
-	known.incarnation, known.heard, known.stopping = m.Incarnation, now, m.Stopping
+	known.incarnation, known.lastHeard, known.stopping = m.Incarnation, now, m.Stopping
 	known.version, known.revision = m.Version, m.Revision
-	known.capacity, known.store = m.Capacity, m.store()
+	known.capacity, known.store = m.Capacity, m.storeState()
 	if m.Digest != 0 {
-		known.sum = m.Digest
+		known.digest = m.Digest
 	}
 }
 
-// learn takes in the entries that a message tells of, and returns those of the own zone that were
+// learnMembers takes in the entries that a message tells of, and returns those of the own zone that were
 // not known. Of another zone only a few are kept.
-func (g *Group) learn(now time.Time, m Message) []string {
+func (g *Group) learnMembers(now time.Time, m Message) []string {
 	var found []string
 	for _, address := range m.KnownPeers {
 		g.add(now, address)
@@ -241,7 +241,7 @@
 		g.joined = g.joined || told.Zone == g.zone && m.Zone == g.zone
 		for _, address := range told.Addresses {
 			isNew := g.members[address] == nil
-			if isNew && g.hasEnough(now, told.Zone) {
+			if isNew && g.knowsEnough(now, told.Zone) {
 				continue
 			}
 			known := g.add(now, address)
@@ -250,11 +250,11 @@
 			}
 			known.zone = cmp.Or(known.zone, told.Zone)
 			if told.Zone == m.Zone {
-				known.vouched = now
+				known.indirectlyHeard = now
 			}
 			if isNew && known.zone == g.zone {
 				found = append(found, address)
-				g.foundAt = now
+				g.lastLocalFound = now
 			}
 		}
 	}
@@ -267,12 +267,12 @@
 	all = []string{g.self}
 	for _, address := range g.Addresses() {
 		m := g.members[address]
-		quiet := now.Sub(m.heard)
-		if !g.isNear(m) || m.heard.IsZero() || m.stopping || quiet >= FailedAfter {
+		unheardFor := now.Sub(m.lastHeard)
+		if !g.isLocal(m) || m.lastHeard.IsZero() || m.stopping || unheardFor >= FailedAfter {
 			continue
 		}
 		all = append(all, address)
-		if quiet >= SuspectAfter {
+		if unheardFor >= SuspectAfter {
 			silent = append(silent, address)
 		}
 	}
@@ -285,9 +285,9 @@
 		if slices.Contains(g.seeds, address) {
 			continue
 		}
-		if now.Sub(latest(latest(m.heard, m.vouched), m.told)) > ForgetAfter {
+		if now.Sub(latest(latest(m.lastHeard, m.indirectlyHeard), m.learnedAt)) > ForgetAfter {
 			delete(g.members, address)
-			g.order = nil
+			g.sorted = nil
 		}
 	}
 }
@@ -302,30 +302,30 @@
 // Addresses returns all known members in a fixed order. The slice is shared and must not
 // be changed.
 func (g *Group) Addresses() []string {
-	if g.order == nil {
-		g.order = slices.Sorted(maps.Keys(g.members))
+	if g.sorted == nil {
+		g.sorted = slices.Sorted(maps.Keys(g.members))
 	}
-	return g.order
+	return g.sorted
 }
 
 // Alive returns the members heard of lately, in a fixed order.
 func (g *Group) Alive(now time.Time) []string {
-	return g.pick(func(m *member) bool { return m.isHeard(now) })
+	return g.filter(func(m *member) bool { return m.isAlive(now) })
 }
 
 // Local returns the members heard of lately that choose among the same servers as this
 // entry: they are told of each of its requests.
 func (g *Group) Local(now time.Time) []string {
-	return g.pick(func(m *member) bool { return g.isNear(m) && m.isHeard(now) })
+	return g.filter(func(m *member) bool { return g.isLocal(m) && m.isAlive(now) })
 }
 
 // KnownLocal returns the members that choose among the same servers as this entry, heard or not.
-func (g *Group) KnownLocal() []string { return g.pick(g.isNear) }
+func (g *Group) KnownLocal() []string { return g.filter(g.isLocal) }
 
 // RunningIn returns the members of a zone that are known to run, by their own word or by that of their
 // neighbours: all of the own zone, a few of another one.
 func (g *Group) RunningIn(now time.Time, zone string) []string {
-	return g.pick(func(m *member) bool { return m.zone == zone && m.runs(now) })
+	return g.filter(func(m *member) bool { return m.zone == zone && m.isRunning(now) })
 }
 
 // Zone returns the zone of a member; it is empty if it is not known.
@@ -336,17 +336,17 @@
 	return ""
 }
 
-func (m *member) isHeard(now time.Time) bool {
-	return !m.heard.IsZero() && now.Sub(m.heard) < AliveFor
+func (m *member) isAlive(now time.Time) bool {
+	return !m.lastHeard.IsZero() && now.Sub(m.lastHeard) < AliveFor
 }
 
-// runs says whether a member is heard, or a neighbour of it says that it is.
-func (m *member) runs(now time.Time) bool {
-	return m.isHeard(now) || !m.vouched.IsZero() && now.Sub(m.vouched) < IndirectAliveFor
+// isRunning says whether a member is heard, or a neighbour of it says that it is.
+func (m *member) isRunning(now time.Time) bool {
+	return m.isAlive(now) || !m.indirectlyHeard.IsZero() && now.Sub(m.indirectlyHeard) < IndirectAliveFor
 }
 
-// pick returns the addresses of the members for which a condition holds, in a fixed order.
-func (g *Group) pick(holds func(*member) bool) []string {
+// filter returns the addresses of the members for which a condition holds, in a fixed order.
+func (g *Group) filter(holds func(*member) bool) []string {
 	var picked []string
 	for _, address := range g.Addresses() {
 		if holds(g.members[address]) {
@@ -359,17 +359,17 @@
 // Size returns how many entries there may be, this one included: the most that
 // were ever known at once. Entries that can't be heard still spend their parts of
 // the shared budgets.
-func (g *Group) Size() int { return g.most + 1 }
+func (g *Group) Size() int { return g.maxSeen + 1 }
 
-// entries counts the other entries: those that are known, and those that another zone has told to
+// countOthers counts the other countOthers: those that are known, and those that another zone has told to
 // have if these are more.
-func (g *Group) entries() int {
+func (g *Group) countOthers() int {
 	count, known := len(g.members), map[string]int{}
 	for _, m := range g.members {
 		known[m.zone]++
 	}
-	for zone, far := range g.far {
-		count += max(far.entries-known[zone], 0)
+	for zone, far := range g.remote {
+		count += max(far.entryCount-known[zone], 0)
 	}
 	return count
 }
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -110,26 +110,26 @@
 // entries are told no list: lists that all know already were most of the bytes within a zone of hundreds.
 func TestAllAreToldOfAllByTurns(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
-	for _, address := range named("e", 28) {
-		g.Observe(start, zoned(address, "here"))
+	for _, address := range numberedNames("e", 28) {
+		g.Observe(start, heartbeatFrom(address, "here"))
 	}
 	had := map[string]bool{}
 	for turn := range 14 {
 		beat := g.HeartbeatTargets(start, turn)
-		require.Len(t, beat.WithMembers, listsPerHeartbeat)
+		require.Len(t, beat.WithMembers, memberListsPerHeartbeat)
 		require.Len(t, beat.Local, 28)
 		for _, address := range beat.WithMembers {
 			had[address] = true
 		}
 	}
 	require.Len(t, had, 28)
-	for _, address := range named("e", 27) {
-		agrees := zoned(address, "here")
+	for _, address := range numberedNames("e", 27) {
+		agrees := heartbeatFrom(address, "here")
 		agrees.Digest = g.Digest(start)
 		g.Observe(start, agrees)
 	}
 	for turn := range 14 {
-		require.Equal(t, named("e", 28)[27:], g.HeartbeatTargets(start, turn).WithMembers)
+		require.Equal(t, numberedNames("e", 28)[27:], g.HeartbeatTargets(start, turn).WithMembers)
 	}
 	beat := New("self:1", "here", "i", []string{"a:1"}).HeartbeatTargets(start, 7)
 	require.Equal(t, []string{"a:1"}, beat.WithMembers)
@@ -138,15 +138,15 @@
 // Two entries hear the same others, each the other one too, and must tell the same sum.
 func TestEntriesThatHearTheSameTellTheSameSum(t *testing.T) {
 	a, b := New("a:1", "here", "i", nil), New("b:1", "here", "i", nil)
-	for _, address := range named("e", 5) {
-		a.Observe(start, zoned(address, "here"))
-		b.Observe(start, zoned(address, "here"))
+	for _, address := range numberedNames("e", 5) {
+		a.Observe(start, heartbeatFrom(address, "here"))
+		b.Observe(start, heartbeatFrom(address, "here"))
 	}
 	require.NotEqual(t, a.Digest(start), b.Digest(start), "they have not heard each other")
-	a.Observe(start, zoned("b:1", "here"))
-	b.Observe(start, zoned("a:1", "here"))
+	a.Observe(start, heartbeatFrom("b:1", "here"))
+	b.Observe(start, heartbeatFrom("a:1", "here"))
 	require.Equal(t, a.Digest(start), b.Digest(start))
-	b.Observe(start, zoned("more:1", "here"))
+	b.Observe(start, heartbeatFrom("more:1", "here"))
 	require.NotEqual(t, a.Digest(start), b.Digest(start))
 }
 
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -15,7 +15,7 @@
 func (g *Group) NeedsMembers(now time.Time) bool {
 	return !g.joined || !slices.ContainsFunc(g.Addresses(), func(address string) bool {
 		m := g.members[address]
-		return m.zone == g.zone && m.isHeard(now)
+		return m.zone == g.zone && m.isAlive(now)
 	})
 }
 
@@ -31,45 +31,45 @@
 // MembersFor returns the entries that one is told which asks: those of its zone that run as far as is known here, and a few of
 // each other zone. Where all entries share all servers it is told of all.
 func (g *Group) MembersFor(now time.Time, zone string) []ZoneMembers {
-	told := g.Running(now)
+	members := g.Running(now)
 	if g.scope == scopeWhole {
-		return told
+		return members
 	}
-	for i := range told {
-		if told[i].Zone != zone {
-			told[i].Addresses = g.fewOf(told[i].Addresses)
+	for i := range members {
+		if members[i].Zone != zone {
+			members[i].Addresses = g.sample(members[i].Addresses)
 		}
 	}
-	return told
+	return members
 }
 
-// fewOf picks some of the entries of a zone, others at each entry.
-func (g *Group) fewOf(addresses []string) []string {
-	if len(addresses) <= farMembers {
+// sample picks some of the entries of a zone, others at each entry.
+func (g *Group) sample(addresses []string) []string {
+	if len(addresses) <= remoteMembersPerZone {
 		return addresses
 	}
-	from := int(rank(g.self, g.incarnation) % uint64(len(addresses)))
-	few := make([]string, 0, farMembers)
-	for i := range farMembers {
-		few = append(few, addresses[(from+i)%len(addresses)])
+	from := int(rendezvousHash(g.self, g.incarnation) % uint64(len(addresses)))
+	picked := make([]string, 0, remoteMembersPerZone)
+	for i := range remoteMembersPerZone {
+		picked = append(picked, addresses[(from+i)%len(addresses)])
 	}
-	return few
+	return picked
 }
 
 // Running returns the members that run, and this one, by zone.
 func (g *Group) Running(now time.Time) []ZoneMembers {
 	zones := map[string][]string{g.zone: {g.self}}
 	for _, address := range g.Addresses() {
-		if m := g.members[address]; g.mayTell(now, m) {
+		if m := g.members[address]; g.mayReport(now, m) {
 			zones[m.zone] = append(zones[m.zone], address)
 		}
 	}
-	return byZone(zones)
+	return sortedByZone(zones)
 }
 
-// mayTell says whether others are told that a member runs. Of its own zone an entry tells
+// mayReport says whether others are told that a member runs. Of its own zone an entry tells
 // only what it hears itself: neighbours that believed each other's word would keep a dead
 // entry alive between them for ever.
-func (g *Group) mayTell(now time.Time, m *member) bool {
-	return m.isHeard(now) || m.zone != g.zone && m.runs(now)
+func (g *Group) mayReport(now time.Time, m *member) bool {
+	return m.isAlive(now) || m.zone != g.zone && m.isRunning(now)
 }
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// store is the reverse of SetStore.
-func (m *Message) store() StoreState {
+// storeState is the reverse of SetStore.
+func (m *Message) storeState() StoreState {
 	return StoreState{Reads: m.StoreAge > 0, Lost: m.StoreLost, Age: time.Duration(max(m.StoreAge-1, 0)) * time.Millisecond}
 }
 
--- a/core/peering/newer.go
+++ b/core/peering/newer.go
@@ -12,13 +12,13 @@
 // as later, and a view of 140 servers is some 35 KB.
 func (g *Group) NewerPeer(now time.Time, version, revision uint64, servers bool) (string, bool) {
 	var best *member
-	within := g.Fresh(now)
+	localOnly := g.Fresh(now)
 	for _, address := range g.Alive(now) {
 		m := g.members[address]
-		if within && m.zone != g.zone || m.version <= version && (!servers || m.revision <= revision) {
+		if localOnly && m.zone != g.zone || m.version <= version && (!servers || m.revision <= revision) {
 			continue
 		}
-		if best == nil || g.preferred(m, best) > 0 {
+		if best == nil || g.comparePeers(m, best) > 0 {
 			best = m
 		}
 	}
@@ -28,8 +28,8 @@
 	return best.address, true
 }
 
-// preferred compares two members to fetch a view from.
-func (g *Group) preferred(a, b *member) int {
+// comparePeers compares two members to fetch a view from.
+func (g *Group) comparePeers(a, b *member) int {
 	near := func(m *member) int {
 		if m.zone == g.zone {
 			return 1
@@ -37,5 +37,5 @@
 		return 0
 	}
 	return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(a.version, b.version), cmp.Compare(a.revision, b.revision),
-		cmp.Compare(rank(g.self, a.address), rank(g.self, b.address)))
+		cmp.Compare(rendezvousHash(g.self, a.address), rendezvousHash(g.self, b.address)))
 }
--- a/core/peering/owners.go
+++ b/core/peering/owners.go
@@ -18,43 +18,43 @@
 	if len(entries) == 0 {
 		return owners
 	}
-	most := (len(servers) + len(entries) - 1) / len(entries)
-	taken := map[string]int{}
+	limit := (len(servers) + len(entries) - 1) / len(entries)
+	counts := map[string]int{}
 	ordered := slices.Clone(servers)
-	slices.SortFunc(ordered, func(a, b string) int { return cmp.Compare(rank(a, ""), rank(b, "")) })
+	slices.SortFunc(ordered, func(a, b string) int { return cmp.Compare(rendezvousHash(a, ""), rendezvousHash(b, "")) })
 	for _, server := range ordered {
 		owner, highest := "", uint64(0)
 		for _, entry := range entries {
-			if r := rank(entry, server); taken[entry] < most && (owner == "" || r > highest) {
+			if r := rendezvousHash(entry, server); counts[entry] < limit && (owner == "" || r > highest) {
 				owner, highest = entry, r
 			}
 		}
-		taken[owner]++
+		counts[owner]++
 		owners[server] = owner
 	}
 	return owners
 }
 
-func rank(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
+func rendezvousHash(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
 
 // Rank returns this entry's place among all that it knows by a hash of each and of a server; the first is 0.
 func (g *Group) Rank(server string) int {
-	place, own := 0, rank(g.self, server)
+	rank, own := 0, rendezvousHash(g.self, server)
 	for address := range g.members {
-		if rank(address, server) > own {
-			place++
+		if rendezvousHash(address, server) > own {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 // ServersOf returns the servers that some entries own.
 func ServersOf(entries []string, owners map[string]string) map[string]bool {
-	theirs := map[string]bool{}
+	owned := map[string]bool{}
 	for server, owner := range owners {
 		if slices.Contains(entries, owner) {
-			theirs[server] = true
+			owned[server] = true
 		}
 	}
-	return theirs
+	return owned
 }
--- a/core/peering/owners_test.go
+++ b/core/peering/owners_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func named(prefix string, count int) []string {
+func numberedNames(prefix string, count int) []string {
 	names := make([]string, count)
 	for i := range names {
 		names[i] = fmt.Sprintf("%s%d", prefix, i)
@@ -18,7 +18,7 @@
 // Two entries that can't hear each other compute the same owners, whatever the order
 // in which they know entries and servers, so that they meet nowhere.
 func TestOwnersAreTheSameEverywhere(t *testing.T) {
-	entries, servers := named("e", 3), named("s", 10)
+	entries, servers := numberedNames("e", 3), numberedNames("s", 10)
 	owners := Owners(entries, servers)
 	require.Len(t, owners, 10)
 	require.Equal(t, owners, Owners([]string{"e2", "e0", "e1"}, append(append([]string{}, servers[5:]...), servers[:5]...)))
@@ -28,10 +28,10 @@
 func TestServersAreOwnedInEvenNumbers(t *testing.T) {
 	for _, c := range []struct{ entries, servers, least, most int }{{5, 16, 1, 4}, {28, 54, 0, 2}, {3, 3, 1, 1}} {
 		counts := map[string]int{}
-		for _, owner := range Owners(named("e", c.entries), named("s", c.servers)) {
+		for _, owner := range Owners(numberedNames("e", c.entries), numberedNames("s", c.servers)) {
 			counts[owner]++
 		}
-		for _, entry := range named("e", c.entries) {
+		for _, entry := range numberedNames("e", c.entries) {
 			require.LessOrEqual(t, counts[entry], c.most)
 			require.GreaterOrEqual(t, counts[entry], c.least, "%s of %v", entry, c)
 		}
@@ -41,7 +41,7 @@
 // A server is replaced while two entries are cut off from each other. They hear of it
 // at different times; most servers keep their owners meanwhile.
 func TestAReplacedServerMovesFewOthers(t *testing.T) {
-	entries, servers := named("e", 5), named("s", 16)
+	entries, servers := numberedNames("e", 5), numberedNames("s", 16)
 	before := Owners(entries, servers)
 	after := Owners(entries, append(servers[1:], "new"))
 	moved := 0
--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -11,21 +11,21 @@
 	// readersPerZone is how many entries of a zone read the store. The next in rank takes over as soon
 	// as the first one is not heard or says that it can't reach the store.
 	readersPerZone = 1
-	// leastReadLimit is the shortest time in which a change has to be in force everywhere
+	// minSharedReadLimit is the shortest time in which a change has to be in force everywhere
 	// that leaves room to find out that readers are gone: SilentAfter, a heartbeat, and the
 	// reads. Below it every entry reads.
-	leastReadLimit = 2500 * time.Millisecond
+	minSharedReadLimit = 2500 * time.Millisecond
 	// staleShare is the part of that time after which knowledge is too old to rest on.
 	staleShare = 0.5
 	// readStagger lies between the entries of a zone that turn to the store because nothing
 	// fresh is heard: mostly the first one's success keeps the others from it.
 	readStagger = 50 * time.Millisecond
-	// beatSlack is what the knowledge of a reader that is well may be older than its pause and its
+	// heartbeatSlack is what the knowledge of a reader that is well may be older than its pause and its
 	// waiting call last, as others see it: a heartbeat's interval and its way.
-	beatSlack = HeartbeatInterval + 100*time.Millisecond
-	// pauseShare is the part of the limit of changes for which a reader waits after an answer before
+	heartbeatSlack = HeartbeatInterval + 100*time.Millisecond
+	// pollDelayShare is the part of the limit of changes for which a reader waits after an answer before
 	// it asks again, so that changes in quick succession come in one answer.
-	pauseShare = 0.1
+	pollDelayShare = 0.1
 )
 
 // StoreState is what an entry says of its reading of the platform's store.
@@ -49,7 +49,7 @@
 }
 
 // AllowsSharedReads says whether the limit leaves room for entries that don't read the store.
-func (o ReadOptions) AllowsSharedReads() bool { return o.Limit >= leastReadLimit }
+func (o ReadOptions) AllowsSharedReads() bool { return o.Limit >= minSharedReadLimit }
 
 // staleAfter is how old the freshest knowledge in a zone may be.
 func (o ReadOptions) staleAfter() time.Duration {
@@ -58,7 +58,7 @@
 
 // PollDelay is how long a reader waits after an answer of the store before it asks again.
 func (o ReadOptions) PollDelay() time.Duration {
-	return time.Duration(pauseShare * float64(o.Limit))
+	return time.Duration(pollDelayShare * float64(o.Limit))
 }
 
 // LongPollTimeout bounds how long a reader's call waits for changes: the answer shows the others that the
@@ -67,48 +67,48 @@
 	if !o.AllowsSharedReads() {
 		return longest
 	}
-	return min(longest, o.staleAfter()-beatSlack-o.PollDelay())
+	return min(longest, o.staleAfter()-heartbeatSlack-o.PollDelay())
 }
 
 // SetReadOptions sets this entry's own options and state.
-func (g *Group) SetReadOptions(options ReadOptions) { g.reading = options }
+func (g *Group) SetReadOptions(options ReadOptions) { g.readOptions = options }
 
 // ShouldRead says whether this entry has to read the store itself: it is the first of its zone
 // that can, or what the zone's readers know is too old. All entries compute the
 // same ranks from whom they hear; where they differ, more than needed read for a while.
 func (g *Group) ShouldRead(now time.Time, self StoreState) bool {
-	if !g.reading.AllowsSharedReads() {
+	if !g.readOptions.AllowsSharedReads() {
 		return true
 	}
-	place, others := g.place(now, canRead)
+	rank, others := g.rank(now, canRead)
 	if self.Lost {
 		// Others are preferred as long as one of them has fresh knowledge.
-		place = others + 1
+		rank = others + 1
 	}
-	if place < readersPerZone {
+	if rank < readersPerZone {
 		return true
 	}
-	return g.Staleness(now) > g.reading.staleAfter()+time.Duration(place-readersPerZone)*readStagger
+	return g.Staleness(now) > g.readOptions.staleAfter()+time.Duration(rank-readersPerZone)*readStagger
 }
 
 // canRead says whether a member can read the store for others. One that starts does so as soon as it reads: there may be
 // nothing yet with which to serve.
 func canRead(m *member) bool {
-	return !m.store.Lost && !m.stopping && (!m.serving.IsZero() || m.store.Reads)
+	return !m.store.Lost && !m.stopping && (!m.servingSince.IsZero() || m.store.Reads)
 }
 
-// noKnowledge is the staleness where no reader is heard.
-const noKnowledge = time.Hour
+// unknownStaleness is the staleness where no reader is heard.
+const unknownStaleness = time.Hour
 
 // staleness is how old a member's knowledge of the store is by now, as it told of it.
-func (m *member) staleness(now time.Time) time.Duration { return m.store.Age + now.Sub(m.heard) }
+func (m *member) staleness(now time.Time) time.Duration { return m.store.Age + now.Sub(m.lastHeard) }
 
 // Staleness is how old the freshest knowledge of the store is that another entry of this
 // zone has told of.
 func (g *Group) Staleness(now time.Time) time.Duration {
-	freshest := noKnowledge
+	freshest := unknownStaleness
 	for _, m := range g.members {
-		if m.zone == g.zone && m.store.Reads && !m.heard.IsZero() {
+		if m.zone == g.zone && m.store.Reads && !m.lastHeard.IsZero() {
 			freshest = min(freshest, m.staleness(now))
 		}
 	}
@@ -117,12 +117,12 @@
 
 // Fresh says whether another entry of the zone knows what the store holds.
 func (g *Group) Fresh(now time.Time) bool {
-	return g.reading.AllowsSharedReads() && g.Staleness(now) <= g.reading.staleAfter()
+	return g.readOptions.AllowsSharedReads() && g.Staleness(now) <= g.readOptions.staleAfter()
 }
 
-// withList returns the entries of this zone that know what a reader of the store knows that is up to date.
-func (g *Group) withList(now time.Time) []string {
-	if !g.reading.AllowsSharedReads() {
+// membersWithList returns the entries of this zone that know what a reader of the store knows that is up to date.
+func (g *Group) membersWithList(now time.Time) []string {
+	if !g.readOptions.AllowsSharedReads() {
 		return nil
 	}
 	version, revision, found := uint64(0), uint64(0), false
@@ -134,24 +134,24 @@
 	if !found {
 		return nil
 	}
-	return g.pick(func(m *member) bool { return g.hasList(now, m) && m.version >= version && m.revision >= revision })
+	return g.filter(func(m *member) bool { return g.hasList(now, m) && m.version >= version && m.revision >= revision })
 }
 
 // hasList says whether a neighbour can hand on a list of servers, and does not know itself that it is old.
 func (g *Group) hasList(now time.Time, m *member) bool {
-	if m.zone != g.zone || !m.isHeard(now) || m.stopping {
+	if m.zone != g.zone || !m.isAlive(now) || m.stopping {
 		return false
 	}
 	if m.store.Reads {
-		return m.staleness(now) <= g.reading.staleAfter()
+		return m.staleness(now) <= g.readOptions.staleAfter()
 	}
-	return !m.serving.IsZero()
+	return !m.servingSince.IsZero()
 }
 
 // ResetLiveness forgets when others were heard: this process was suspended, and its clock stood
 // still meanwhile. What they knew then counts as fresh no more.
 func (g *Group) ResetLiveness() {
 	for _, m := range g.members {
-		m.heard, m.vouched = time.Time{}, time.Time{}
+		m.lastHeard, m.indirectlyHeard = time.Time{}, time.Time{}
 	}
 }
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -19,7 +19,7 @@
 		groups = append(groups, g)
 	}
 	for i := range groups {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = capacity(i)
 		for j := range groups {
 			if i != j {
@@ -45,9 +45,9 @@
 	return readers
 }
 
-// tell makes all others hear of an entry's reading.
-func tell(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
-	m := zoned(entryAt(i), "here")
+// broadcast makes all others hear of an entry's reading.
+func broadcast(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
+	m := heartbeatFrom(entryAt(i), "here")
 	m.Capacity = capacity
 	m.SetStoreState(state)
 	for j, g := range groups {
@@ -64,7 +64,7 @@
 	require.Len(t, readersOf(groups, start), 8, "nobody has told yet that it reads")
 	first, places := 0, map[int]bool{}
 	for i, g := range groups {
-		place, others := g.place(start, canRead)
+		place, others := g.rank(start, canRead)
 		require.Equal(t, 7, others)
 		places[place] = true
 		if place == 0 {
@@ -72,27 +72,27 @@
 		}
 	}
 	require.Len(t, places, 8, "all compute the same ranks")
-	tell(groups, start, first, StoreState{Reads: true}, 1)
+	broadcast(groups, start, first, StoreState{Reads: true}, 1)
 	require.Equal(t, []int{first}, readersOf(groups, start))
 }
 
 // Readers hand whole configurations to the others; a small host's link would be full of it.
 func TestHostsWithFasterLinksRead(t *testing.T) {
 	groups := zoneGroups(6, func(i int) int { return map[int]int{2: 200, 4: 100}[i] + 20 })
-	tell(groups, start, 2, StoreState{Reads: true}, 220)
+	broadcast(groups, start, 2, StoreState{Reads: true}, 220)
 	require.Equal(t, []int{2}, readersOf(groups, start))
-	tell(groups, start, 2, StoreState{Reads: true, Lost: true}, 220)
+	broadcast(groups, start, 2, StoreState{Reads: true, Lost: true}, 220)
 	require.Equal(t, []int{2, 4}, readersOf(groups, start), "the one with the next faster link beside one that doesn't know yet that it has lost the store")
 }
 
 // A reader that can't reach the store says so, and the next one reads in its place.
 func TestAReaderWithoutTheStoreIsReplaced(t *testing.T) {
 	groups := zoneGroups(4, func(i int) int { return 10 - i })
-	tell(groups, start, 0, StoreState{Reads: true}, 10)
+	broadcast(groups, start, 0, StoreState{Reads: true}, 10)
 	require.Equal(t, []int{0}, readersOf(groups, start))
-	tell(groups, start, 0, StoreState{Reads: true, Lost: true}, 10)
+	broadcast(groups, start, 0, StoreState{Reads: true, Lost: true}, 10)
 	require.Equal(t, []int{0, 1}, readersOf(groups, start))
-	tell(groups, start, 1, StoreState{Reads: true}, 9)
+	broadcast(groups, start, 1, StoreState{Reads: true}, 9)
 	require.False(t, groups[0].ShouldRead(start, StoreState{Reads: true, Lost: true}), "the others know what the store holds")
 	require.True(t, groups[3].Fresh(start))
 }
@@ -103,10 +103,10 @@
 	groups := zoneGroups(5, func(i int) int { return 10 - i })
 	for at := time.Duration(0); at <= 2*time.Second; at += HeartbeatInterval {
 		if at == 0 {
-			tell(groups, start, 0, StoreState{Reads: true}, 10)
+			broadcast(groups, start, 0, StoreState{Reads: true}, 10)
 		}
 		for i := 1; i < 5; i++ {
-			tell(groups, start.Add(at), i, StoreState{}, 10-i)
+			broadcast(groups, start.Add(at), i, StoreState{}, 10-i)
 		}
 	}
 	require.False(t, groups[1].ShouldRead(start.Add(SuspectAfter-time.Millisecond), StoreState{}))
@@ -117,9 +117,9 @@
 // Below a bound there is no time to find out that readers are gone.
 func TestAShortLimitMakesAllRead(t *testing.T) {
 	groups := zoneGroups(4, sameCapacity)
-	tell(groups, start, 0, StoreState{Reads: true}, 1)
+	broadcast(groups, start, 0, StoreState{Reads: true}, 1)
 	for _, g := range groups {
-		g.SetReadOptions(ReadOptions{Capacity: 1, Limit: leastReadLimit - 1})
+		g.SetReadOptions(ReadOptions{Capacity: 1, Limit: minSharedReadLimit - 1})
 	}
 	require.Len(t, readersOf(groups, start), 4)
 	require.Equal(t, 2*time.Second, ReadOptions{Limit: 2 * time.Second}.LongPollTimeout(2*time.Second))
@@ -131,13 +131,13 @@
 	groups := zoneGroups(3, sameCapacity)
 	_, known := groups[0].ListSource(start)
 	require.False(t, known)
-	tell(groups, start, 1, StoreState{Reads: true, Age: time.Second}, 1)
-	tell(groups, start, 2, StoreState{Reads: true, Age: 2 * time.Second}, 1)
+	broadcast(groups, start, 1, StoreState{Reads: true, Age: time.Second}, 1)
+	broadcast(groups, start, 2, StoreState{Reads: true, Age: 2 * time.Second}, 1)
 	later := start.Add(400 * time.Millisecond)
 	source, known := groups[0].ListSource(later)
 	require.True(t, known)
 	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which goes before it by rank")
-	require.Equal(t, []string{entryAt(1)}, groups[0].withList(later))
+	require.Equal(t, []string{entryAt(1)}, groups[0].membersWithList(later))
 	_, known = groups[0].ListSource(start.Add(time.Second))
 	require.False(t, known)
 	groups[0].ResetLiveness()
@@ -152,7 +152,7 @@
 	readersThat := func(change func(*Message)) {
 		for reader := range startReaders {
 			for _, g := range groups {
-				m := zoned(entryAt(reader), "here")
+				m := heartbeatFrom(entryAt(reader), "here")
 				m.Capacity = 10 - reader
 				m.SetStoreState(StoreState{Reads: true})
 				change(&m)
@@ -179,10 +179,10 @@
 // change first. While the own zone's readers are well a view is fetched from there only.
 func TestAViewIsFetchedWithinTheZone(t *testing.T) {
 	g := zoneGroups(2, sameCapacity)[0]
-	far := zoned("far:1", "there")
+	far := heartbeatFrom("far:1", "there")
 	far.Version, far.Revision = 7, 70
 	g.Observe(start, far)
-	near := zoned(entryAt(1), "here")
+	near := heartbeatFrom(entryAt(1), "here")
 	near.Version, near.Revision = 1, 1
 	near.SetStoreState(StoreState{Reads: true})
 	g.Observe(start, near)
@@ -202,7 +202,7 @@
 type fault int
 
 const (
-	well      fault = iota
+	healthy   fault = iota
 	storeless       // its connection to the store is silent
 	killed          // it sends and reads nothing
 	mute            // nothing that it sends arrives
@@ -217,12 +217,12 @@
 // limit, though its reader, and those that come after it, may be dead, cut off one way or behind: callers would be served
 // by a configuration, or sent to a server, that is gone for seconds.
 func TestEveryEntryThatIsWellKnowsOfChangesInTime(t *testing.T) {
-	strikeAll(t, 4, faults)
-	strikeAll(t, 6, storeless+1)
+	playAllFaults(t, 4, faults)
+	playAllFaults(t, 6, storeless+1)
 }
 
-// strikeAll plays every combination of the first kinds of faults over some entries.
-func strikeAll(t *testing.T, entries int, kinds fault) {
+// playAllFaults plays every combination of the first kinds of faults over some entries.
+func playAllFaults(t *testing.T, entries int, kinds fault) {
 	combinations := 1
 	for range entries {
 		combinations *= int(kinds)
@@ -233,110 +233,110 @@
 			struck[i], rest = fault(rest%int(kinds)), rest/int(kinds)
 		}
 		for phase := range 5 {
-			z := newReadingZone(struck, time.Duration(phase)*ticks)
+			z := newSimulatedZone(struck, time.Duration(phase)*tick)
 			z.play(t, 7*time.Second)
 		}
 	}
 }
 
-// ticks is the step of a readingZone.
-const ticks = 100 * time.Millisecond
+// tick is the step of a readingZone.
+const tick = 100 * time.Millisecond
 
-// changing are the options of entries that have to know of changes within the limit.
-var changing = ReadOptions{Limit: changeLimit}
+// readOptions are the options of entries that have to know of changes within the limit.
+var readOptions = ReadOptions{Limit: changeLimit}
 
-// callLength is after how long a call on a silent connection is given up: its wait, and the
+// callTimeout is after how long a call on a silent connection is given up: its wait, and the
 // second that the store's client allows beyond it.
-func callLength() time.Duration { return changing.LongPollTimeout(2*time.Second) + time.Second }
+func callTimeout() time.Duration { return readOptions.LongPollTimeout(2*time.Second) + time.Second }
 
-// readingZone plays the entries of a zone and the store in steps of virtual time. The store
+// simulatedZone plays the entries of a zone and the store in steps of virtual time. The store
 // changes all the time; knows is up to when an entry has heard of all changes.
-type readingZone struct {
-	groups []*Group
-	struck []fault
-	from   time.Duration // when the faults strike
-	now    time.Duration
-	knows  []time.Duration
-	asked  []time.Duration // when the call under way is sent, if any, after the pause before it
-	asking []bool
-	reads  []bool
-	lost   []time.Duration
-	fine   []time.Duration
+type simulatedZone struct {
+	groups      []*Group
+	struck      []fault
+	faultsAt    time.Duration // when the faults strike
+	now         time.Duration
+	knownUpTo   []time.Duration
+	callAt      []time.Duration // when the call under way is sent, if any, after the pause before it
+	calling     []bool
+	reading     []bool
+	failedAt    []time.Duration
+	succeededAt []time.Duration
 }
 
-func newReadingZone(struck []fault, phase time.Duration) *readingZone {
+func newSimulatedZone(struck []fault, phase time.Duration) *simulatedZone {
 	count := len(struck)
-	return &readingZone{groups: zoneGroups(count, sameCapacity), struck: struck, from: 2*time.Second + phase, knows: make([]time.Duration, count),
-		asked: make([]time.Duration, count), asking: make([]bool, count), reads: make([]bool, count), lost: make([]time.Duration, count), fine: make([]time.Duration, count)}
+	return &simulatedZone{groups: zoneGroups(count, sameCapacity), struck: struck, faultsAt: 2*time.Second + phase, knownUpTo: make([]time.Duration, count),
+		callAt: make([]time.Duration, count), calling: make([]bool, count), reading: make([]bool, count), failedAt: make([]time.Duration, count), succeededAt: make([]time.Duration, count)}
 }
 
-func (z *readingZone) has(i int, f fault) bool {
-	if f == frozen && z.now > z.from+2*time.Second {
+func (z *simulatedZone) hasFault(i int, f fault) bool {
+	if f == frozen && z.now > z.faultsAt+2*time.Second {
 		return false
 	}
-	return z.now >= z.from && z.struck[i] == f
+	return z.now >= z.faultsAt && z.struck[i] == f
 }
 
-func (z *readingZone) stands(i int) bool { return z.has(i, killed) || z.has(i, frozen) }
+func (z *simulatedZone) isStopped(i int) bool { return z.hasFault(i, killed) || z.hasFault(i, frozen) }
 
-func (z *readingZone) play(t *testing.T, length time.Duration) {
-	for ; z.now < length; z.now += ticks {
+func (z *simulatedZone) play(t *testing.T, length time.Duration) {
+	for ; z.now < length; z.now += tick {
 		for i := range z.groups {
-			if !z.stands(i) {
+			if !z.isStopped(i) {
 				z.step(i)
 			}
 		}
 		for i := range z.groups {
-			if z.struck[i] == well {
-				require.LessOrEqual(t, z.now-z.knows[i], changeLimit, "entry %d at %v, faults %v, from %v", i, z.now, z.struck, z.from)
+			if z.struck[i] == healthy {
+				require.LessOrEqual(t, z.now-z.knownUpTo[i], changeLimit, "entry %d at %v, faults %v, from %v", i, z.now, z.struck, z.faultsAt)
 			}
 		}
 	}
 }
 
 // step lets an entry decide, read and tell.
-func (z *readingZone) step(i int) {
+func (z *simulatedZone) step(i int) {
 	state := z.state(i)
-	z.reads[i] = z.groups[i].ShouldRead(z.clock(), state)
+	z.reading[i] = z.groups[i].ShouldRead(z.clock(), state)
 	switch {
-	case !z.reads[i]:
-		z.asking[i] = false
-	case !z.asking[i]:
-		z.asking[i], z.asked[i] = true, z.now
-	case z.now < z.asked[i]:
+	case !z.reading[i]:
+		z.calling[i] = false
+	case !z.calling[i]:
+		z.calling[i], z.callAt[i] = true, z.now
+	case z.now < z.callAt[i]:
 		// It waits before its next call.
-	case !z.has(i, storeless):
+	case !z.hasFault(i, storeless):
 		// Its waiting call brings every change at once, and the next one comes after a pause.
-		z.knows[i], z.fine[i], z.asked[i], z.lost[i] = z.now, z.now, z.now+changing.PollDelay(), 0
+		z.knownUpTo[i], z.succeededAt[i], z.callAt[i], z.failedAt[i] = z.now, z.now, z.now+readOptions.PollDelay(), 0
 		z.tellChanges(i)
-	case z.now-z.asked[i] >= callLength():
-		z.lost[i], z.asking[i] = z.now, false
+	case z.now-z.callAt[i] >= callTimeout():
+		z.failedAt[i], z.calling[i] = z.now, false
 	}
 	if z.now%HeartbeatInterval == 0 {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = sameCapacity(i)
 		m.SetStoreState(z.state(i))
 		z.send(i, func(j int) { z.groups[j].Observe(z.clock(), m) })
 	}
 }
 
-func (z *readingZone) clock() time.Time { return start.Add(z.now) }
+func (z *simulatedZone) clock() time.Time { return start.Add(z.now) }
 
-func (z *readingZone) state(i int) StoreState {
-	return StoreState{Reads: z.reads[i] && z.fine[i] > 0, Lost: z.lost[i] > 0 && z.now-z.lost[i] < 3*time.Second, Age: z.now - z.fine[i]}
+func (z *simulatedZone) state(i int) StoreState {
+	return StoreState{Reads: z.reading[i] && z.succeededAt[i] > 0, Lost: z.failedAt[i] > 0 && z.now-z.failedAt[i] < 3*time.Second, Age: z.now - z.succeededAt[i]}
 }
 
 // tellChanges tells what a reader knows; an entry that is behind fetches it.
-func (z *readingZone) tellChanges(i int) {
-	z.send(i, func(j int) { z.knows[j] = max(z.knows[j], z.knows[i]) })
+func (z *simulatedZone) tellChanges(i int) {
+	z.send(i, func(j int) { z.knownUpTo[j] = max(z.knownUpTo[j], z.knownUpTo[i]) })
 }
 
-func (z *readingZone) send(i int, arrives func(j int)) {
-	if z.has(i, mute) {
+func (z *simulatedZone) send(i int, arrives func(j int)) {
+	if z.hasFault(i, mute) {
 		return
 	}
 	for j := range z.groups {
-		if j != i && !z.stands(j) && !z.has(j, deaf) {
+		if j != i && !z.isStopped(j) && !z.hasFault(j, deaf) {
 			arrives(j)
 		}
 	}
--- a/core/peering/records.go
+++ b/core/peering/records.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// recordsAgain lies between two times at which one member is told all records of requests under
+// recordsResendInterval lies between two times at which one member is told all records of requests under
 // which servers have ended. Two heartbeats: what was lost on its way is told again well within
 // the three seconds in which all entries have to know, and members that can't agree (each
 // remembers a bounded number) don't fill the links.
-const recordsAgain = 2 * HeartbeatInterval
+const recordsResendInterval = 2 * HeartbeatInterval
 
 // ShouldSendRecords says whether a member whose records differ is to be told all records now, and
 // notes that it is.
 func (g *Group) ShouldSendRecords(now time.Time, address string) bool {
 	m := g.members[address]
-	if m == nil || !m.recordsTold.IsZero() && now.Sub(m.recordsTold) < recordsAgain {
+	if m == nil || !m.recordsSentAt.IsZero() && now.Sub(m.recordsSentAt) < recordsResendInterval {
 		return false
 	}
-	m.recordsTold = now
+	m.recordsSentAt = now
 	return true
 }
--- a/core/peering/records_test.go
+++ b/core/peering/records_test.go
@@ -15,8 +15,8 @@
 	require.False(t, g.ShouldSendRecords(now, "b"), "an entry that is not known")
 	g.Observe(now, Message{From: "b", Incarnation: "1"})
 	require.True(t, g.ShouldSendRecords(now, "b"))
-	require.False(t, g.ShouldSendRecords(now.Add(recordsAgain-1), "b"))
-	require.True(t, g.ShouldSendRecords(now.Add(recordsAgain), "b"))
+	require.False(t, g.ShouldSendRecords(now.Add(recordsResendInterval-1), "b"))
+	require.True(t, g.ShouldSendRecords(now.Add(recordsResendInterval), "b"))
 }
 
 // An entry is told of requests under which servers end, stops, and is started again within a
--- a/core/peering/return.go
+++ b/core/peering/return.go
@@ -17,16 +17,16 @@
 }
 
 func (m *member) nextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
-	quiet := now.Sub(m.heard)
+	unheardFor := now.Sub(m.lastHeard)
 	switch {
-	case m.heard.IsZero():
+	case m.lastHeard.IsZero():
 		return 0, false
 	case m.stopping:
-		return max(m.stopped.Add(limit).Sub(now), 0) + RestartTime + BalancerDelay, quiet < limit+RestartTime
-	case m.serving.IsZero():
-		return RestartTime + BalancerDelay, quiet < AliveFor
+		return max(m.stoppedAt.Add(limit).Sub(now), 0) + RestartTime + BalancerDelay, unheardFor < limit+RestartTime
+	case m.servingSince.IsZero():
+		return RestartTime + BalancerDelay, unheardFor < AliveFor
 	}
-	return max(m.serving.Add(BalancerDelay).Sub(now), 0), quiet < AliveFor
+	return max(m.servingSince.Add(BalancerDelay).Sub(now), 0), unheardFor < AliveFor
 }
 
 const (
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// starting returns the groups of entries of one zone that all start, and have heard each other at the start.
-func starting(count int) []*Group {
+// startingGroups returns the groups of entries of one zone that all start, and have heard each other at the start.
+func startingGroups(count int) []*Group {
 	var groups []*Group
 	for i := range count {
 		g := New(entryAt(i), "here", "i", nil)
 		g.SetReadOptions(ReadOptions{Capacity: 100 - i, Limit: changeLimit})
 		for j := range count {
 			if j != i {
-				m := zoned(entryAt(j), "here")
+				m := heartbeatFrom(entryAt(j), "here")
 				m.Starting, m.Capacity = true, 100-j
 				g.Observe(start, m)
 			}
@@ -40,27 +40,27 @@
 // long as nobody is up to date: all of a zone of any size read after some turns, which grow with its logarithm.
 func TestWhereAllStartAtOnceFewReadTheStore(t *testing.T) {
 	for _, count := range []int{2, 10, 80} {
-		groups := starting(count)
+		groups := startingGroups(count)
 		require.Zero(t, firstReaders(groups, startWait-time.Millisecond))
 		require.Equal(t, startReaders, firstReaders(groups, startWait))
 		require.True(t, groups[0].ShouldReadAtStart(start.Add(startWait), startWait), "the one with the fastest link")
-		require.Equal(t, min(count, 2*startReaders), firstReaders(groups, startWait+readTurn))
-		require.Equal(t, min(count, 8*startReaders), firstReaders(groups, startWait+3*readTurn))
+		require.Equal(t, min(count, 2*startReaders), firstReaders(groups, startWait+readRound))
+		require.Equal(t, min(count, 8*startReaders), firstReaders(groups, startWait+3*readRound))
 	}
-	require.Equal(t, 80, firstReaders(starting(80), startWait+6*readTurn))
+	require.Equal(t, 80, firstReaders(startingGroups(80), startWait+6*readRound))
 }
 
 // While a zone starts its first entries know none of those that start after them. They wait until no more become known,
 // though not for ever.
 func TestTheRanksAreBelievedOnceNoMoreBecomeKnown(t *testing.T) {
-	g := starting(2)[0]
-	for at := 10 * time.Millisecond; at < quietLimit; at += 10 * time.Millisecond {
-		m := zoned(entryAt(100+int(at/time.Millisecond)), "here")
+	g := startingGroups(2)[0]
+	for at := 10 * time.Millisecond; at < settleLimit; at += 10 * time.Millisecond {
+		m := heartbeatFrom(entryAt(100+int(at/time.Millisecond)), "here")
 		m.Starting = true
 		g.Observe(start.Add(at), m)
 		require.False(t, g.ShouldReadAtStart(start.Add(at), at))
 	}
-	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit))
+	require.True(t, g.ShouldReadAtStart(start.Add(settleLimit), settleLimit))
 }
 
 // An entry is the only one of its zone, or the seeds are down: it waits a little for others, and reads.
@@ -68,13 +68,13 @@
 	g := New("self:1", "here", "i", []string{"seed:1"})
 	g.SetReadOptions(ReadOptions{Limit: changeLimit})
 	require.True(t, g.NoPeerHeard())
-	require.False(t, g.ShouldReadAtStart(start.Add(quietLimit-1), quietLimit-1))
-	require.True(t, g.ShouldReadAtStart(start.Add(quietLimit), quietLimit), "nobody answers")
-	g.Observe(start, zoned("seed:1", "there"))
+	require.False(t, g.ShouldReadAtStart(start.Add(settleLimit-1), settleLimit-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(settleLimit), settleLimit), "nobody answers")
+	g.Observe(start, heartbeatFrom("seed:1", "there"))
 	require.False(t, g.NoPeerHeard())
-	require.False(t, g.ShouldReadAtStart(start.Add(aloneWait-1), aloneWait-1))
-	require.True(t, g.ShouldReadAtStart(start.Add(aloneWait), aloneWait))
-	g.SetReadOptions(ReadOptions{Limit: leastReadLimit - 1})
+	require.False(t, g.ShouldReadAtStart(start.Add(localPeerWait-1), localPeerWait-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(localPeerWait), localPeerWait))
+	g.SetReadOptions(ReadOptions{Limit: minSharedReadLimit - 1})
 	require.True(t, g.ShouldReadAtStart(start, 0), "all read where changes have to be in force so soon")
 }
 
@@ -82,11 +82,11 @@
 // few do, and hand it on.
 func TestAListIsHandedOnFromFewToAll(t *testing.T) {
 	const count = 200
-	groups := starting(count)
+	groups := startingGroups(count)
 	has := make([]bool, count)
 	has[0], has[1] = true, true
 	announce := func(now time.Time, i int) {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i < startReaders {
 			m.SetStoreState(StoreState{Reads: true})
@@ -117,7 +117,7 @@
 			}
 		}
 		for source, takers := range taken {
-			require.LessOrEqual(t, takers, takersPerSource, "from %s", source)
+			require.LessOrEqual(t, takers, fetchersPerSource, "from %s", source)
 		}
 		now = now.Add(100 * time.Millisecond)
 		for _, i := range next {
@@ -131,10 +131,10 @@
 
 // The entry from which one is to take the list over is dead, or has an older one. It takes it from another one that has it.
 func TestAnEntryDoesNotWaitForASourceForEver(t *testing.T) {
-	groups := starting(40)
+	groups := startingGroups(40)
 	g := groups[39]
 	for _, i := range []int{0, 3} {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i == 0 {
 			m.SetStoreState(StoreState{Reads: true})
@@ -144,7 +144,7 @@
 	source, known := g.ListSource(start)
 	require.True(t, known)
 	require.Empty(t, source, "the fifth by rank does not have it yet")
-	_, level := sourcePlace(39)
-	source, _ = g.ListSource(start.Add(time.Duration(level) * readTurn))
+	_, level := sourceRank(39)
+	source, _ = g.ListSource(start.Add(time.Duration(level) * readRound))
 	require.Contains(t, []string{entryAt(0), entryAt(3)}, source)
 }
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -8,20 +8,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// zoned is a heartbeat of an entry in a zone.
-func zoned(from, zone string, members ...ZoneMembers) Message {
+// heartbeatFrom is a heartbeat of an entry in a zone.
+func heartbeatFrom(from, zone string, members ...ZoneMembers) Message {
 	m := message(from, "x", 1, 1)
 	m.Zone, m.Members = zone, members
 	return m
 }
 
-// dividedGroup returns the group of an entry "here" that knows some entries in each zone.
-func dividedGroup(zones []string, each int) *Group {
+// localRoutingGroup returns the group of an entry "here" that knows some entries in each zone.
+func localRoutingGroup(zones []string, each int) *Group {
 	g := New("self:1", "here", "i", nil)
 	g.SetLocalRouting(true)
 	for _, zone := range zones {
 		for i := range each {
-			g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, i), zone))
+			g.Observe(start, heartbeatFrom(fmt.Sprintf("%s-%d:1", zone, i), zone))
 		}
 	}
 	return g
@@ -30,7 +30,7 @@
 // Entries that keep to the servers of their zones tell each other of requests within the
 // zone. What an entry hears and sends must not grow with the entries of other zones.
 func TestNewsStayWithinAZone(t *testing.T) {
-	g := dividedGroup([]string{"here", "there", "yonder"}, 4)
+	g := localRoutingGroup([]string{"here", "there", "yonder"}, 4)
 	require.Equal(t, []string{"here-0:1", "here-1:1", "here-2:1", "here-3:1"}, g.Local(start))
 	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1", "there-3:1"}, g.RunningIn(start, "there"))
 	g.Observe(start, message("old:1", "x", 1, 1))
@@ -39,9 +39,9 @@
 	require.Len(t, g.Local(start), 13)
 }
 
-// farMessage is what an entry tells another zone at a turn.
-func farMessage(g *Group, turn int) Message {
-	m := zoned(g.self, g.zone)
+// remoteHeartbeat is what an entry tells another zone at a turn.
+func remoteHeartbeat(g *Group, turn int) Message {
+	m := heartbeatFrom(g.self, g.zone)
 	g.FillRemoteHeartbeat(start, turn, &m)
 	return m
 }
@@ -57,7 +57,7 @@
 			g.SetServing(true)
 			for _, zone := range []string{"there", "yonder"} {
 				for j := range 4 {
-					g.Observe(start, zoned(fmt.Sprintf("%s-%d:1", zone, j), zone))
+					g.Observe(start, heartbeatFrom(fmt.Sprintf("%s-%d:1", zone, j), zone))
 				}
 				g.Observe(start, Message{From: zone + "-0:1", Zone: zone, EntryCount: 4, Delegates: []string{zone + "-0:1", zone + "-2:1"}})
 			}
@@ -74,7 +74,7 @@
 			}
 		}
 		require.Equal(t, 2, speaking)
-		require.Equal(t, []string{entryAt(0), entryAt(1)}, farMessage(groups[count-1], 0).Delegates, "all know who they are")
+		require.Equal(t, []string{entryAt(0), entryAt(1)}, remoteHeartbeat(groups[count-1], 0).Delegates, "all know who they are")
 	}
 }
 
@@ -84,11 +84,11 @@
 	for _, g := range groups {
 		g.SetLocalRouting(true)
 		g.SetServing(true)
-		g.Observe(start, zoned("there-0:1", "there"))
+		g.Observe(start, heartbeatFrom("there-0:1", "there"))
 	}
 	later := start.Add(SuspectAfter)
-	tell(groups, later, 2, StoreState{}, 98)
-	tell(groups, later, 3, StoreState{}, 97)
+	broadcast(groups, later, 2, StoreState{}, 98)
+	broadcast(groups, later, 3, StoreState{}, 97)
 	require.Len(t, groups[2].HeartbeatTargets(later, 0).Remote, 1)
 	require.Len(t, groups[3].HeartbeatTargets(later, 0).Remote, 1)
 }
@@ -98,9 +98,9 @@
 	g := New("self:1", "here", "i", nil)
 	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.Equal(t, []string{"self:1"}, g.delegates(start))
-	g.Observe(start, zoned("a:1", "here"))
+	g.Observe(start, heartbeatFrom("a:1", "here"))
 	require.Equal(t, []string{"a:1", "self:1"}, g.delegates(start))
-	g.Observe(start, zoned("b:1", "here"))
+	g.Observe(start, heartbeatFrom("b:1", "here"))
 	require.ElementsMatch(t, []string{"a:1", "b:1"}, g.delegates(start))
 	g.SetServing(true)
 	require.Equal(t, "self:1", g.delegates(start)[0])
@@ -109,31 +109,31 @@
 // Of a zone of hundreds of entries that keep to their own servers an entry of another zone knows a few, and how many
 // there are: they share its budgets.
 func TestFewEntriesOfAnotherZoneAreKnown(t *testing.T) {
-	g := dividedGroup([]string{"here"}, 1)
-	g.Observe(start, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: named("there-", 200)}))
-	require.Len(t, g.RunningIn(start, "there"), farMembers)
-	require.Equal(t, farMembers+2, g.Size())
-	m := zoned("there-0:1", "there")
+	g := localRoutingGroup([]string{"here"}, 1)
+	g.Observe(start, heartbeatFrom("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: numberedNames("there-", 200)}))
+	require.Len(t, g.RunningIn(start, "there"), remoteMembersPerZone)
+	require.Equal(t, remoteMembersPerZone+2, g.Size())
+	m := heartbeatFrom("there-0:1", "there")
 	m.EntryCount = 200
 	g.Observe(start, m)
 	require.Equal(t, 202, g.Size())
 	m.EntryCount = 3
 	g.Observe(start, m)
 	require.Equal(t, 202, g.Size(), "those that can't be heard keep their parts")
-	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: named("here:", 100)}))
+	g.Observe(start, heartbeatFrom("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: numberedNames("here:", 100)}))
 	require.Len(t, g.RunningIn(start, "here"), 101, "all of the own zone are known")
 }
 
 // Entries that don't speak with other zones themselves hear from those that do where there is room, how many entries there
 // are, and whom to ask. What they have been handed they don't hand on: it would be told round for ever, older each time.
 func TestWhatOtherZonesTellIsHandedOn(t *testing.T) {
-	delegate, g := dividedGroup([]string{"here"}, 1), New("other:1", "here", "i", nil)
+	delegate, g := localRoutingGroup([]string{"here"}, 1), New("other:1", "here", "i", nil)
 	g.SetLocalRouting(true)
-	m := zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1"}})
+	m := heartbeatFrom("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1"}})
 	m.EntryCount, m.Delegates = 70, []string{"there-0:1", "there-1:1"}
 	m.SetSpareCapacity(0.6)
 	delegate.Observe(start, m)
-	handed := zoned("self:1", "here")
+	handed := heartbeatFrom("self:1", "here")
 	handed.ZoneSummaries = delegate.RemoteSummaries(start.Add(300*time.Millisecond), 0)
 	require.Len(t, handed.ZoneSummaries, 1)
 	later := start.Add(time.Second)
@@ -144,28 +144,28 @@
 	require.InDelta(t, 0.6, room, 0.001)
 	require.Equal(t, 72, g.Size())
 	require.Empty(t, g.RemoteSummaries(later, 0))
-	_, _, ok = g.MostSpareCapacity(later.Add(roomFresh))
+	_, _, ok = g.MostSpareCapacity(later.Add(spareCapacityTTL))
 	require.False(t, ok)
-	require.Empty(t, delegate.RemoteSummaries(start.Add(handedOnFor), 0), "it is old by now")
+	require.Empty(t, delegate.RemoteSummaries(start.Add(summaryTTL), 0), "it is old by now")
 	older := handed
 	older.ZoneSummaries[0].Age, older.ZoneSummaries[0].EntryCount = 2000, 1
 	g.Observe(later, older)
-	require.Equal(t, 70, g.far["there"].entries)
+	require.Equal(t, 70, g.remote["there"].entryCount)
 }
 
 // A delegate of another zone knows only an entry that speaks for nobody. It is told who does, or the zones would never
 // hear of each other.
 func TestWhoTakesAnEntryForADelegateIsToldWhoIs(t *testing.T) {
-	g := dividedGroup([]string{"here"}, 3)
-	far := zoned("there-0:1", "there")
+	g := localRoutingGroup([]string{"here"}, 3)
+	far := heartbeatFrom("there-0:1", "there")
 	require.False(t, g.ShouldRedirect(start, far), "no word to a delegate")
 	far.EntryCount = 10
 	require.True(t, g.ShouldRedirect(start, far))
-	require.Len(t, farMessage(g, 0).Delegates, delegatesPerZone)
+	require.Len(t, remoteHeartbeat(g, 0).Delegates, delegatesPerZone)
 	g.SetServing(true)
 	g.SetReadOptions(ReadOptions{Capacity: 1000})
 	require.False(t, g.ShouldRedirect(start, far), "it is one")
-	near := zoned("here-0:1", "here")
+	near := heartbeatFrom("here-0:1", "here")
 	near.EntryCount = 10
 	require.False(t, g.ShouldRedirect(start, near))
 }
@@ -174,7 +174,7 @@
 // told it twice a second that it lives.
 func TestWhoTakesAnEntryForANearOneIsToldItsZone(t *testing.T) {
 	g := New("seed:1", "there", "i", nil)
-	beat := zoned("self:1", "here")
+	beat := heartbeatFrom("self:1", "here")
 	require.False(t, g.MistakenForLocal(beat))
 	beat.Digest = 7
 	require.True(t, g.MistakenForLocal(beat))
@@ -187,7 +187,7 @@
 
 // What all entries of another zone have to know is told to two of them, which pass it on.
 func TestNewsCrossZonesThroughRelays(t *testing.T) {
-	g := dividedGroup([]string{"there"}, 10)
+	g := localRoutingGroup([]string{"there"}, 10)
 	require.Len(t, g.Relays(start, "there"), relaysPerZone)
 	g.Observe(start, Message{From: "there-0:1", Zone: "there", EntryCount: 10, Delegates: []string{"there-4:1", "there-7:1"}})
 	require.ElementsMatch(t, []string{"there-4:1", "there-7:1"}, g.Relays(start, "there"))
@@ -199,10 +199,10 @@
 // An entry of another zone is heard once in some seconds. Its neighbours say meanwhile that
 // it runs; when they stop saying so, it is taken for gone.
 func TestNeighboursVouchForAnEntry(t *testing.T) {
-	g := dividedGroup([]string{"there"}, 2)
+	g := localRoutingGroup([]string{"there"}, 2)
 	later := start.Add(AliveFor)
 	require.Empty(t, g.RunningIn(later, "there"))
-	g.Observe(later, zoned("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1", "there-2:1"}}))
+	g.Observe(later, heartbeatFrom("there-0:1", "there", ZoneMembers{Zone: "there", Addresses: []string{"there-0:1", "there-1:1", "there-2:1"}}))
 	require.Equal(t, []string{"there-0:1", "there-1:1", "there-2:1"}, g.RunningIn(later, "there"))
 	require.Equal(t, "there", g.Zone("there-2:1"))
 	require.Empty(t, g.RunningIn(later.Add(IndirectAliveFor), "there"))
@@ -212,9 +212,9 @@
 // A dead entry's neighbours must not keep it alive by each other's word: an entry tells of
 // its own zone only whom it hears itself.
 func TestADeadEntryIsNotKeptAliveByWord(t *testing.T) {
-	g := dividedGroup([]string{"here"}, 2)
+	g := localRoutingGroup([]string{"here"}, 2)
 	later := start.Add(AliveFor)
-	g.Observe(later, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}))
+	g.Observe(later, heartbeatFrom("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}))
 	told := []ZoneMembers{{Zone: "here", Addresses: []string{"self:1", "here-0:1"}}}
 	var m Message
 	g.FillRemoteHeartbeat(later, 0, &m)
@@ -227,12 +227,12 @@
 // Hundreds of entries don't fit one packet; a message that is cut into two on its way is lost
 // with either of them.
 func TestAListOfHundredsOfEntriesIsToldInParts(t *testing.T) {
-	members := []ZoneMembers{{Zone: "a", Addresses: named("10.100.200.1:5000", 70)}, {Zone: "b", Addresses: named("10.100.201.1:5000", 80)}}
+	members := []ZoneMembers{{Zone: "a", Addresses: numberedNames("10.100.200.1:5000", 70)}, {Zone: "b", Addresses: numberedNames("10.100.201.1:5000", 80)}}
 	parts := SplitMembers(members)
 	require.Len(t, parts, 3)
 	told := map[string]int{}
 	for _, part := range parts {
-		m := zoned("10.100.200.100:50000", "a")
+		m := heartbeatFrom("10.100.200.100:50000", "a")
 		m.Members = part
 		data, err := Encode(m)
 		require.NoError(t, err)
@@ -247,11 +247,11 @@
 
 // A zone of a hundred entries is told of a few at a time; within some turns all are.
 func TestNeighboursAreToldByTurns(t *testing.T) {
-	g := dividedGroup([]string{"here"}, 100)
+	g := localRoutingGroup([]string{"here"}, 100)
 	told := map[string]bool{}
 	for turn := range 20 {
-		neighbours := farMessage(g, turn).Members[0].Addresses
-		require.Len(t, neighbours, toldFar)
+		neighbours := remoteHeartbeat(g, turn).Members[0].Addresses
+		require.Len(t, neighbours, addressesPerRemoteHeartbeat)
 		for _, address := range neighbours {
 			told[address] = true
 		}
@@ -265,24 +265,24 @@
 func TestAStartingEntryFindsItsNeighboursThroughAnotherZone(t *testing.T) {
 	seed := New("there-0:1", "there", "i", nil)
 	seed.SetLocalRouting(true)
-	seed.Observe(start, zoned("here-0:1", "here"))
-	seed.Observe(start, zoned("here-1:1", "here"))
-	for _, address := range named("there-", 40) {
-		seed.Observe(start, zoned(address, "there"))
+	seed.Observe(start, heartbeatFrom("here-0:1", "here"))
+	seed.Observe(start, heartbeatFrom("here-1:1", "here"))
+	for _, address := range numberedNames("there-", 40) {
+		seed.Observe(start, heartbeatFrom(address, "there"))
 	}
 	g := New("self:1", "here", "i", []string{"there-0:1"})
 	require.Equal(t, []string{"there-0:1"}, g.HeartbeatTargets(start, 0).Local, "the seed's zone is not known yet")
 	require.True(t, g.NeedsMembers(start))
 	answer := seed.MembersFor(start, "here")
 	require.Equal(t, ZoneMembers{Zone: "here", Addresses: []string{"here-0:1", "here-1:1"}}, answer[0])
-	require.Len(t, answer[1].Addresses, farMembers, "a few of other zones")
-	sender := g.Observe(start, zoned("there-0:1", "there", answer...))
+	require.Len(t, answer[1].Addresses, remoteMembersPerZone, "a few of other zones")
+	sender := g.Observe(start, heartbeatFrom("there-0:1", "there", answer...))
 	require.Equal(t, []string{"here-0:1", "here-1:1"}, sender.Discovered)
 	asked, told := g.SplitGreetings(start, sender.Discovered)
 	require.Equal(t, []string{"here-0:1"}, asked)
 	require.Equal(t, []string{"here-1:1"}, told)
 	require.Equal(t, []string{"here-0:1", "here-1:1"}, g.HeartbeatTargets(start, 1).Local)
-	g.Observe(start, zoned("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
+	g.Observe(start, heartbeatFrom("here-0:1", "here", ZoneMembers{Zone: "here", Addresses: []string{"here-2:1"}}))
 	require.False(t, g.NeedsMembers(start), "a neighbour has told")
 	asked, told = g.SplitGreetings(start, []string{"here-2:1"})
 	require.Empty(t, asked)
@@ -293,10 +293,10 @@
 // All entries start at once, or share all servers: an answer holds all.
 func TestWhereAllShareAllServersAllAreTold(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
-	for _, address := range named("there-", 40) {
-		g.Observe(start, zoned(address, "there"))
+	for _, address := range numberedNames("there-", 40) {
+		g.Observe(start, heartbeatFrom(address, "there"))
 	}
-	require.Len(t, g.MembersFor(start, "here")[1].Addresses, farMembers, "it is not known yet who shares what")
+	require.Len(t, g.MembersFor(start, "here")[1].Addresses, remoteMembersPerZone, "it is not known yet who shares what")
 	g.SetLocalRouting(false)
 	require.Len(t, g.MembersFor(start, "here")[1].Addresses, 40)
 	require.Len(t, g.KnownLocal(), 40)
@@ -305,14 +305,14 @@
 // Entries of other zones are heard at long intervals. Taken for silent, their servers would
 // be avoided; taken for joined at each heartbeat, they would be sent all that is open.
 func TestAFarEntryIsNeitherSilentNorJoinsAnew(t *testing.T) {
-	g := dividedGroup([]string{"here", "there"}, 1)
+	g := localRoutingGroup([]string{"here", "there"}, 1)
 	later := start.Add(SuspectAfter + time.Second)
 	silent, all := g.Suspects(later)
 	require.Equal(t, []string{"here-0:1"}, silent)
 	require.Equal(t, []string{"self:1", "here-0:1"}, all)
-	require.Equal(t, Sender{}, g.Observe(later, zoned("there-0:1", "there")))
-	require.Equal(t, Sender{Joined: true, Local: true, NeedsSync: true}, g.Observe(later, zoned("here-0:1", "here")))
-	again := zoned("there-0:1", "there")
+	require.Equal(t, Sender{}, g.Observe(later, heartbeatFrom("there-0:1", "there")))
+	require.Equal(t, Sender{Joined: true, Local: true, NeedsSync: true}, g.Observe(later, heartbeatFrom("here-0:1", "here")))
+	again := heartbeatFrom("there-0:1", "there")
 	again.Incarnation = "y"
 	require.True(t, g.Observe(later, again).Restarted)
 }
