--- a/core/peering/beats.go
+++ b/core/peering/beats.go
@@ -20,12 +20,12 @@
 // HeartbeatTargets picks who hears the heartbeat of a turn; turns are counted.
 func (g *Group) HeartbeatTargets(now time.Time, turn int) HeartbeatTargets {
 	var targets HeartbeatTargets
-	sum := g.Digest(now)
+	digest := g.Digest(now)
 	targets.Local = g.KnownLocal()
 	for i := range targets.Local {
 		// Another one begins at each turn.
 		address := targets.Local[(i+turn*memberListsPerHeartbeat)%len(targets.Local)]
-		if len(targets.WithMembers) < memberListsPerHeartbeat && g.members[address].digest != sum {
+		if len(targets.WithMembers) < memberListsPerHeartbeat && g.members[address].digest != digest {
 			targets.WithMembers = append(targets.WithMembers, address)
 		}
 	}
@@ -50,13 +50,13 @@
 // Digest stands for the entries that Listed returns; it is not 0. Heartbeats tell it, and entries whose sums are the same
 // tell each other no lists: what they cost does not grow with the fleet once all know all.
 func (g *Group) Digest(now time.Time) uint32 {
-	sum := rendezvousHash(g.self, "")
+	sum64 := rendezvousHash(g.self, "")
 	for _, m := range g.members {
 		if g.isLocal(m) && m.zone != "" && m.isAlive(now) {
-			sum += m.hash()
+			sum64 += m.hash()
 		}
 	}
-	return max(uint32(sum^sum>>32), 1)
+	return max(uint32(sum64^sum64>>32), 1)
 }
 
 // hash is that of the address; it is made once.
--- a/core/peering/far.go
+++ b/core/peering/far.go
@@ -44,7 +44,7 @@
 
 // observeRemote takes in what a message tells of other zones; it returns false if it tells nothing.
 func (g *Group) observeRemote(now time.Time, m Message) bool {
-	if g.scope == scopeWhole {
+	if g.scope == scopeAll {
 		return false
 	}
 	isFar := m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone
@@ -105,7 +105,7 @@
 
 // knowsEnough says whether no more entries of a zone need to be known than are.
 func (g *Group) knowsEnough(now time.Time, zone string) bool {
-	if g.scope == scopeWhole || zone == "" || zone == g.zone {
+	if g.scope == scopeAll || zone == "" || zone == g.zone {
 		return false
 	}
 	count := 0
@@ -120,9 +120,9 @@
 // delegates returns the entries that speak for this zone: those with the fastest links, and while few take requests also
 // others. All entries compute the same from whom they hear; where they differ, more or fewer speak for a while.
 func (g *Group) delegates(now time.Time) []string {
-	delegates := g.topCandidates(now, g.serves, func(m *member) bool { return !m.servingSince.IsZero() })
+	delegates := g.topCandidates(now, g.serving, func(m *member) bool { return !m.servingSince.IsZero() })
 	if len(delegates) < delegatesPerZone {
-		delegates = append(delegates, g.topCandidates(now, !g.serves, func(m *member) bool { return m.servingSince.IsZero() && !m.stopping })...)
+		delegates = append(delegates, g.topCandidates(now, !g.serving, func(m *member) bool { return m.servingSince.IsZero() && !m.stopping })...)
 	}
 	return delegates[:min(len(delegates), delegatesPerZone)]
 }
@@ -189,13 +189,13 @@
 // ShouldRedirect says whether the sender of a message is to be told who speaks for this zone: it belongs to another one and has
 // taken this entry for one that does.
 func (g *Group) ShouldRedirect(now time.Time, m Message) bool {
-	return g.scope != scopeWhole && m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
+	return g.scope != scopeAll && m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
 // MistakenForLocal says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
 // heard this entry, as seeds that start later than others.
 func (g *Group) MistakenForLocal(m Message) bool {
-	return g.scope != scopeWhole && m.Digest != 0 && m.Zone != "" && m.Zone != g.zone
+	return g.scope != scopeAll && m.Digest != 0 && m.Zone != "" && m.Zone != g.zone
 }
 
 // FillRemoteHeartbeat completes a message to another zone: who runs in this one.
@@ -212,7 +212,7 @@
 
 // RemoteSummaries returns what entries of other zones have told this one lately, for near entries.
 func (g *Group) RemoteSummaries(now time.Time, turn int) []ZoneSummary {
-	if g.scope == scopeWhole {
+	if g.scope == scopeAll {
 		return nil
 	}
 	var summaries []ZoneSummary
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -79,7 +79,7 @@
 	// may not need.
 	scopeUnknown scope = iota
 	scopeZone          // those of the own zone
-	scopeWhole         // all
+	scopeAll           // all
 )
 
 // Group is the entries as one of them knows them. It is not safe for concurrent
@@ -101,8 +101,8 @@
 	// joined says that a neighbour has told the entries of the zone.
 	joined      bool
 	readOptions ReadOptions
-	// serves says that this entry takes requests.
-	serves bool
+	// serving says that this entry takes requests.
+	serving bool
 	// firstHeard is when any entry was heard for the first time, lastLocalFound when one of the own zone became known last.
 	firstHeard, lastLocalFound time.Time
 	// listKnownSince is since when somebody is known to have the list of servers.
@@ -142,7 +142,7 @@
 // SetLocalRouting sets whether entries keep to the servers of their own zone. Until it is called for the
 // first time that is not known.
 func (g *Group) SetLocalRouting(divided bool) {
-	g.scope = scopeWhole
+	g.scope = scopeAll
 	if divided {
 		g.scope = scopeZone
 	}
@@ -152,7 +152,7 @@
 func (g *Group) KnowsScope() bool { return g.scope != scopeUnknown }
 
 // SetServing sets whether this entry takes requests.
-func (g *Group) SetServing(serves bool) { g.serves = serves }
+func (g *Group) SetServing(serves bool) { g.serving = serves }
 
 // LocalRouting returns whether they do.
 func (g *Group) LocalRouting() bool { return g.scope == scopeZone }
@@ -160,7 +160,7 @@
 // isLocal says whether a member chooses among the same servers as this entry does. One
 // whose zone is not known may.
 func (g *Group) isLocal(m *member) bool {
-	return g.scope == scopeWhole || m.zone == "" || m.zone == g.zone
+	return g.scope == scopeAll || m.zone == "" || m.zone == g.zone
 }
 
 // Sender is what is known of the sender of a message.
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -32,7 +32,7 @@
 // each other zone. Where all entries share all servers it is told of all.
 func (g *Group) MembersFor(now time.Time, zone string) []ZoneMembers {
 	members := g.Running(now)
-	if g.scope == scopeWhole {
+	if g.scope == scopeAll {
 		return members
 	}
 	for i := range members {
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -208,7 +208,7 @@
 	mute            // nothing that it sends arrives
 	deaf            // nothing arrives at it
 	frozen          // it stands still for two seconds and then goes on
-	faults
+	faultKinds
 )
 
 // Every combination of faults strikes the entries of a zone at every phase of their
@@ -217,7 +217,7 @@
 // limit, though its reader, and those that come after it, may be dead, cut off one way or behind: callers would be served
 // by a configuration, or sent to a server, that is gone for seconds.
 func TestEveryEntryThatIsWellKnowsOfChangesInTime(t *testing.T) {
-	playAllFaults(t, 4, faults)
+	playAllFaults(t, 4, faultKinds)
 	playAllFaults(t, 6, storeless+1)
 }
 
@@ -228,12 +228,12 @@
 		combinations *= int(kinds)
 	}
 	for combination := range combinations {
-		struck := make([]fault, entries)
+		faultOf := make([]fault, entries)
 		for i, rest := 0, combination; i < entries; i++ {
-			struck[i], rest = fault(rest%int(kinds)), rest/int(kinds)
+			faultOf[i], rest = fault(rest%int(kinds)), rest/int(kinds)
 		}
 		for phase := range 5 {
-			z := newSimulatedZone(struck, time.Duration(phase)*tick)
+			z := newSimulatedZone(faultOf, time.Duration(phase)*tick)
 			z.play(t, 7*time.Second)
 		}
 	}
@@ -264,9 +264,9 @@
 	succeededAt []time.Duration
 }
 
-func newSimulatedZone(struck []fault, phase time.Duration) *simulatedZone {
-	count := len(struck)
-	return &simulatedZone{groups: zoneGroups(count, sameCapacity), struck: struck, faultsAt: 2*time.Second + phase, knownUpTo: make([]time.Duration, count),
+func newSimulatedZone(faults []fault, phase time.Duration) *simulatedZone {
+	count := len(faults)
+	return &simulatedZone{groups: zoneGroups(count, sameCapacity), struck: faults, faultsAt: 2*time.Second + phase, knownUpTo: make([]time.Duration, count),
 		callAt: make([]time.Duration, count), calling: make([]bool, count), reading: make([]bool, count), failedAt: make([]time.Duration, count), succeededAt: make([]time.Duration, count)}
 }
 
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -43,7 +43,7 @@
 	{"a small part of the budget suffices for a retry", "core/execution/budget.go", "max(part/2, leastBurst)", "part/2", execution, "TestASmallPart"},
 	{"a part of the budget shrinks", "entry/gateway/server.go", "		s.shareBudgets()\n", "", gatewayPkg, "TestABudgetIsDivided"},
 	{"unheard entries keep their part of the budget", "core/peering/group.go", "return g.maxSeen + 1", "return len(g.members) + 1", peeringPkg, "TestTheSize"},
-	{"news stay within a zone", "core/peering/group.go", "return g.scope == scopeWhole || m.zone == \"\" || m.zone == g.zone", "return true", peeringPkg, "TestNewsStay"},
+	{"news stay within a zone", "core/peering/group.go", "return g.scope == scopeAll || m.zone == \"\" || m.zone == g.zone", "return true", peeringPkg, "TestNewsStay"},
 	{"a dead entry is not kept alive by word", "core/peering/join.go", "m.isAlive(now) || m.zone != g.zone && m.isRunning(now)", "m.isRunning(now)", peeringPkg, "TestADeadEntryIsNotKept"},
 	{"neighbours vouch for an entry", "core/peering/group.go", "				known.indirectlyHeard = now\n", "", peeringPkg, "TestNeighboursVouch"},
 	{"a far entry is not silent", "core/peering/group.go", "!g.isLocal(m) || m.lastHeard.IsZero()", "m.lastHeard.IsZero()", peeringPkg, "TestAFarEntry"},
