--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -46,7 +46,7 @@
 	{"a leaving server gets nothing new", without("core/directory/directory.go", "		if !d.TakesWork(known) {\n			continue\n", "		if false {\n			continue\n")},
 	{sentOn, without("entry/gateway/run.go", "		if cause, is := e.quarantined(now); is {\n", "		if cause, is := e.quarantined(now); is && cause.Code == \"\" {\n")},
 	{sentOn, without("entry/gateway/ended.go", "		e.s.lookLater(request, choice)\n", "")},
-	{"only a request that ends servers is refused for it", without("core/quarantine/watch.go", "	AttributedCrashLimit = 3\n", "	AttributedCrashLimit = 1\n")},
+	{"only a request that ends servers is refused for it", without("core/quarantine/tracker.go", "	AttributedCrashLimit = 3\n", "	AttributedCrashLimit = 1\n")},
 	{"no process ends by itself", without("entry/gateway/settingsloop.go", "	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds", "	os.Exit(1)\n	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds")},
 }
 
