--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkCodec is the time of writing and of reading the news of a begin.
+// BenchmarkCodec measures encoding and decoding of a message with one dispatch.
 func BenchmarkCodec(b *testing.B) {
 	m := usualMessage()
 	data, err := Encode(m)
@@ -27,7 +27,7 @@
 	})
 }
 
-// BenchmarkHeard is the time of taking in who sent a message, among some entries.
+// BenchmarkHeard measures Observe by the number of known entries.
 func BenchmarkHeard(b *testing.B) {
 	for _, entries := range []int{5, 28, 68, 101} {
 		g := New("self:1", "here", "i", nil)
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkSend is the time of sending a message to one entry over loopback.
+// BenchmarkSend measures sending a message to one entry over loopback.
 func BenchmarkSend(b *testing.B) {
 	from, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, m, read)
 }
 
-// A message is sent to every entry with every begin, first event and end of a request.
+// A message goes to every entry at every dispatch, first event and end of a request.
 func TestAMessageIsShort(t *testing.T) {
 	data, err := Encode(usualMessage())
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 	require.Greater(t, len(text), 2*len(data))
 }
 
-// A datagram that is cut short or another program's must be refused, not half read.
+// A truncated datagram, or one of another program, must be refused rather than half read.
 func TestAMessageThatIsCutShortIsRefused(t *testing.T) {
 	data, err := Encode(usualMessage())
 	require.NoError(t, err)
@@ -50,17 +50,17 @@
 	require.Error(t, err)
 }
 
-// A newer entry sends a field that this one does not know.
-func TestUnknownFieldsArePassedOver(t *testing.T) {
+// A newer entry sends a field that this version does not know.
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	data := []byte{0xa2, 0x01, 0x61, 'a', 0x18, 0x63, 0x05} // {1: "a", 99: 5}
 	m, err := Decode(data)
 	require.NoError(t, err)
 	require.Equal(t, Message{From: "a"}, m)
 }
 
-// An entry with a fault tells of a request with memory at more servers than it names. Entries that
-// took it in ended, all of them, and again after their start: what is open is told anew.
-func TestAMessageThatMakesNoSenseIsRefused(t *testing.T) {
+// A faulty entry sends a request with memory reserved at more servers than it names. The entries that received it
+// crashed, and crashed again after their restart, as open requests are sent anew.
+func TestAnInvalidMessageIsRefused(t *testing.T) {
 	for name, breaks := range map[string]func(*Message){
 		"held at fewer servers": func(m *Message) { m.Dispatches[0].Held = []int64{1} },
 		"negative tokens":       func(m *Message) { m.Dispatches[0].PromptTokens = -1 },
@@ -79,11 +79,11 @@
 		data, err := Encode(m)
 		require.NoError(t, err)
 		_, err = Decode(data)
-		require.ErrorContains(t, err, "a message of another entry", name)
+		require.ErrorContains(t, err, "decode a message of another entry", name)
 	}
 }
 
-func TestMessagesAreToldApart(t *testing.T) {
+func TestKindsOfMessages(t *testing.T) {
 	for kind, m := range map[Kind]Message{
 		KindUpdate: {Update: &Update{}}, KindPlacement: {PlacementReply: &PlacementReply{}}, KindEvents: {Ended: []string{"a"}}, KindRemoteHeartbeat: {EntryCount: 3, Members: []ZoneMembers{{}}},
 		KindHeartbeat: {Digest: 1, WantsMembers: true}, KindList: {Members: []ZoneMembers{{}}}, KindMembersRequest: {WantsMembers: true}, KindGreeting: {},
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -1,20 +1,19 @@
-// Package peering lets entries tell each other what each of them does: the
-// requests it has sent to backend servers and how far they are, and how new its
-// view of the configuration and of the servers is. It is pure; the daemon carries
-// the messages. Messages may be lost, doubled and reordered.
+// Package peering implements the gossip between entries: the requests that each has sent to backend servers and
+// their progress, and the versions of its view of the configuration and of the servers. The package is pure; the
+// daemon carries the messages. Messages may be lost, duplicated and reordered.
 //
-// What it costs an entry, by file:
+// Cost per entry, by file:
 //
-//	group.go    who is known: one row an entry of the own zone, a few for each other zone
-//	join.go     an entry that starts asks one neighbour for its zone: the zone's entries, once
-//	beats.go    heartbeats and lists within the zone: the zone's entries, twice a second
-//	newer.go    whose view to fetch: the entries that are heard, when one is behind
-//	far.go      what zones tell each other: two entries of each zone do, whatever its size
-//	ranks.go    who does something for its zone: the zone's entries, at each heartbeat
-//	readers.go  who reads the platform's store: one of each zone
-//	start.go    who reads it first where all start at once: two of each zone, more with the time
-//	records.go  requests under which servers end: nothing while all know the same
-//	owners.go   servers while entries don't hear each other: entries times servers, while that lasts
+//	group.go       membership: one row for each entry of the own zone, a few for each other zone
+//	join.go        joining: a starting entry asks one local member for the entries of the zone, once
+//	heartbeats.go  heartbeats and member lists within the zone: its entries, twice a second
+//	newer.go       choice of the peer to fetch a view from: the live entries, while this one is behind
+//	remote.go      exchange between zones: by two entries of each zone, whatever its size
+//	ranks.go       election by rank: the entries of the zone, at each heartbeat
+//	readers.go     readers of the platform's store: one in each zone
+//	start.go       readers while all start at once: two in each zone, doubling over time
+//	records.go     records of requests that crash servers: nothing while all hold the same
+//	owners.go      server ownership while entries can't hear each other: entries times servers, meanwhile
 package peering
 
 import (
@@ -24,22 +23,21 @@
 	"time"
 )
 
-// Bounds of the exchange.
+// Intervals and timeouts of heartbeats and failure detection.
 const (
-	// HeartbeatInterval is how often an entry is told that this one lives, and
-	// how new its view is. Two a second let a daemon that the platform turns
-	// away take over a configuration from a peer within a second.
+	// HeartbeatInterval lies between two heartbeats, which also tell how new the sender's view is. At two a
+	// second, a daemon that the platform refuses can take over a configuration from a peer within a second.
 	HeartbeatInterval = 500 * time.Millisecond
-	// ForgetAfter is how long an entry that is not heard of is still sent to: a
-	// few times a partition of some ten seconds.
+	// ForgetAfter bounds how long messages are sent to an entry that is not heard: a few times a partition of
+	// some ten seconds.
 	ForgetAfter = 40 * time.Second
-	// AliveFor is how long an entry that is not heard of counts as running.
+	// AliveFor bounds how long an entry counts as running after its last message.
 	AliveFor = 3 * time.Second
-	// SuspectAfter is after how long an entry that is not heard of is taken for cut
-	// off: two heartbeats were missed. It still serves its callers, unheard.
+	// SuspectAfter is the silence after which an entry is taken for cut off: two heartbeats were missed. It may
+	// still serve its callers.
 	SuspectAfter = 1200 * time.Millisecond
-	// FailedAfter is how long that is believed; one that is silent for longer is more
-	// likely gone. Partitions and suspensions last some seconds.
+	// FailedAfter is the silence after which a suspect is taken for terminated. Partitions and suspensions last
+	// some seconds.
 	FailedAfter = 15 * time.Second
 )
 
@@ -48,76 +46,77 @@
 	incarnation string
 	// zone is empty until it is known.
 	zone      string
-	lastHeard time.Time // zero if it was only told of
-	learnedAt time.Time // when it became known
-	// indirectlyHeard is when an entry of its own zone last said that it runs.
+	lastHeard time.Time // zero if the member is known from others only
+	learnedAt time.Time
+	// indirectlyHeard is the time of the last report by a member of the same zone that this one runs.
 	indirectlyHeard time.Time
 	version         uint64
 	revision        uint64
 	stopping        bool
-	// stoppedAt is when it was first heard to stop.
+	// stoppedAt is the time of the first message that announced the stop.
 	stoppedAt time.Time
-	// servingSince is since when it is heard to take requests; zero while it does not.
+	// servingSince is the time since which the member accepts requests; zero while it does not.
 	servingSince time.Time
 	capacity     int
 	store        StoreState
-	// digest is what it last told of whom it hears, as in Message.
+	// digest is the last one received, as in Message.
 	digest uint32
-	// addressHash is the hash of its address, rankHash that of its address and this zone; 0 until they are made.
+	// addressHash is the hash of the address, rankHash that of the address and the zone. Both are cached; 0 until
+	// computed.
 	addressHash, rankHash uint64
-	// needsSync says that it has missed news and was not told of them yet.
+	// needsSync is set while the member has missed events and was not sent them again.
 	needsSync bool
-	// recordsSentAt is when it was last told all records of requests.
+	// recordsSentAt is the time at which the member was last sent all quarantine records.
 	recordsSentAt time.Time
 }
 
-// scope is among whose servers entries choose, and so whom they tell of requests.
+// scope says among the servers of which zones entries choose, and so which entries hear of their requests.
 type scope uint8
 
 const (
-	// scopeUnknown: no servers are known yet. Entries of other zones are told nothing that they
-	// may not need.
+	// scopeUnknown holds until servers are known. Entries of other zones then get nothing that they may not need.
 	scopeUnknown scope = iota
-	scopeZone          // those of the own zone
-	scopeAll           // all
+	scopeZone          // the own zone
+	scopeAll           // all zones
 )
 
-// Group is the entries as one of them knows them. It is not safe for concurrent
-// use.
+// Group is one entry's view of the other entries. It is not safe for concurrent use.
 type Group struct {
 	self        string
 	zone        string
 	incarnation string
 	seeds       []string
 	members     map[string]*member
-	// sorted is the addresses of members in their sorted; nil after a change.
+	// sorted caches the addresses of members in ascending order; nil after a change.
 	sorted []string
-	// remote is what is known of other zones, as long as entries keep to theirs.
+	// remote holds what other zones report of themselves while entries use the servers of their own zone only.
 	remote map[string]*remoteZone
-	// maxSeen is how many others were known at once, grown that more are known since that was counted.
+	// maxSeen is the highest number of other entries known at once; grown is set when members were added since it
+	// was computed.
 	maxSeen int
 	grown   bool
 	scope   scope
-	// joined says that a neighbour has told the entries of the zone.
+	// joined is set once a local member has sent the entries of the zone.
 	joined      bool
 	readOptions ReadOptions
-	// serving says that this entry takes requests.
+	// serving is set while this entry accepts requests.
 	serving bool
-	// firstHeard is when any entry was heard for the first time, lastLocalFound when one of the own zone became known last.
+	// firstHeard is the time of the first message of any entry, lastLocalFound the time at which the last member
+	// of the own zone became known.
 	firstHeard, lastLocalFound time.Time
-	// listKnownSince is since when somebody is known to have the list of servers.
+	// listKnownSince is the time since which some member is known to have the list of servers.
 	listKnownSince time.Time
 }
 
-// New returns a group of an entry in an availability zone that knows the seeds.
+// New returns the group of the entry at the address self, which knows the addresses of the seeds.
 func New(self, zone, incarnation string, seeds []string) *Group {
 	g := &Group{self: self, zone: zone, incarnation: incarnation, members: map[string]*member{}, remote: map[string]*remoteZone{}}
 	g.SetSeeds(time.Time{}, seeds)
 	return g
 }
 
-// SetSeeds takes in the addresses of the settings. They are kept for ever, since they
-// are the only way back after everyone else was forgotten.
+// SetSeeds replaces the seeds, the addresses in the settings. Seeds are never forgotten: they are the only way
+// back after all other members were.
 func (g *Group) SetSeeds(now time.Time, seeds []string) {
 	g.seeds = slices.Clone(seeds)
 	for _, address := range seeds {
@@ -139,45 +138,44 @@
 	return m
 }
 
-// SetLocalRouting sets whether entries keep to the servers of their own zone. Until it is called for the
-// first time that is not known.
-func (g *Group) SetLocalRouting(divided bool) {
+// SetLocalRouting sets whether entries use only the servers of their own zone. The scope is unknown until the
+// first call.
+func (g *Group) SetLocalRouting(local bool) {
 	g.scope = scopeAll
-	if divided {
+	if local {
 		g.scope = scopeZone
 	}
 }
 
-// KnowsScope says whether Divide was called.
+// KnowsScope reports whether SetLocalRouting was called.
 func (g *Group) KnowsScope() bool { return g.scope != scopeUnknown }
 
-// SetServing sets whether this entry takes requests.
-func (g *Group) SetServing(serves bool) { g.serving = serves }
+// SetServing sets whether this entry accepts requests.
+func (g *Group) SetServing(serving bool) { g.serving = serving }
 
-// LocalRouting returns whether they do.
+// LocalRouting reports whether entries use only the servers of their own zone.
 func (g *Group) LocalRouting() bool { return g.scope == scopeZone }
 
-// isLocal says whether a member chooses among the same servers as this entry does. One
-// whose zone is not known may.
+// isLocal reports whether a member may choose among the same servers as this entry. A member of unknown zone may.
 func (g *Group) isLocal(m *member) bool {
 	return g.scope == scopeAll || m.zone == "" || m.zone == g.zone
 }
 
-// Sender is what is known of the sender of a message.
+// Sender describes the sender of a message, as Observe found it.
 type Sender struct {
-	// Discovered are entries of this one's zone that were not known before.
+	// Discovered are the addresses of entries of the own zone that the message made known.
 	Discovered []string
-	// Restarted: it is another start than the one known; what that had begun is over.
+	// Restarted is set if the incarnation differs from the known one: the requests of the earlier one are over.
 	Restarted bool
-	// Joined: it is heard for the first time, or again after a silence. Local: it chooses among the same
-	// servers as this entry.
+	// Joined is set if the sender is heard for the first time, or again after a silence. Local is set if it may
+	// choose among the same servers as this entry.
 	Joined, Local bool
-	// NeedsSync, once: it joined and does not know what goes on here. For one that is
-	// starting this waits until it can book requests.
+	// NeedsSync is set once after a sender joined: it has to be sent the current state. For a starting sender it
+	// waits until that can record requests.
 	NeedsSync bool
 }
 
-// Observe takes in who sent a message.
+// Observe updates the sender of a message and the members that the message tells of.
 func (g *Group) Observe(now time.Time, m Message) Sender {
 	known := g.add(now, m.From)
 	if known == nil {
@@ -192,7 +190,7 @@
 	if first && known.zone == g.zone {
 		g.lastLocalFound = now
 	}
-	// Entries of other zones are heard by turns only, and book nothing of this one's.
+	// Remote members send heartbeats in turns only, and record no requests of this entry.
 	sender.Joined = first || sender.Restarted || sender.Local && now.Sub(known.lastHeard) >= SuspectAfter
 	known.needsSync = known.needsSync || sender.Joined
 	sender.NeedsSync = known.needsSync && !m.Starting && sender.Local
@@ -200,7 +198,7 @@
 		known.needsSync = false
 	}
 	if sender.Restarted {
-		known.recordsSentAt = time.Time{} // what the start before was told is lost
+		known.recordsSentAt = time.Time{} // a restart loses all records
 	}
 	known.update(now, m, sender.Restarted)
 	changed := g.observeRemote(now, m)
@@ -211,7 +209,7 @@
 	return sender
 }
 
-// update notes what a member says of itself.
+// update stores what a member reports of itself.
 func (known *member) update(now time.Time, m Message, restarted bool) {
 	if m.Stopping && (!known.stopping || restarted) {
 		known.stoppedAt = now
@@ -230,40 +228,40 @@
 	}
 }
 
-// learnMembers takes in the entries that a message tells of, and returns those of the own zone that were
-// not known. Of another zone only a few are kept.
+// learnMembers adds the entries that a message lists and returns the new ones of the own zone. Of another zone
+// only a few are kept.
 func (g *Group) learnMembers(now time.Time, m Message) []string {
-	var found []string
+	var discovered []string
 	for _, address := range m.KnownPeers {
 		g.add(now, address)
 	}
-	for _, told := range m.Members {
-		g.joined = g.joined || told.Zone == g.zone && m.Zone == g.zone
-		for _, address := range told.Addresses {
+	for _, listed := range m.Members {
+		g.joined = g.joined || listed.Zone == g.zone && m.Zone == g.zone
+		for _, address := range listed.Addresses {
 			isNew := g.members[address] == nil
-			if isNew && g.knowsEnough(now, told.Zone) {
+			if isNew && g.knowsEnough(now, listed.Zone) {
 				continue
 			}
 			known := g.add(now, address)
 			if known == nil {
 				continue
 			}
-			known.zone = cmp.Or(known.zone, told.Zone)
-			if told.Zone == m.Zone {
+			known.zone = cmp.Or(known.zone, listed.Zone)
+			if listed.Zone == m.Zone {
 				known.indirectlyHeard = now
 			}
 			if isNew && known.zone == g.zone {
-				found = append(found, address)
+				discovered = append(discovered, address)
 				g.lastLocalFound = now
 			}
 		}
 	}
-	return found
+	return discovered
 }
 
-// Suspects returns the near entries that are taken for cut off, and all near ones that take
-// part: this one and those that are heard of or cut off.
-func (g *Group) Suspects(now time.Time) (silent, all []string) {
+// Suspects returns the local members that are taken for cut off, and all local entries that take part: this one,
+// the live members and the suspects.
+func (g *Group) Suspects(now time.Time) (suspects, all []string) {
 	all = []string{g.self}
 	for _, address := range g.Addresses() {
 		m := g.members[address]
@@ -273,13 +271,13 @@
 		}
 		all = append(all, address)
 		if unheardFor >= SuspectAfter {
-			silent = append(silent, address)
+			suspects = append(suspects, address)
 		}
 	}
-	return silent, all
+	return suspects, all
 }
 
-// Forget drops the members that were not heard of for long.
+// Forget removes members that were not heard, directly or indirectly, for ForgetAfter.
 func (g *Group) Forget(now time.Time) {
 	for address, m := range g.members {
 		if slices.Contains(g.seeds, address) {
@@ -299,8 +297,7 @@
 	return b
 }
 
-// Addresses returns all known members in a fixed order. The slice is shared and must not
-// be changed.
+// Addresses returns the addresses of all known members, sorted. The slice is shared and must not be changed.
 func (g *Group) Addresses() []string {
 	if g.sorted == nil {
 		g.sorted = slices.Sorted(maps.Keys(g.members))
@@ -308,27 +305,27 @@
 	return g.sorted
 }
 
-// Alive returns the members heard of lately, in a fixed order.
+// Alive returns the members that were heard within AliveFor, sorted.
 func (g *Group) Alive(now time.Time) []string {
 	return g.filter(func(m *member) bool { return m.isAlive(now) })
 }
 
-// Local returns the members heard of lately that choose among the same servers as this
-// entry: they are told of each of its requests.
+// Local returns the live members that choose among the same servers as this entry, sorted. They are sent each of
+// its requests.
 func (g *Group) Local(now time.Time) []string {
 	return g.filter(func(m *member) bool { return g.isLocal(m) && m.isAlive(now) })
 }
 
-// KnownLocal returns the members that choose among the same servers as this entry, heard or not.
+// KnownLocal returns the members that choose among the same servers as this entry, live or not, sorted.
 func (g *Group) KnownLocal() []string { return g.filter(g.isLocal) }
 
-// RunningIn returns the members of a zone that are known to run, by their own word or by that of their
-// neighbours: all of the own zone, a few of another one.
+// RunningIn returns the members of a zone that run, by their own messages or those of their zone, sorted: all of
+// the own zone, a few of another one.
 func (g *Group) RunningIn(now time.Time, zone string) []string {
 	return g.filter(func(m *member) bool { return m.zone == zone && m.isRunning(now) })
 }
 
-// Zone returns the zone of a member; it is empty if it is not known.
+// Zone returns the zone of a member; empty if it is not known.
 func (g *Group) Zone(address string) string {
 	if m := g.members[address]; m != nil {
 		return m.zone
@@ -340,36 +337,35 @@
 	return !m.lastHeard.IsZero() && now.Sub(m.lastHeard) < AliveFor
 }
 
-// isRunning says whether a member is heard, or a neighbour of it says that it is.
+// isRunning reports whether a member is alive, or was reported alive by its zone within IndirectAliveFor.
 func (m *member) isRunning(now time.Time) bool {
 	return m.isAlive(now) || !m.indirectlyHeard.IsZero() && now.Sub(m.indirectlyHeard) < IndirectAliveFor
 }
 
-// filter returns the addresses of the members for which a condition holds, in a fixed order.
+// filter returns the addresses of the members that satisfy a condition, sorted.
 func (g *Group) filter(holds func(*member) bool) []string {
-	var picked []string
+	var matching []string
 	for _, address := range g.Addresses() {
 		if holds(g.members[address]) {
-			picked = append(picked, address)
+			matching = append(matching, address)
 		}
 	}
-	return picked
+	return matching
 }
 
-// Size returns how many entries there may be, this one included: the most that
-// were ever known at once. Entries that can't be heard still spend their parts of
-// the shared budgets.
+// Size returns the highest number of entries ever known at once, this one included. Entries that can't be heard
+// still spend their shares of common budgets.
 func (g *Group) Size() int { return g.maxSeen + 1 }
 
-// countOthers counts the other countOthers: those that are known, and those that another zone has told to
-// have if these are more.
+// countOthers counts the other entries: of each zone the known members, or the number that the zone reports if
+// that is higher.
 func (g *Group) countOthers() int {
 	count, known := len(g.members), map[string]int{}
 	for _, m := range g.members {
 		known[m.zone]++
 	}
-	for zone, far := range g.remote {
-		count += max(far.entryCount-known[zone], 0)
+	for zone, reported := range g.remote {
+		count += max(reported.entryCount-known[zone], 0)
 	}
 	return count
 }
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -23,9 +23,8 @@
 	require.Empty(t, g.Alive(start.Add(AliveFor)))
 }
 
-// The dispatches of an entry that was killed would stay booked and keep others off
-// servers that are free.
-func TestANewStartOfAnEntryIsNoticed(t *testing.T) {
+// The dispatches of a killed entry would stay recorded and keep others off idle servers.
+func TestARestartOfAnEntryIsNoticed(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	heard := func(incarnation string) bool {
 		return g.Observe(start, message("a:1", incarnation, 1, 1)).Restarted
@@ -35,8 +34,8 @@
 	require.True(t, heard("y"))
 }
 
-// An entry that was cut off, or has just started, knows nothing of what goes on here.
-func TestAnEntryThatMissedNewsIsNoticed(t *testing.T) {
+// An entry that was cut off or has just started lacks the current state.
+func TestAnEntryThatMissedEventsIsNoticed(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	missed := func(after time.Duration, incarnation string) bool {
 		return g.Observe(start.Add(after), message("a:1", incarnation, 1, 1)).NeedsSync
@@ -47,9 +46,8 @@
 	require.True(t, missed(HeartbeatInterval+SuspectAfter, "y"), "it has started anew")
 }
 
-// A starting entry knows no servers yet and could not book what it is told. It is told
-// when it can.
-func TestAStartingEntryIsToldWhenItCanBook(t *testing.T) {
+// A starting entry knows no servers and could not record requests. The state is sent to it once it can.
+func TestAStartingEntryIsSyncedOnceItServes(t *testing.T) {
 	g := New("c:1", "here", "i", nil)
 	starting := message("a:1", "x", 1, 1)
 	starting.Starting = true
@@ -59,28 +57,27 @@
 	require.Equal(t, Sender{Local: true}, g.Observe(start, message("a:1", "x", 1, 1)))
 }
 
-// An entry is cut off and goes on serving its callers. The others take it for silent
-// after two missed heartbeats, and for gone when it stays away; one that has said that
-// it stops is not missed.
-func TestSilentEntriesAreThoseThatMayStillServe(t *testing.T) {
+// An entry that is cut off goes on serving its callers. The others suspect it after two missed heartbeats and
+// take it for terminated later. An entry that announced its stop is not suspected.
+func TestSuspectsAreEntriesThatMayStillServe(t *testing.T) {
 	g := New("c:1", "here", "i", []string{"never:1"})
 	g.Observe(start, message("a:1", "x", 1, 1))
 	stopping := message("b:1", "x", 1, 1)
 	stopping.Stopping = true
 	g.Observe(start, stopping)
-	silent, all := g.Suspects(start.Add(SuspectAfter - time.Millisecond))
-	require.Empty(t, silent)
+	suspects, all := g.Suspects(start.Add(SuspectAfter - time.Millisecond))
+	require.Empty(t, suspects)
 	require.ElementsMatch(t, []string{"a:1", "c:1"}, all)
-	silent, all = g.Suspects(start.Add(SuspectAfter))
-	require.Equal(t, []string{"a:1"}, silent)
+	suspects, all = g.Suspects(start.Add(SuspectAfter))
+	require.Equal(t, []string{"a:1"}, suspects)
 	require.ElementsMatch(t, []string{"a:1", "c:1"}, all)
-	silent, all = g.Suspects(start.Add(FailedAfter))
-	require.Empty(t, silent)
+	suspects, all = g.Suspects(start.Add(FailedAfter))
+	require.Empty(t, suspects)
 	require.Equal(t, []string{"c:1"}, all)
 }
 
-// An entry that can't be heard still spends its part of the shared budget of
-// retries; forgetting it must not raise the parts of the others.
+// An entry that can't be heard still spends its share of the common retry budget; forgetting it must not raise
+// the others' shares.
 func TestTheSizeNeverShrinks(t *testing.T) {
 	g := New("c:1", "here", "i", []string{"a:1"})
 	g.Observe(start, message("b:1", "x", 1, 1))
@@ -106,23 +103,23 @@
 	require.False(t, ok, "nobody is heard")
 }
 
-// The list of all entries goes to a few at a time; within some heartbeats each has had it. Those that hear the same
-// entries are told no list: lists that all know already were most of the bytes within a zone of hundreds.
-func TestAllAreToldOfAllByTurns(t *testing.T) {
+// The full member list goes to a few entries at a time; within some heartbeats each has had it. Entries with an
+// equal digest get no list: lists that all know already were most of the bytes within a zone of hundreds.
+func TestMemberListsReachAllInTurns(t *testing.T) {
 	g := New("self:1", "here", "i", nil)
 	for _, address := range numberedNames("e", 28) {
 		g.Observe(start, heartbeatFrom(address, "here"))
 	}
-	had := map[string]bool{}
+	sent := map[string]bool{}
 	for turn := range 14 {
-		beat := g.HeartbeatTargets(start, turn)
-		require.Len(t, beat.WithMembers, memberListsPerHeartbeat)
-		require.Len(t, beat.Local, 28)
-		for _, address := range beat.WithMembers {
-			had[address] = true
+		targets := g.HeartbeatTargets(start, turn)
+		require.Len(t, targets.WithMembers, memberListsPerHeartbeat)
+		require.Len(t, targets.Local, 28)
+		for _, address := range targets.WithMembers {
+			sent[address] = true
 		}
 	}
-	require.Len(t, had, 28)
+	require.Len(t, sent, 28)
 	for _, address := range numberedNames("e", 27) {
 		agrees := heartbeatFrom(address, "here")
 		agrees.Digest = g.Digest(start)
@@ -131,12 +128,12 @@
 	for turn := range 14 {
 		require.Equal(t, numberedNames("e", 28)[27:], g.HeartbeatTargets(start, turn).WithMembers)
 	}
-	beat := New("self:1", "here", "i", []string{"a:1"}).HeartbeatTargets(start, 7)
-	require.Equal(t, []string{"a:1"}, beat.WithMembers)
+	targets := New("self:1", "here", "i", []string{"a:1"}).HeartbeatTargets(start, 7)
+	require.Equal(t, []string{"a:1"}, targets.WithMembers)
 }
 
-// Two entries hear the same others, each the other one too, and must tell the same sum.
-func TestEntriesThatHearTheSameTellTheSameSum(t *testing.T) {
+// Two entries that hear the same others, and each other, must compute the same digest.
+func TestEntriesThatHearTheSameHaveEqualDigests(t *testing.T) {
 	a, b := New("a:1", "here", "i", nil), New("b:1", "here", "i", nil)
 	for _, address := range numberedNames("e", 5) {
 		a.Observe(start, heartbeatFrom(address, "here"))
@@ -150,9 +147,8 @@
 	require.NotEqual(t, a.Digest(start), b.Digest(start))
 }
 
-// Entries are restarted in turn, faster than they drain: all are stopping at the same time.
-// A caller that is refused by one would meet the next refusal elsewhere; it has to come
-// back when the first of them is there again.
+// Entries are restarted in turn faster than they drain, so that all are stopping at once. A caller that one
+// refuses would be refused by the next as well; it has to come back when the first of them serves again.
 func TestWhenTheNextEntryServes(t *testing.T) {
 	const limit = 8 * time.Second
 	stopping := func(from string) Message {
--- a/core/peering/heartbeats.go
+++ b/core/peering/heartbeats.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// memberListsPerHeartbeat is how many near entries a heartbeat tells of all others, of those that hear others than this one does.
+// memberListsPerHeartbeat bounds how many local members, of those whose digest differs, get the member list at
+// each heartbeat.
 const memberListsPerHeartbeat = 2
 
-// HeartbeatTargets is who is told that this entry lives.
+// HeartbeatTargets are the recipients of one round of heartbeats.
 type HeartbeatTargets struct {
-	// Local are the entries that this one tells of requests, WithMembers those of them that are told of all others as well.
+	// Local are the members that choose among the same servers; those in WithMembers also get the member list.
 	Local, WithMembers []string
-	// Remote are entries of other zones, one of each. They are told of this entry's zone.
+	// Remote holds one member of each other zone. They get the state of this entry's zone.
 	Remote []string
 }
 
-// HeartbeatTargets picks who hears the heartbeat of a turn; turns are counted.
+// HeartbeatTargets returns the recipients of the heartbeats of a turn. Turns are numbered.
 func (g *Group) HeartbeatTargets(now time.Time, turn int) HeartbeatTargets {
 	var targets HeartbeatTargets
 	digest := g.Digest(now)
 	targets.Local = g.KnownLocal()
 	for i := range targets.Local {
-		// Another one begins at each turn.
+		// The order rotates with the turns.
 		address := targets.Local[(i+turn*memberListsPerHeartbeat)%len(targets.Local)]
 		if len(targets.WithMembers) < memberListsPerHeartbeat && g.members[address].digest != digest {
 			targets.WithMembers = append(targets.WithMembers, address)
@@ -35,8 +36,7 @@
 	return targets
 }
 
-// LocalMembers returns the entries that a near one is told of by turns: those that this one tells of each request, itself among
-// them.
+// LocalMembers returns the live local entries, this one included, by zone: the content of a member list.
 func (g *Group) LocalMembers(now time.Time) []ZoneMembers {
 	zones := map[string][]string{g.zone: {g.self}}
 	for _, address := range g.Local(now) {
@@ -47,8 +47,8 @@
 	return sortedByZone(zones)
 }
 
-// Digest stands for the entries that Listed returns; it is not 0. Heartbeats tell it, and entries whose sums are the same
-// tell each other no lists: what they cost does not grow with the fleet once all know all.
+// Digest returns a hash, never 0, of the entries in LocalMembers. Heartbeats carry it, and entries with equal
+// digests exchange no lists: once all know all, the cost does not grow with the fleet.
 func (g *Group) Digest(now time.Time) uint32 {
 	sum64 := rendezvousHash(g.self, "")
 	for _, m := range g.members {
@@ -59,7 +59,7 @@
 	return max(uint32(sum64^sum64>>32), 1)
 }
 
-// hash is that of the address; it is made once.
+// hash returns the hash of the member's address.
 func (m *member) hash() uint64 {
 	if m.addressHash == 0 {
 		m.addressHash = rendezvousHash(m.address, "")
@@ -67,6 +67,7 @@
 	return m.addressHash
 }
 
+// sortedByZone converts a map of addresses by zone to a list in the order of the zones.
 func sortedByZone(zones map[string][]string) []ZoneMembers {
 	members := make([]ZoneMembers, 0, len(zones))
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
@@ -75,11 +76,11 @@
 	return members
 }
 
-// maxAddressesPerMessage bounds the addresses of a message so that it stays within one packet of a usual
-// link (1,500 bytes); an address takes some 16 bytes.
+// maxAddressesPerMessage keeps a message within one packet of a usual link (1,500 bytes); an address takes some
+// 16 bytes.
 const maxAddressesPerMessage = 60
 
-// SplitMembers divides a list of entries into parts that fit a message.
+// SplitMembers splits a member list into parts that each fit a message.
 func SplitMembers(members []ZoneMembers) [][]ZoneMembers {
 	var parts [][]ZoneMembers
 	room := 0
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Joining. An entry that starts knows the seeds, which may be of other zones, stale or down. It asks them for the entries
-// of its own zone, greets those, and asks the first of them once more, since only a neighbour knows all. An entry that is
-// greeted greets back, and no more: where all start at once each pair meets, so that whole lists told at each meeting are
-// entries times entries times list. Lists by turns (beats.go) mend what was lost.
+// A starting entry knows the seeds, which may belong to other zones, be stale or be down. It asks them for the
+// entries of its own zone, greets those, and asks the first of them again, since only a local member knows all. A
+// greeted entry greets back and sends nothing else: when all start at once every pair meets, and full lists at
+// each meeting would cost entries times entries times list length. The lists sent in turns (heartbeats.go) repair
+// losses.
 
-// NeedsMembers says whether this entry asks whom it tells that it lives for the entries of its zone: as long as no neighbour has
-// told them, and while it hears none.
+// NeedsMembers reports whether this entry asks for the entries of its zone with its heartbeats: until a local
+// member has sent them, and while it hears none.
 func (g *Group) NeedsMembers(now time.Time) bool {
 	return !g.joined || !slices.ContainsFunc(g.Addresses(), func(address string) bool {
 		m := g.members[address]
@@ -19,17 +20,17 @@
 	})
 }
 
-// SplitGreetings returns which of some entries that were just found are asked for the entries of this zone; the others are only
-// told that this one is there.
-func (g *Group) SplitGreetings(now time.Time, found []string) (asked, told []string) {
+// SplitGreetings divides newly discovered entries into those that are asked for the entries of this zone and
+// those that are only greeted.
+func (g *Group) SplitGreetings(now time.Time, found []string) (asked, greeted []string) {
 	if len(found) > 0 && g.NeedsMembers(now) {
 		return found[:1], found[1:]
 	}
 	return nil, found
 }
 
-// MembersFor returns the entries that one is told which asks: those of its zone that run as far as is known here, and a few of
-// each other zone. Where all entries share all servers it is told of all.
+// MembersFor returns the reply to an entry of a zone that asks for members: the running entries of its zone, and
+// a few of each other zone. Where all entries use all servers the reply holds all.
 func (g *Group) MembersFor(now time.Time, zone string) []ZoneMembers {
 	members := g.Running(now)
 	if g.scope == scopeAll {
@@ -43,7 +44,7 @@
 	return members
 }
 
-// sample picks some of the entries of a zone, others at each entry.
+// sample returns some of the entries of a zone, a different selection at each entry.
 func (g *Group) sample(addresses []string) []string {
 	if len(addresses) <= remoteMembersPerZone {
 		return addresses
@@ -56,7 +57,7 @@
 	return picked
 }
 
-// Running returns the members that run, and this one, by zone.
+// Running returns the running members and this entry, by zone.
 func (g *Group) Running(now time.Time) []ZoneMembers {
 	zones := map[string][]string{g.zone: {g.self}}
 	for _, address := range g.Addresses() {
@@ -67,9 +68,9 @@
 	return sortedByZone(zones)
 }
 
-// mayReport says whether others are told that a member runs. Of its own zone an entry tells
-// only what it hears itself: neighbours that believed each other's word would keep a dead
-// entry alive between them for ever.
+// mayReport reports whether others are told that a member runs. Of its own zone an entry reports only what it
+// hears itself: members that relied on each other's reports would keep a terminated entry alive between them for
+// ever.
 func (g *Group) mayReport(now time.Time, m *member) bool {
 	return m.isAlive(now) || m.zone != g.zone && m.isRunning(now)
 }
--- a/core/peering/kind.go
+++ b/core/peering/kind.go
@@ -1,6 +1,6 @@
 package peering
 
-// Kind is what a message is for. It is told from what the message holds, and serves for counting only.
+// Kind classifies messages for metrics. It is derived from the content.
 type Kind string
 
 // Kinds of messages.
@@ -16,7 +16,7 @@
 	KindPlacement       Kind = "place"
 )
 
-// Kind returns what the message is for.
+// Kind returns the kind of the message.
 func (m *Message) Kind() Kind {
 	switch {
 	case m.Update != nil:
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -9,97 +9,96 @@
 	"arbutusdeck/core/quarantine"
 )
 
-// Message is what one entry sends to another. Fields are numbered for the wire, see Encode.
+// Message is sent from one entry to another. Fields are numbered for the wire, see Encode.
 type Message struct {
-	// From is the sender's peer address, Incarnation its start.
+	// From is the sender's peer address; Incarnation names its current start.
 	From        string `cbor:"1,keyasint,omitempty"`
 	Incarnation string `cbor:"2,keyasint,omitempty"`
-	// KnownPeers are the addresses of other entries whose zones are not told.
+	// KnownPeers are addresses of other entries whose zones are not given.
 	KnownPeers []string `cbor:"3,keyasint,omitempty"`
-	// Version is the sender's configuration, Revision the platform's revision
-	// up to which its list of servers is complete.
+	// Version is the sender's configuration version; Revision is the platform revision up to which its list of
+	// servers is complete.
 	Version  uint64 `cbor:"4,keyasint,omitempty"`
 	Revision uint64 `cbor:"5,keyasint,omitempty"`
-	// Dispatches, First and Ended are requests that were sent to a server, have
-	// their first event, and are over.
+	// Dispatches are requests sent to a server; FirstEvents and Ended are the IDs of requests whose first event
+	// has come and of those that are over.
 	Dispatches  []placement.Dispatch `cbor:"6,keyasint,omitempty"`
 	FirstEvents []string             `cbor:"7,keyasint,omitempty"`
 	Ended       []string             `cbor:"8,keyasint,omitempty"`
-	// Unreachable are servers, by the names of their starts, that take no requests.
+	// Unreachable are the incarnations of servers that accept no requests.
 	Unreachable []string `cbor:"20,keyasint,omitempty"`
-	// Stopping says that the sender leaves.
+	// Stopping is set while the sender shuts down.
 	Stopping bool `cbor:"9,keyasint,omitempty"`
-	// Starting says that the sender knows no backend servers yet; it could not
-	// book a request.
+	// Starting is set while the sender knows no backend servers yet and could not record a request.
 	Starting bool `cbor:"10,keyasint,omitempty"`
 	// Zone is the sender's availability zone.
 	Zone string `cbor:"11,keyasint,omitempty"`
-	// Capacity is how well the sender's host is suited to read the store for others.
+	// Capacity rates the sender's host as a store reader for others; the highest is preferred.
 	Capacity int `cbor:"13,keyasint,omitempty"`
-	// StoreAge is the age in milliseconds, plus one, of the last answer of the store to a
-	// sender that reads it; 0 if it doesn't. StoreLost says that its last call failed.
+	// StoreAge is the age in milliseconds, plus one, of the store's last answer to a sender that reads it; 0 if
+	// it does not. StoreLost is set if its last call failed.
 	StoreAge  int64 `cbor:"14,keyasint,omitempty"`
 	StoreLost bool  `cbor:"15,keyasint,omitempty"`
-	// Update is what has changed in the list of servers.
+	// Update holds changes of the list of servers.
 	Update *Update `cbor:"16,keyasint,omitempty"`
-	// SpareCapacity is the share, in hundredths plus one, of the servers of the sender's zone that
-	// could begin a short prompt at once; 0 if it isn't told. It is told to other zones.
+	// SpareCapacity is the share, in hundredths plus one, of the servers of the sender's zone that could start a
+	// short prompt at once; 0 if not given. It is sent to other zones.
 	SpareCapacity int `cbor:"17,keyasint,omitempty"`
-	// PlacementRequest and Place are a question to another zone and its answer.
+	// PlacementRequest and PlacementReply place a request in another zone.
 	PlacementRequest *PlacementRequest `cbor:"18,keyasint,omitempty"`
 	PlacementReply   *PlacementReply   `cbor:"19,keyasint,omitempty"`
 	// Members are the entries that the sender takes for running, by zone.
 	Members []ZoneMembers `cbor:"12,keyasint,omitempty"`
-	// Records are of requests under which servers have ended.
+	// Records describe requests that have crashed servers.
 	Records []quarantine.Record `cbor:"21,keyasint,omitempty"`
-	// RecordsDigest is quarantine.Watch.Sum of the sender, plus one; 0 if it isn't told.
+	// RecordsDigest is the sender's quarantine.Tracker.Digest, plus one; 0 if not given.
 	RecordsDigest uint64 `cbor:"22,keyasint,omitempty"`
-	// WantsMembers says that the sender wants to be told the entries of its zone.
+	// WantsMembers asks the recipient for the entries of the sender's zone.
 	WantsMembers bool `cbor:"23,keyasint,omitempty"`
-	// Digest stands for the near entries that the sender hears; 0 if it isn't told.
+	// Digest is the sender's Group.Digest, a hash of the local entries that it hears; 0 if not given.
 	Digest uint32 `cbor:"24,keyasint,omitempty"`
-	// EntryCount is how many entries run in the sender's zone, Delegates are those that speak for it. They
-	// are told to other zones, as Room is.
+	// EntryCount is the number of running entries in the sender's zone; Delegates are those that speak for it.
+	// Like SpareCapacity they are sent to other zones.
 	EntryCount int      `cbor:"25,keyasint,omitempty"`
 	Delegates  []string `cbor:"26,keyasint,omitempty"`
-	// ZoneSummaries is what the sender hands on of other zones.
+	// ZoneSummaries pass on what other zones have reported to the sender.
 	ZoneSummaries []ZoneSummary `cbor:"27,keyasint,omitempty"`
-	// Relay asks an entry of another zone to pass the news on to the entries of its own.
+	// Relay asks an entry of another zone to pass the events on to the entries of its own.
 	Relay bool `cbor:"28,keyasint,omitempty"`
 }
 
-// ZoneSummary is what is known of a zone.
+// ZoneSummary is the state of a zone as its entries report it.
 type ZoneSummary struct {
 	Zone string `cbor:"1,keyasint,omitempty"`
-	// EntryCount and Room are as in Message, as of Age milliseconds ago.
+	// EntryCount and SpareCapacity are as in Message, as of Age milliseconds ago.
 	EntryCount    int   `cbor:"2,keyasint,omitempty"`
 	SpareCapacity int   `cbor:"3,keyasint,omitempty"`
 	Age           int64 `cbor:"4,keyasint,omitempty"`
-	// Delegates speak for the zone, Addresses are others that run there.
+	// Delegates speak for the zone; Addresses are other running entries.
 	Delegates []string `cbor:"5,keyasint,omitempty"`
 	Addresses []string `cbor:"6,keyasint,omitempty"`
 }
 
-// SetRecordsDigest tells the sum of the sender's records.
-func (m *Message) SetRecordsDigest(sum uint32) { m.RecordsDigest = uint64(sum) + 1 }
+// SetRecordsDigest sets RecordsDigest to the digest of the sender's records.
+func (m *Message) SetRecordsDigest(digest uint32) { m.RecordsDigest = uint64(digest) + 1 }
 
-// RecordsDiffer says whether the sender's records are told, and are others than those of a sum.
-func (m *Message) RecordsDiffer(sum uint32) bool {
-	return m.RecordsDigest != 0 && m.RecordsDigest != uint64(sum)+1
+// RecordsDiffer reports whether the message carries a digest of records that is not the given one.
+func (m *Message) RecordsDiffer(digest uint32) bool {
+	return m.RecordsDigest != 0 && m.RecordsDigest != uint64(digest)+1
 }
 
-// PlacementRequest asks an entry of another zone to place a request among that zone's servers.
+// PlacementRequest asks an entry of another zone to place a request at one of that zone's servers.
 type PlacementRequest struct {
 	Service string `cbor:"1,keyasint,omitempty"`
-	// Dispatch is the request without its servers.
+	// Dispatch describes the request; its servers are empty.
 	Dispatch placement.Dispatch `cbor:"2,keyasint,omitempty"`
-	// Remaining is the time that the request has left.
+	// Remaining is the time left to the request's deadline.
 	Remaining time.Duration `cbor:"3,keyasint,omitempty"`
 	Exclude   []string      `cbor:"4,keyasint,omitempty"`
 }
 
-// PlacementReply answers an Ask: the servers by the names of their starts; Server is empty if there
-// is no place.
+// PlacementReply answers a PlacementRequest. Servers are named by their incarnations; Server is empty if no
+// server has capacity.
 type PlacementReply struct {
 	ID        string        `cbor:"1,keyasint,omitempty"`
 	Server    string        `cbor:"2,keyasint,omitempty"`
@@ -108,21 +107,21 @@
 	Predicted time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// SetSpareCapacity tells the room in the sender's zone, as a share.
-func (m *Message) SetSpareCapacity(room float64) { m.SpareCapacity = 1 + int(room*100) }
+// SetSpareCapacity sets SpareCapacity from a share between 0 and 1.
+func (m *Message) SetSpareCapacity(share float64) { m.SpareCapacity = 1 + int(share*100) }
 
-// Update are the changes of the list of servers, and of the zones that are evacuated, from one
-// revision of the platform to a later one.
+// Update holds the changes of the list of servers and of the evacuated zones between two revisions of the
+// platform.
 type Update struct {
 	Base       uint64             `cbor:"1,keyasint,omitempty"`
 	Revision   uint64             `cbor:"2,keyasint,omitempty"`
 	Servers    []directory.Server `cbor:"3,keyasint,omitempty"`
 	Tombstones []directory.Gone   `cbor:"4,keyasint,omitempty"`
-	// Evacuations are the zones whose evacuation was asked for or taken back.
+	// Evacuations are the zones whose evacuation was requested or ended.
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
 
-// SetStoreState says how the sender reads the store.
+// SetStoreState sets how the sender reads the store.
 func (m *Message) SetStoreState(state StoreState) {
 	m.StoreLost = state.Lost
 	if state.Reads {
@@ -130,7 +129,7 @@
 	}
 }
 
-// storeState is the reverse of SetStore.
+// storeState is the inverse of SetStoreState.
 func (m *Message) storeState() StoreState {
 	return StoreState{Reads: m.StoreAge > 0, Lost: m.StoreLost, Age: time.Duration(max(m.StoreAge-1, 0)) * time.Millisecond}
 }
@@ -141,7 +140,7 @@
 	Addresses []string `cbor:"2,keyasint,omitempty"`
 }
 
-// HasEvents says whether the message tells of requests or servers.
+// HasEvents reports whether the message carries events of requests or servers.
 func (m *Message) HasEvents() bool {
 	return len(m.Dispatches)+len(m.FirstEvents)+len(m.Ended)+len(m.Unreachable)+len(m.Records) > 0
 }
--- a/core/peering/newer.go
+++ b/core/peering/newer.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// NewerPeer returns a live member that knows a higher configuration version than version or,
-// if servers is set, a higher revision of the servers: the newest, and of equal ones another
-// one for each entry that asks. As long as this zone knows what the store holds, only its
-// own members are asked: those of other zones hear of a change some moments sooner as often
-// as later, and a view of 140 servers is some 35 KB.
+// NewerPeer returns the live member to fetch a view from: one with a higher configuration version or, if servers
+// is set, a higher revision of the servers. The newest wins; among equals the choice differs from entry to entry.
+// It returns false if there is none. While the zone knows the content of the store only its own members are
+// asked: those of other zones learn of a change earlier about as often as later, and a view of 140 servers takes
+// some 35 KB.
 func (g *Group) NewerPeer(now time.Time, version, revision uint64, servers bool) (string, bool) {
 	var best *member
 	localOnly := g.Fresh(now)
@@ -28,14 +28,14 @@
 	return best.address, true
 }
 
-// comparePeers compares two members to fetch a view from.
+// comparePeers is positive if a view is better fetched from a than from b.
 func (g *Group) comparePeers(a, b *member) int {
-	near := func(m *member) int {
+	locality := func(m *member) int {
 		if m.zone == g.zone {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(a.version, b.version), cmp.Compare(a.revision, b.revision),
+	return cmp.Or(cmp.Compare(locality(a), locality(b)), cmp.Compare(a.version, b.version), cmp.Compare(a.revision, b.revision),
 		cmp.Compare(rendezvousHash(g.self, a.address), rendezvousHash(g.self, b.address)))
 }
--- a/core/peering/owners.go
+++ b/core/peering/owners.go
@@ -7,12 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners gives each server to one entry, in even numbers. While entries can't hear each
-// other each of them prefers its own servers and keeps away from those of the silent
-// ones: without a word they then meet nowhere. Entries that know the same entries and
-// servers compute the same. One entry or server more or less changes the owner of few
-// servers, since each goes to the entry that ranks highest for it by a hash of both and
-// still has room.
+// Owners assigns each server to one entry, in even numbers, by rendezvous hashing with bounded load. Entries that
+// can't hear each other prefer their own servers and avoid those of the silent ones, so that they don't collide
+// without communicating. Entries that know the same entries and servers compute the same owners. Each server goes
+// to the entry with the highest hash that has capacity left, so that one entry or server more or less moves few
+// servers.
 func Owners(entries, servers []string) map[string]string {
 	owners := make(map[string]string, len(servers))
 	if len(entries) == 0 {
@@ -37,7 +36,8 @@
 
 func rendezvousHash(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
 
-// Rank returns this entry's place among all that it knows by a hash of each and of a server; the first is 0.
+// Rank returns this entry's rank among all known entries by their rendezvous hash with a server; the highest hash
+// has rank 0.
 func (g *Group) Rank(server string) int {
 	rank, own := 0, rendezvousHash(g.self, server)
 	for address := range g.members {
@@ -48,7 +48,7 @@
 	return rank
 }
 
-// ServersOf returns the servers that some entries own.
+// ServersOf returns the set of servers that the given entries own.
 func ServersOf(entries []string, owners map[string]string) map[string]bool {
 	owned := map[string]bool{}
 	for server, owner := range owners {
--- a/core/peering/owners_test.go
+++ b/core/peering/owners_test.go
@@ -15,8 +15,8 @@
 	return names
 }
 
-// Two entries that can't hear each other compute the same owners, whatever the order
-// in which they know entries and servers, so that they meet nowhere.
+// Two entries that can't hear each other must compute the same owners, whatever the order in which they know
+// entries and servers.
 func TestOwnersAreTheSameEverywhere(t *testing.T) {
 	entries, servers := numberedNames("e", 3), numberedNames("s", 10)
 	owners := Owners(entries, servers)
@@ -38,8 +38,8 @@
 	}
 }
 
-// A server is replaced while two entries are cut off from each other. They hear of it
-// at different times; most servers keep their owners meanwhile.
+// A server is replaced while two entries are cut off from each other. They learn of it at different times; most
+// servers keep their owners meanwhile.
 func TestAReplacedServerMovesFewOthers(t *testing.T) {
 	entries, servers := numberedNames("e", 5), numberedNames("s", 16)
 	before := Owners(entries, servers)
--- a/core/peering/ranks.go
+++ b/core/peering/ranks.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Ranks. Who does something for its zone is the first by rank of those that are heard, without a word: those with the
-// fastest links first, and of equal ones another one for each zone. All entries compute the same from whom they hear; where
-// they differ, more or fewer do it for a while.
+// Duties of a zone fall to its live entries of the lowest ranks, without messages: the fastest links first, and
+// among equals a different order in each zone. All entries compute the same ranks from the members that they
+// hear; while their views differ, more or fewer entries than wanted act.
 
-// rankKey is what ranks an entry.
+// rankKey orders entries by rank.
 type rankKey struct {
 	address  string
 	capacity int
 	hash     uint64
 }
 
-// compare is negative if a goes before b.
+// compare is negative if a ranks before b.
 func (a rankKey) compare(b rankKey) int {
 	return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
@@ -25,7 +25,7 @@
 	return rankKey{g.self, g.readOptions.Capacity, rendezvousHash(g.self, g.zone)}
 }
 
-// rankKeyOf returns that of a member of the own zone; its hash is made once.
+// rankKeyOf returns the rank key of a member of the own zone.
 func (g *Group) rankKeyOf(m *member) rankKey {
 	if m.rankHash == 0 {
 		m.rankHash = rendezvousHash(m.address, g.zone)
@@ -33,7 +33,7 @@
 	return rankKey{m.address, m.capacity, m.rankHash}
 }
 
-// eachCandidate calls for each entry of the own zone that is heard and for which a condition holds.
+// eachCandidate calls a function for each member of the own zone that is not suspect and satisfies a condition.
 func (g *Group) eachCandidate(now time.Time, holds func(*member) bool, call func(rankKey)) {
 	for _, m := range g.members {
 		if m.zone == g.zone && !m.lastHeard.IsZero() && now.Sub(m.lastHeard) < SuspectAfter && holds(m) {
@@ -42,8 +42,7 @@
 	}
 }
 
-// rank returns how many of the entries of the own zone that are heard and for which a condition holds go before this one,
-// and how many there are.
+// rank returns how many of the members that eachCandidate visits rank before this entry, and their number.
 func (g *Group) rank(now time.Time, holds func(*member) bool) (before, others int) {
 	own := g.ownRankKey()
 	g.eachCandidate(now, holds, func(s rankKey) {
@@ -55,7 +54,7 @@
 	return before, others
 }
 
-// topRanked returns the topRanked few of some entries by rank.
+// topRanked returns the addresses of the first count entries by rank, of those that each visits.
 func (g *Group) topRanked(count int, each func(call func(rankKey))) []string {
 	best := make([]rankKey, 0, count+1)
 	each(func(s rankKey) {
--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -2,67 +2,64 @@
 
 import "time"
 
-// One entry of each zone reads the platform's store and tells the others what has changed. Every
-// waiting call of every entry returns at each change of anything, so that the calls would grow with
-// the square of the fleet. All others turn to the store themselves, one after the other by rank, when
-// nothing fresh is heard.
+// One entry of each zone reads the platform's store and sends the others what has changed. A change of anything
+// ends every pending long poll of every entry, so that the calls would grow with the square of the fleet. When no
+// fresh state is heard the other entries read the store themselves, one after the other by rank.
 
 const (
-	// readersPerZone is how many entries of a zone read the store. The next in rank takes over as soon
-	// as the first one is not heard or says that it can't reach the store.
+	// readersPerZone is the number of store readers of a zone. The next by rank takes over as soon as the first
+	// is suspect or reports that it can't reach the store.
 	readersPerZone = 1
-	// minSharedReadLimit is the shortest time in which a change has to be in force everywhere
-	// that leaves room to find out that readers are gone: SilentAfter, a heartbeat, and the
-	// reads. Below it every entry reads.
+	// minSharedReadLimit is the shortest limit on changes that leaves time to detect the loss of readers:
+	// SuspectAfter, a heartbeat, and the reads. Below it every entry reads.
 	minSharedReadLimit = 2500 * time.Millisecond
-	// staleShare is the part of that time after which knowledge is too old to rest on.
+	// staleShare is the part of that limit after which the state of the store counts as stale.
 	staleShare = 0.5
-	// readStagger lies between the entries of a zone that turn to the store because nothing
-	// fresh is heard: mostly the first one's success keeps the others from it.
+	// readStagger lies between the entries of a zone that turn to the store for lack of fresh state: the first
+	// one's success mostly spares the others the read.
 	readStagger = 50 * time.Millisecond
-	// heartbeatSlack is what the knowledge of a reader that is well may be older than its pause and its
-	// waiting call last, as others see it: a heartbeat's interval and its way.
+	// heartbeatSlack is by how much a healthy reader's state, as others see it, may exceed its poll delay and
+	// long poll: one heartbeat interval and the transmission.
 	heartbeatSlack = HeartbeatInterval + 100*time.Millisecond
-	// pollDelayShare is the part of the limit of changes for which a reader waits after an answer before
-	// it asks again, so that changes in quick succession come in one answer.
+	// pollDelayShare is the part of the limit on changes that a reader waits between two calls, so that changes
+	// in quick succession come in one answer.
 	pollDelayShare = 0.1
 )
 
-// StoreState is what an entry says of its reading of the platform's store.
+// StoreState describes an entry's access to the platform's store.
 type StoreState struct {
-	// Reads says that it reads the store itself.
+	// Reads is set if the entry reads the store itself.
 	Reads bool
-	// Lost says that its last call failed.
+	// Lost is set if its last call failed.
 	Lost bool
-	// Age is how old its last answer of the store is, if it reads.
+	// Age is the age of the last answer of the store, if the entry reads it.
 	Age time.Duration
 }
 
-// ReadOptions say how well an entry is suited to read the store, and how soon changes have
-// to be in force.
+// ReadOptions configure an entry as a store reader.
 type ReadOptions struct {
-	// Capacity ranks entries: readers hand whole configurations to the others of their zone,
-	// which takes the link of a small host for a second.
+	// Capacity ranks entries: readers send whole configurations to the others of their zone, which occupies the
+	// link of a small host for a second.
 	Capacity int
-	// Limit is the time in which a change has to be in force everywhere.
+	// Limit is the time within which a change has to be in force everywhere.
 	Limit time.Duration
 }
 
-// AllowsSharedReads says whether the limit leaves room for entries that don't read the store.
+// AllowsSharedReads reports whether the limit allows for entries that don't read the store.
 func (o ReadOptions) AllowsSharedReads() bool { return o.Limit >= minSharedReadLimit }
 
-// staleAfter is how old the freshest knowledge in a zone may be.
+// staleAfter returns the staleness up to which the freshest state in a zone suffices.
 func (o ReadOptions) staleAfter() time.Duration {
 	return time.Duration(staleShare * float64(o.Limit))
 }
 
-// PollDelay is how long a reader waits after an answer of the store before it asks again.
+// PollDelay returns the time that a reader waits between an answer of the store and its next call.
 func (o ReadOptions) PollDelay() time.Duration {
 	return time.Duration(pollDelayShare * float64(o.Limit))
 }
 
-// LongPollTimeout bounds how long a reader's call waits for changes: the answer shows the others that the
-// reader still reaches the store.
+// LongPollTimeout returns how long a reader's call may wait for changes, longest at most: the answers show the
+// others that the reader still reaches the store.
 func (o ReadOptions) LongPollTimeout(longest time.Duration) time.Duration {
 	if !o.AllowsSharedReads() {
 		return longest
@@ -70,19 +67,18 @@
 	return min(longest, o.staleAfter()-heartbeatSlack-o.PollDelay())
 }
 
-// SetReadOptions sets this entry's own options and state.
+// SetReadOptions sets this entry's own options.
 func (g *Group) SetReadOptions(options ReadOptions) { g.readOptions = options }
 
-// ShouldRead says whether this entry has to read the store itself: it is the first of its zone
-// that can, or what the zone's readers know is too old. All entries compute the
-// same ranks from whom they hear; where they differ, more than needed read for a while.
+// ShouldRead reports whether this entry has to read the store: it ranks first in its zone among those that can,
+// or the state known in the zone is stale. While the entries' views differ, more than needed read.
 func (g *Group) ShouldRead(now time.Time, self StoreState) bool {
 	if !g.readOptions.AllowsSharedReads() {
 		return true
 	}
 	rank, others := g.rank(now, canRead)
 	if self.Lost {
-		// Others are preferred as long as one of them has fresh knowledge.
+		// Others are preferred while one of them has fresh state.
 		rank = others + 1
 	}
 	if rank < readersPerZone {
@@ -91,20 +87,19 @@
 	return g.Staleness(now) > g.readOptions.staleAfter()+time.Duration(rank-readersPerZone)*readStagger
 }
 
-// canRead says whether a member can read the store for others. One that starts does so as soon as it reads: there may be
-// nothing yet with which to serve.
+// canRead reports whether a member can read the store for others. A starting member can once it reads: there may
+// be no configuration yet with which to serve.
 func canRead(m *member) bool {
 	return !m.store.Lost && !m.stopping && (!m.servingSince.IsZero() || m.store.Reads)
 }
 
-// unknownStaleness is the staleness where no reader is heard.
+// unknownStaleness is the staleness while no reader is heard.
 const unknownStaleness = time.Hour
 
-// staleness is how old a member's knowledge of the store is by now, as it told of it.
+// staleness returns the present age of a member's state of the store.
 func (m *member) staleness(now time.Time) time.Duration { return m.store.Age + now.Sub(m.lastHeard) }
 
-// Staleness is how old the freshest knowledge of the store is that another entry of this
-// zone has told of.
+// Staleness returns the age of the freshest state of the store that another entry of this zone holds.
 func (g *Group) Staleness(now time.Time) time.Duration {
 	freshest := unknownStaleness
 	for _, m := range g.members {
@@ -115,12 +110,12 @@
 	return freshest
 }
 
-// Fresh says whether another entry of the zone knows what the store holds.
+// Fresh reports whether another entry of the zone holds fresh state of the store.
 func (g *Group) Fresh(now time.Time) bool {
 	return g.readOptions.AllowsSharedReads() && g.Staleness(now) <= g.readOptions.staleAfter()
 }
 
-// membersWithList returns the entries of this zone that know what a reader of the store knows that is up to date.
+// membersWithList returns the entries of this zone whose versions are at least those of its fresh readers.
 func (g *Group) membersWithList(now time.Time) []string {
 	if !g.readOptions.AllowsSharedReads() {
 		return nil
@@ -137,7 +132,7 @@
 	return g.filter(func(m *member) bool { return g.hasList(now, m) && m.version >= version && m.revision >= revision })
 }
 
-// hasList says whether a neighbour can hand on a list of servers, and does not know itself that it is old.
+// hasList reports whether a local member can provide a list of servers that it does not know to be stale.
 func (g *Group) hasList(now time.Time, m *member) bool {
 	if m.zone != g.zone || !m.isAlive(now) || m.stopping {
 		return false
@@ -148,8 +143,8 @@
 	return !m.servingSince.IsZero()
 }
 
-// ResetLiveness forgets when others were heard: this process was suspended, and its clock stood
-// still meanwhile. What they knew then counts as fresh no more.
+// ResetLiveness forgets when members were heard. It is called after this process was suspended: its clock stood
+// still meanwhile, and what members knew before is no longer fresh.
 func (g *Group) ResetLiveness() {
 	for _, m := range g.members {
 		m.lastHeard, m.indirectlyHeard = time.Time{}, time.Time{}
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -10,7 +10,7 @@
 
 const changeLimit = 3 * time.Second
 
-// zoneGroups returns the groups of entries of one zone that have just heard each other.
+// zoneGroups returns the groups of the entries of one zone that have just heard each other.
 func zoneGroups(count int, capacity func(int) int) []*Group {
 	var groups []*Group
 	for i := range count {
@@ -34,7 +34,7 @@
 
 func sameCapacity(int) int { return 1 }
 
-// readersOf returns who has to read while a reader that is heard knows everything.
+// readersOf returns the entries that should read the store.
 func readersOf(groups []*Group, now time.Time) []int {
 	var readers []int
 	for i, g := range groups {
@@ -45,7 +45,7 @@
 	return readers
 }
 
-// broadcast makes all others hear of an entry's reading.
+// broadcast makes all other entries observe an entry's reading of the store.
 func broadcast(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
 	m := heartbeatFrom(entryAt(i), "here")
 	m.Capacity = capacity
@@ -57,11 +57,10 @@
 	}
 }
 
-// Calls of the store would grow with the square of the entries if all of them watched, and with each entry that watches
-// beside another one that all hear.
+// If all entries of a zone watched the store, its calls would grow with the square of their number.
 func TestOneEntryOfAZoneReads(t *testing.T) {
 	groups := zoneGroups(8, sameCapacity)
-	require.Len(t, readersOf(groups, start), 8, "nobody has told yet that it reads")
+	require.Len(t, readersOf(groups, start), 8, "no reader is known yet")
 	first, places := 0, map[int]bool{}
 	for i, g := range groups {
 		place, others := g.rank(start, canRead)
@@ -76,16 +75,16 @@
 	require.Equal(t, []int{first}, readersOf(groups, start))
 }
 
-// Readers hand whole configurations to the others; a small host's link would be full of it.
+// Readers send whole configurations to the others, which would saturate the link of a small host.
 func TestHostsWithFasterLinksRead(t *testing.T) {
 	groups := zoneGroups(6, func(i int) int { return map[int]int{2: 200, 4: 100}[i] + 20 })
 	broadcast(groups, start, 2, StoreState{Reads: true}, 220)
 	require.Equal(t, []int{2}, readersOf(groups, start))
 	broadcast(groups, start, 2, StoreState{Reads: true, Lost: true}, 220)
-	require.Equal(t, []int{2, 4}, readersOf(groups, start), "the one with the next faster link beside one that doesn't know yet that it has lost the store")
+	require.Equal(t, []int{2, 4}, readersOf(groups, start), "the one with the next faster link, beside one that has not detected yet that it lost the store")
 }
 
-// A reader that can't reach the store says so, and the next one reads in its place.
+// A reader that can't reach the store says so, and the next by rank reads in its place.
 func TestAReaderWithoutTheStoreIsReplaced(t *testing.T) {
 	groups := zoneGroups(4, func(i int) int { return 10 - i })
 	broadcast(groups, start, 0, StoreState{Reads: true}, 10)
@@ -93,12 +92,11 @@
 	broadcast(groups, start, 0, StoreState{Reads: true, Lost: true}, 10)
 	require.Equal(t, []int{0, 1}, readersOf(groups, start))
 	broadcast(groups, start, 1, StoreState{Reads: true}, 9)
-	require.False(t, groups[0].ShouldRead(start, StoreState{Reads: true, Lost: true}), "the others know what the store holds")
+	require.False(t, groups[0].ShouldRead(start, StoreState{Reads: true, Lost: true}), "the others hold fresh state")
 	require.True(t, groups[3].Fresh(start))
 }
 
-// A reader is killed. It says nothing of it; two missed heartbeats tell, and the next in
-// rank reads, as on any other day.
+// A reader is killed without notice. Two missed heartbeats reveal it, and the next by rank reads.
 func TestAReaderThatDiesIsReplaced(t *testing.T) {
 	groups := zoneGroups(5, func(i int) int { return 10 - i })
 	for at := time.Duration(0); at <= 2*time.Second; at += HeartbeatInterval {
@@ -114,7 +112,7 @@
 	require.False(t, groups[2].ShouldRead(start.Add(SuspectAfter), StoreState{}))
 }
 
-// Below a bound there is no time to find out that readers are gone.
+// Below a bound there is no time to detect the loss of readers.
 func TestAShortLimitMakesAllRead(t *testing.T) {
 	groups := zoneGroups(4, sameCapacity)
 	broadcast(groups, start, 0, StoreState{Reads: true}, 1)
@@ -126,7 +124,7 @@
 	require.Equal(t, time.Second, ReadOptions{Limit: 4 * time.Second}.LongPollTimeout(2*time.Second))
 }
 
-// A starting entry takes the list from a reader that is up to date, and from nobody else.
+// A starting entry fetches the list only from a member that is up to date.
 func TestAStartingEntryAsksAReaderThatIsUpToDate(t *testing.T) {
 	groups := zoneGroups(3, sameCapacity)
 	_, known := groups[0].ListSource(start)
@@ -136,7 +134,7 @@
 	later := start.Add(400 * time.Millisecond)
 	source, known := groups[0].ListSource(later)
 	require.True(t, known)
-	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which goes before it by rank")
+	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which ranks before it")
 	require.Equal(t, []string{entryAt(1)}, groups[0].membersWithList(later))
 	_, known = groups[0].ListSource(start.Add(time.Second))
 	require.False(t, known)
@@ -145,8 +143,8 @@
 	require.False(t, known, "what was heard before a suspension is not fresh")
 }
 
-// The store holds no configuration yet, so that its readers don't serve. They are readers, and hand on what there is; one
-// that stops does neither, whatever it read.
+// The store holds no configuration yet, so that its readers don't serve. They still count as readers and provide
+// what there is. A stopping reader does neither.
 func TestReadersThatDoNotServeYetAreReaders(t *testing.T) {
 	groups := zoneGroups(6, func(i int) int { return 10 - i })
 	readersThat := func(change func(*Message)) {
@@ -175,48 +173,48 @@
 	}
 }
 
-// Each of 54 entries fetched the whole view from another zone whenever that had heard of a
-// change first. While the own zone's readers are well a view is fetched from there only.
+// Each of 54 entries fetched the whole view from another zone whenever that learned of a change first. While the
+// readers of the own zone are fresh a view is fetched there only.
 func TestAViewIsFetchedWithinTheZone(t *testing.T) {
 	g := zoneGroups(2, sameCapacity)[0]
-	far := heartbeatFrom("far:1", "there")
-	far.Version, far.Revision = 7, 70
-	g.Observe(start, far)
-	near := heartbeatFrom(entryAt(1), "here")
-	near.Version, near.Revision = 1, 1
-	near.SetStoreState(StoreState{Reads: true})
-	g.Observe(start, near)
+	remote := heartbeatFrom("far:1", "there")
+	remote.Version, remote.Revision = 7, 70
+	g.Observe(start, remote)
+	local := heartbeatFrom(entryAt(1), "here")
+	local.Version, local.Revision = 1, 1
+	local.SetStoreState(StoreState{Reads: true})
+	g.Observe(start, local)
 	_, ok := g.NewerPeer(start, 1, 1, true)
 	require.False(t, ok)
-	near.Version = 2
-	g.Observe(start, near)
+	local.Version = 2
+	g.Observe(start, local)
 	peer, ok := g.NewerPeer(start, 1, 1, true)
 	require.True(t, ok)
 	require.Equal(t, entryAt(1), peer)
 	peer, ok = g.NewerPeer(start.Add(2*time.Second), 2, 1, true)
-	require.True(t, ok, "the own zone knows nothing fresh")
+	require.True(t, ok, "the own zone is stale")
 	require.Equal(t, "far:1", peer)
 }
 
-// fault is what happens to one entry.
+// fault is a failure of one entry.
 type fault int
 
 const (
 	healthy   fault = iota
 	storeless       // its connection to the store is silent
-	killed          // it sends and reads nothing
+	killed          // it neither sends nor reads
 	mute            // nothing that it sends arrives
 	deaf            // nothing arrives at it
-	frozen          // it stands still for two seconds and then goes on
+	frozen          // it is suspended for two seconds
 	faultKinds
 )
 
-// Every combination of faults strikes the entries of a zone at every phase of their
-// heartbeats: four entries by all faults, six by those that leave the longest row of readers
-// without the store. An entry that is well has to know of any change of the store within the
-// limit, though its reader, and those that come after it, may be dead, cut off one way or behind: callers would be served
-// by a configuration, or sent to a server, that is gone for seconds.
-func TestEveryEntryThatIsWellKnowsOfChangesInTime(t *testing.T) {
+// Every combination of faults hits the entries of a zone at every phase of their heartbeats: four entries with
+// all kinds of fault, six with those that cause the longest succession of readers without the store. A healthy
+// entry has to learn of any change of the store within the limit, although its reader and the next ones by rank
+// may be terminated, cut off in one direction or stale. Otherwise callers would be served by a configuration, or
+// sent to a server, that has been gone for seconds.
+func TestEveryHealthyEntryLearnsOfChangesInTime(t *testing.T) {
 	playAllFaults(t, 4, faultKinds)
 	playAllFaults(t, 6, storeless+1)
 }
@@ -239,25 +237,25 @@
 	}
 }
 
-// tick is the step of a readingZone.
+// tick is the step of a simulatedZone.
 const tick = 100 * time.Millisecond
 
-// readOptions are the options of entries that have to know of changes within the limit.
+// readOptions make entries learn of changes within the limit.
 var readOptions = ReadOptions{Limit: changeLimit}
 
-// callTimeout is after how long a call on a silent connection is given up: its wait, and the
-// second that the store's client allows beyond it.
+// callTimeout is the time after which a call on a silent connection is given up: its long poll, and the second
+// that the store's client allows beyond it.
 func callTimeout() time.Duration { return readOptions.LongPollTimeout(2*time.Second) + time.Second }
 
-// simulatedZone plays the entries of a zone and the store in steps of virtual time. The store
-// changes all the time; knows is up to when an entry has heard of all changes.
+// simulatedZone plays the entries of a zone and the store in steps of virtual time. The store changes
+// continuously; knownUpTo is the time up to which an entry has learned of all changes.
 type simulatedZone struct {
 	groups      []*Group
 	struck      []fault
-	faultsAt    time.Duration // when the faults strike
+	faultsAt    time.Duration // when the faults begin
 	now         time.Duration
 	knownUpTo   []time.Duration
-	callAt      []time.Duration // when the call under way is sent, if any, after the pause before it
+	callAt      []time.Duration // when the call under way is sent, after its poll delay
 	calling     []bool
 	reading     []bool
 	failedAt    []time.Duration
@@ -294,7 +292,7 @@
 	}
 }
 
-// step lets an entry decide, read and tell.
+// step lets an entry decide, read and send.
 func (z *simulatedZone) step(i int) {
 	state := z.state(i)
 	z.reading[i] = z.groups[i].ShouldRead(z.clock(), state)
@@ -304,11 +302,11 @@
 	case !z.calling[i]:
 		z.calling[i], z.callAt[i] = true, z.now
 	case z.now < z.callAt[i]:
-		// It waits before its next call.
+		// The poll delay is not over.
 	case !z.hasFault(i, storeless):
-		// Its waiting call brings every change at once, and the next one comes after a pause.
+		// The long poll returns every change at once, and the next one follows after the poll delay.
 		z.knownUpTo[i], z.succeededAt[i], z.callAt[i], z.failedAt[i] = z.now, z.now, z.now+readOptions.PollDelay(), 0
-		z.tellChanges(i)
+		z.publish(i)
 	case z.now-z.callAt[i] >= callTimeout():
 		z.failedAt[i], z.calling[i] = z.now, false
 	}
@@ -326,8 +324,8 @@
 	return StoreState{Reads: z.reading[i] && z.succeededAt[i] > 0, Lost: z.failedAt[i] > 0 && z.now-z.failedAt[i] < 3*time.Second, Age: z.now - z.succeededAt[i]}
 }
 
-// tellChanges tells what a reader knows; an entry that is behind fetches it.
-func (z *simulatedZone) tellChanges(i int) {
+// publish passes a reader's changes on; an entry that is behind fetches them.
+func (z *simulatedZone) publish(i int) {
 	z.send(i, func(j int) { z.knownUpTo[j] = max(z.knownUpTo[j], z.knownUpTo[i]) })
 }
 
--- a/core/peering/records_test.go
+++ b/core/peering/records_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two entries remember different requests and can't agree. They tell each other all records once
-// a second at the most.
-func TestRecordsAreToldOnceASecond(t *testing.T) {
+// Two entries keep different requests and can't converge. They send each other all records at most once a second.
+func TestRecordsAreResentOnceASecond(t *testing.T) {
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
 	require.False(t, g.ShouldSendRecords(now, "b"), "an entry that is not known")
@@ -19,10 +18,9 @@
 	require.True(t, g.ShouldSendRecords(now.Add(recordsResendInterval), "b"))
 }
 
-// An entry is told of requests under which servers end, stops, and is started again within a
-// second. It knows nothing any more, and takes such a request from a caller at once: it must not
-// wait for its turn to be told.
-func TestARestartedEntryIsToldRecordsAtOnce(t *testing.T) {
+// An entry that has received quarantine records restarts within a second. It has lost them and may get such a
+// request from a caller at once, so that it must not wait for the next transmission.
+func TestARestartedEntryIsSentRecordsAtOnce(t *testing.T) {
 	g := New("a", "here", "1", nil)
 	now := time.Unix(1000, 0)
 	g.Observe(now, Message{From: "b", Incarnation: "1"})
--- a/core/peering/remote.go
+++ b/core/peering/remote.go
@@ -6,49 +6,54 @@
 	"time"
 )
 
-// Zones that keep to their own servers need little of each other: how many entries share a budget, where servers have room,
-// and whom to ask for a place or to tell of a request. Two entries of each zone, its delegates, exchange that with those of
-// the other zones and hand it on with their heartbeats. What crosses zones then grows with the zones, not with the entries.
+// Zones whose entries use only their own servers exchange little: how many entries share a budget, which servers
+// have spare capacity, and whom to ask for a placement or to notify of a request. Two entries of each zone, its
+// delegates, exchange that with the delegates of other zones and pass it on with their heartbeats. Traffic
+// between zones then grows with the number of zones, not of entries.
 
 const (
-	// delegatesPerZone is how many entries of a zone speak with the other zones. Two: the other one goes on while one of
-	// them is killed, suspended or cut off.
+	// delegatesPerZone is the number of entries of a zone that exchange state with other zones. With two, one
+	// goes on while the other is killed, suspended or cut off.
 	delegatesPerZone = 2
-	// remoteMembersPerZone is how many entries of another zone are known, so that some of them run when a part of the zone fails.
+	// remoteMembersPerZone bounds the known entries of another zone; some of them still run when a part of that
+	// zone fails.
 	remoteMembersPerZone = 16
-	// addressesPerRemoteHeartbeat is how many entries a heartbeat to another zone names. Others are named at each turn.
+	// addressesPerRemoteHeartbeat bounds the addresses in a heartbeat to another zone; they rotate with the
+	// turns.
 	addressesPerRemoteHeartbeat = 6
-	// relaysPerZone is how many entries of another zone are told of what all its entries have to know, and pass it on.
+	// relaysPerZone is the number of entries of another zone that are sent what all its entries have to know, and
+	// relay it.
 	relaysPerZone = 2
-	// IndirectAliveFor is how long an entry of another zone counts as running after a neighbour of
-	// it has said so: they tell of a few neighbours at a time. Little hangs on it: news of a
-	// request that crosses zones go to an entry that may be gone.
+	// IndirectAliveFor bounds how long an entry of another zone counts as running after a member of its zone has
+	// reported it: these reports list a few members at a time. A stale report costs little: an event that crosses
+	// zones goes to an entry that has terminated.
 	IndirectAliveFor = 15 * time.Second
-	// spareCapacityTTL is how long what another zone has told of the room there holds: it is some two heartbeats old when it has
-	// been handed on.
+	// spareCapacityTTL bounds the age of another zone's spare capacity: it is some two heartbeats old once it has
+	// been passed on.
 	spareCapacityTTL = 1500 * time.Millisecond
-	// summaryTTL is how long what an entry of another zone has told is handed on to near entries.
+	// summaryTTL bounds how long what an entry of another zone has reported is passed on to local entries.
 	summaryTTL = spareCapacityTTL
 )
 
-// remoteZone is what is known of another zone.
+// remoteZone is the last known state of another zone.
 type remoteZone struct {
-	// entryCount is how many entryCount run there.
+	// entryCount is the number of running entries of the zone.
 	entryCount    int
 	spareCapacity int // as in Message
-	// asOf is when that was so, lastDirect when an entry of the zone has told it to this one.
+	// asOf is the time of the state; lastDirect is the last time at which an entry of the zone reported to this
+	// one.
 	asOf, lastDirect time.Time
 	// delegates speak for the zone.
 	delegates []string
 }
 
-// observeRemote takes in what a message tells of other zones; it returns false if it tells nothing.
+// observeRemote applies what a message reports of other zones, and returns whether it reports anything.
 func (g *Group) observeRemote(now time.Time, m Message) bool {
 	if g.scope == scopeAll {
 		return false
 	}
-	isFar := m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone
-	if isFar {
+	isRemote := m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone
+	if isRemote {
 		known := g.remoteZone(m.Zone)
 		known.lastDirect = now
 		known.update(now, m.EntryCount, m.SpareCapacity, m.Delegates)
@@ -58,10 +63,10 @@
 			g.applySummary(now, summary)
 		}
 	}
-	return isFar || len(m.ZoneSummaries) > 0
+	return isRemote || len(m.ZoneSummaries) > 0
 }
 
-// applySummary takes in what a near entry hands on.
+// applySummary applies a summary of another zone that a local entry passes on.
 func (g *Group) applySummary(now time.Time, summary ZoneSummary) {
 	asOf := now.Add(-time.Duration(summary.Age) * time.Millisecond)
 	g.remoteZone(summary.Zone).update(asOf, summary.EntryCount, summary.SpareCapacity, summary.Delegates)
@@ -91,7 +96,7 @@
 	}
 }
 
-// addRemote adds an entry of another zone unless enough of it are known; it returns nil then.
+// addRemote adds an entry of another zone. It returns nil if enough of them are known.
 func (g *Group) addRemote(now time.Time, zone, address string) *member {
 	if g.members[address] == nil && g.knowsEnough(now, zone) {
 		return nil
@@ -103,7 +108,7 @@
 	return m
 }
 
-// knowsEnough says whether no more entries of a zone need to be known than are.
+// knowsEnough reports whether enough running entries of another zone are known.
 func (g *Group) knowsEnough(now time.Time, zone string) bool {
 	if g.scope == scopeAll || zone == "" || zone == g.zone {
 		return false
@@ -117,8 +122,8 @@
 	return count >= remoteMembersPerZone
 }
 
-// delegates returns the entries that speak for this zone: those with the fastest links, and while few take requests also
-// others. All entries compute the same from whom they hear; where they differ, more or fewer speak for a while.
+// delegates returns the entries that speak for this zone: the first by rank that serve and, while these are too
+// few, others. While the entries' views differ, more or fewer than wanted speak.
 func (g *Group) delegates(now time.Time) []string {
 	delegates := g.topCandidates(now, g.serving, func(m *member) bool { return !m.servingSince.IsZero() })
 	if len(delegates) < delegatesPerZone {
@@ -127,7 +132,7 @@
 	return delegates[:min(len(delegates), delegatesPerZone)]
 }
 
-// topCandidates returns the first entries by rank for which a condition holds; self adds this one.
+// topCandidates returns the first delegatesPerZone candidates by rank; self includes this entry.
 func (g *Group) topCandidates(now time.Time, self bool, holds func(*member) bool) []string {
 	return g.topRanked(delegatesPerZone, func(call func(rankKey)) {
 		if self {
@@ -139,7 +144,7 @@
 
 func (g *Group) isDelegate(now time.Time) bool { return slices.Contains(g.delegates(now), g.self) }
 
-// RemoteZones returns the zones of the members that are not near, in a fixed order.
+// RemoteZones returns the zones of the members that are not local, sorted.
 func (g *Group) RemoteZones() []string {
 	var zones []string
 	for _, m := range g.members {
@@ -151,7 +156,8 @@
 	return zones
 }
 
-// remoteTargets picks an entry of each other zone by turns: a delegate if one is known, else one that runs, else any.
+// remoteTargets returns one entry of each other zone, in turns: a delegate if one is known, else a running entry,
+// else any.
 func (g *Group) remoteTargets(now time.Time, turn int) []string {
 	var targets []string
 	for _, zone := range g.RemoteZones() {
@@ -164,11 +170,11 @@
 	return targets
 }
 
-// contacts returns the delegates of another zone that are known to run, or else all that are known to run.
+// contacts returns the delegates of another zone that are known to run, or else all its entries that are.
 func (g *Group) contacts(now time.Time, zone string) []string {
 	running := g.RunningIn(now, zone)
-	if far := g.remote[zone]; far != nil && now.Sub(far.asOf) < IndirectAliveFor {
-		delegates := slices.DeleteFunc(slices.Clone(running), func(address string) bool { return !slices.Contains(far.delegates, address) })
+	if known := g.remote[zone]; known != nil && now.Sub(known.asOf) < IndirectAliveFor {
+		delegates := slices.DeleteFunc(slices.Clone(running), func(address string) bool { return !slices.Contains(known.delegates, address) })
 		if len(delegates) > 0 {
 			return delegates
 		}
@@ -178,27 +184,28 @@
 
 // Relays returns the entries of another zone that pass on what all entries there have to know.
 func (g *Group) Relays(now time.Time, zone string) []string {
-	speakers := g.contacts(now, zone)
-	slices.SortFunc(speakers, func(a, b string) int { return cmp.Compare(rendezvousHash(g.self, a), rendezvousHash(g.self, b)) })
-	return speakers[:min(len(speakers), relaysPerZone)]
+	relays := g.contacts(now, zone)
+	slices.SortFunc(relays, func(a, b string) int { return cmp.Compare(rendezvousHash(g.self, a), rendezvousHash(g.self, b)) })
+	return relays[:min(len(relays), relaysPerZone)]
 }
 
-// ShouldRelay says whether what a message tells is to be passed on to the near entries.
+// ShouldRelay reports whether a message of another zone asks to be relayed to the local entries.
 func (g *Group) ShouldRelay(m Message) bool { return m.Relay && m.Zone != "" && m.Zone != g.zone }
 
-// ShouldRedirect says whether the sender of a message is to be told who speaks for this zone: it belongs to another one and has
-// taken this entry for one that does.
+// ShouldRedirect reports whether the sender of a message, of another zone, mistakes this entry for a delegate and
+// has to be sent the delegates.
 func (g *Group) ShouldRedirect(now time.Time, m Message) bool {
 	return g.scope != scopeAll && m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
-// MistakenForLocal says whether the sender of a message takes this entry for a near one and is to be told its zone: it has never
-// heard this entry, as seeds that start later than others.
+// MistakenForLocal reports whether the sender of a message takes this entry for a local one and has to be told
+// its zone. That happens if it never heard this entry, such as a seed that starts later than others.
 func (g *Group) MistakenForLocal(m Message) bool {
 	return g.scope != scopeAll && m.Digest != 0 && m.Zone != "" && m.Zone != g.zone
 }
 
-// FillRemoteHeartbeat completes a message to another zone: who runs in this one.
+// FillRemoteHeartbeat adds the running entries of this zone to a message to another zone; the listed addresses
+// rotate with the turns.
 func (g *Group) FillRemoteHeartbeat(now time.Time, turn int, m *Message) {
 	alive := g.filter(func(m *member) bool { return m.zone == g.zone && m.isAlive(now) })
 	m.EntryCount = len(alive) + 1
@@ -210,18 +217,19 @@
 	m.Members = []ZoneMembers{{Zone: g.zone, Addresses: addresses}}
 }
 
-// RemoteSummaries returns what entries of other zones have told this one lately, for near entries.
+// RemoteSummaries returns what other zones have reported directly to this entry within summaryTTL, for local
+// entries.
 func (g *Group) RemoteSummaries(now time.Time, turn int) []ZoneSummary {
 	if g.scope == scopeAll {
 		return nil
 	}
 	var summaries []ZoneSummary
 	for _, zone := range g.RemoteZones() {
-		far := g.remote[zone]
-		if far == nil || far.lastDirect.IsZero() || now.Sub(far.lastDirect) >= summaryTTL {
+		known := g.remote[zone]
+		if known == nil || known.lastDirect.IsZero() || now.Sub(known.lastDirect) >= summaryTTL {
 			continue
 		}
-		summary := ZoneSummary{Zone: zone, EntryCount: far.entryCount, SpareCapacity: far.spareCapacity, Age: now.Sub(far.asOf).Milliseconds(), Delegates: far.delegates}
+		summary := ZoneSummary{Zone: zone, EntryCount: known.entryCount, SpareCapacity: known.spareCapacity, Age: now.Sub(known.asOf).Milliseconds(), Delegates: known.delegates}
 		if running := g.RunningIn(now, zone); len(running) > 0 {
 			summary.Addresses = []string{running[turn%len(running)]}
 		}
@@ -230,18 +238,18 @@
 	return summaries
 }
 
-// MostSpareCapacity returns an entry of the other zone whose servers have the most room, and the
-// room as a share; false if nothing fresh is heard.
-func (g *Group) MostSpareCapacity(now time.Time) (address string, room float64, ok bool) {
+// MostSpareCapacity returns an entry of the other zone with the most spare capacity, and that capacity as a
+// share. It returns false if no zone reported spare capacity within spareCapacityTTL.
+func (g *Group) MostSpareCapacity(now time.Time) (address string, share float64, ok bool) {
 	best := 0
 	for _, zone := range g.RemoteZones() {
-		far := g.remote[zone]
-		if far == nil || far.spareCapacity <= best || now.Sub(far.asOf) > spareCapacityTTL {
+		known := g.remote[zone]
+		if known == nil || known.spareCapacity <= best || now.Sub(known.asOf) > spareCapacityTTL {
 			continue
 		}
 		running := g.filter(func(m *member) bool { return m.zone == zone && m.isRunning(now) && !m.stopping })
 		if len(running) > 0 {
-			best, address = far.spareCapacity, running[int(rendezvousHash(g.self, zone)%uint64(len(running)))]
+			best, address = known.spareCapacity, running[int(rendezvousHash(g.self, zone)%uint64(len(running)))]
 		}
 	}
 	return address, float64(best-1) / 100, best > 0
--- a/core/peering/restart.go
+++ b/core/peering/restart.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// TimeToNextServing is how long it takes at most until callers reach another entry that takes
-// requests; 0 if they do now. limit is how long a planned stop takes at most. It returns
-// false if no other entry is known to come back.
+// TimeToNextServing returns the longest time until callers reach another entry that accepts requests; 0 if they
+// do now. limit bounds the duration of a planned stop. It returns false if no other entry is expected back.
 func (g *Group) TimeToNextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
 	for _, m := range g.members {
@@ -30,11 +29,11 @@
 }
 
 const (
-	// RestartTime is how long an entry takes from its end to serving again: the platform's
-	// delay before a start, and the first read of the store.
+	// RestartTime is the time from an entry's exit until it serves again: the platform's delay before a start,
+	// and the first read of the store.
 	RestartTime = 600 * time.Millisecond
-	// BalancerDelay is how long the platform's balancer takes to send callers to an entry
-	// that has begun to serve: it asks once a second. A caller that comes back sooner is
-	// sent to one that stops, and refused again.
+	// BalancerDelay is the time until the platform's load balancer, which polls once a second, sends callers to
+	// an entry that has begun to serve. A caller that retries earlier reaches a stopping entry and is refused
+	// again.
 	BalancerDelay = 1200 * time.Millisecond
 )
--- a/core/peering/start.go
+++ b/core/peering/start.go
@@ -5,32 +5,36 @@
 	"time"
 )
 
-// The first reading. Where all entries start at once none is up to date, and each would read the whole list from the
-// store. The first ones of each zone by rank read it, and the others take it over from these. If they don't hear of
-// anybody who is up to date, ever more of them read: twice as many after each further turn, so that a store that turns
-// most of them away, or readers that die, delay a zone by a few turns whatever its size.
+// Reads of the store at a simultaneous start. Where all entries start at once none is up to date, and each would
+// read the whole list from the store. Instead the first of each zone by rank read it, and the others fetch it
+// from these. While they hear nobody who is up to date the number of readers doubles with each further round, so
+// that a store that refuses most of them, or readers that terminate, delay a zone by a few rounds whatever its
+// size.
 
 const (
-	// startReaders is how many entries of a zone read the store first, so that a start does not wait for one that dies.
+	// startReaders is the number of entries of a zone that read the store first; with two, a start does not wait
+	// for one that terminates.
 	startReaders = 2
-	// startWait is how long a starting entry waits to hear an entry that is up to date before any reads the store: some ten
-	// ways there and back between zones, and the time that a small host takes to answer.
+	// startWait is the time for which a starting entry listens for one that is up to date before it reads the
+	// store: some ten round trips between zones, and the response time of a small host.
 	startWait = 50 * time.Millisecond
-	// localPeerWait is how long an entry that hears only others of other zones waits for those of its own.
+	// localPeerWait is the time for which an entry that hears only other zones waits for entries of its own.
 	localPeerWait = 150 * time.Millisecond
-	// SeedRetryInterval is how often an entry that starts asks the seeds as long as it hears nobody: they may start as well.
+	// SeedRetryInterval lies between two requests of a starting entry to the seeds while it hears nobody: they
+	// may be starting as well.
 	SeedRetryInterval = 50 * time.Millisecond
-	// settleTime is for how long no further entry of the zone has to become known until the ranks are believed: while a zone
-	// starts each entry knows those only that have started before it.
+	// settleTime is the time without a new member of the zone after which ranks are relied on: while a zone
+	// starts, each entry knows only those that started before it.
 	settleTime = 30 * time.Millisecond
 	// settleLimit bounds the wait for that.
 	settleLimit = 500 * time.Millisecond
-	// readRound is the time in which entries that read the store are up to date and heard, also on small hosts.
+	// readRound is the time in which entries that read the store become up to date and are heard, also on small
+	// hosts.
 	readRound = 250 * time.Millisecond
 )
 
-// ShouldReadAtStart says whether an entry that has started a while ago, and hears nobody who is up to date, reads the store
-// itself.
+// ShouldReadAtStart reports whether an entry that started the duration since ago, and hears nobody who is up to
+// date, reads the store itself.
 func (g *Group) ShouldReadAtStart(now time.Time, since time.Duration) bool {
 	if !g.readOptions.AllowsSharedReads() {
 		return true
@@ -47,16 +51,16 @@
 	return waited >= 0 && rank < startReaders<<min(waited/readRound, maxRounds)
 }
 
-// NoPeerHeard says whether this entry has heard nobody yet.
+// NoPeerHeard reports whether this entry has heard no other one yet.
 func (g *Group) NoPeerHeard() bool { return g.firstHeard.IsZero() }
 
-// fetchersPerSource is how many entries that start together take over the list from one that has it. The first ones by rank
-// take it from those that read the store, the next ones from these: a link carries a few views, whatever the size of the
-// zone, and the last entry has the list after as many turns as the logarithm of that.
+// fetchersPerSource bounds the starting entries that fetch the list from one entry. The first by rank fetch it
+// from the store readers, the next from these, as in a tree: a link carries a few views, and the number of rounds
+// grows with the logarithm of the zone's size.
 const fetchersPerSource = 8
 
-// ListSource returns an entry of this zone from which this one takes over the list as it starts; empty while it waits for that
-// one to have it. known is false while nobody is known to have it.
+// ListSource returns the entry of this zone from which this one fetches the list as it starts; empty while it
+// waits for that entry to have it. known is false while nobody is known to have the list.
 func (g *Group) ListSource(now time.Time) (address string, known bool) {
 	sources := g.membersWithList(now)
 	if len(sources) == 0 {
@@ -66,10 +70,10 @@
 	if g.listKnownSince.IsZero() {
 		g.listKnownSince = now
 	}
-	mayHave := func(m *member) bool { return !m.stopping }
-	rank, _ := g.rank(now, mayHave)
+	canProvide := func(m *member) bool { return !m.stopping }
+	rank, _ := g.rank(now, canProvide)
 	if source, level := sourceRank(rank); level > 0 {
-		ranked := g.topRanked(source+1, func(call func(rankKey)) { g.eachCandidate(now, mayHave, call) })
+		ranked := g.topRanked(source+1, func(call func(rankKey)) { g.eachCandidate(now, canProvide, call) })
 		if slices.Contains(sources, ranked[source]) {
 			return ranked[source], true
 		}
@@ -80,8 +84,8 @@
 	return sources[int(rendezvousHash(g.self, g.incarnation)%uint64(len(sources)))], true
 }
 
-// sourceRank returns the place of the entry from which one at a place takes over the list, and how many hand it on before;
-// 0 for those that read the store.
+// sourceRank returns the rank of the entry from which the one at a given rank fetches the list, and how many
+// levels of the tree lie above it; level 0 are the store readers.
 func sourceRank(rank int) (source, level int) {
 	source = (rank - startReaders) / fetchersPerSource
 	for ; rank >= startReaders; level++ {
@@ -90,5 +94,5 @@
 	return source, level
 }
 
-// maxRounds is more than any zone takes until all its entries read.
+// maxRounds is more than any zone needs until all its entries read.
 const maxRounds = 16
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startingGroups returns the groups of entries of one zone that all start, and have heard each other at the start.
+// startingGroups returns the groups of the entries of one zone that all start, and have heard each other at the
+// start.
 func startingGroups(count int) []*Group {
 	var groups []*Group
 	for i := range count {
@@ -36,8 +37,8 @@
 	return count
 }
 
-// All entries of a zone start at once. Each of them read the whole list from the store; now two do, and ever more only as
-// long as nobody is up to date: all of a zone of any size read after some turns, which grow with its logarithm.
+// All entries of a zone start at once. Each of them read the whole list from the store. Two do first, and more
+// only while nobody is up to date: the rounds until all of a zone read grow with the logarithm of its size.
 func TestWhereAllStartAtOnceFewReadTheStore(t *testing.T) {
 	for _, count := range []int{2, 10, 80} {
 		groups := startingGroups(count)
@@ -50,9 +51,9 @@
 	require.Equal(t, 80, firstReaders(startingGroups(80), startWait+6*readRound))
 }
 
-// While a zone starts its first entries know none of those that start after them. They wait until no more become known,
-// though not for ever.
-func TestTheRanksAreBelievedOnceNoMoreBecomeKnown(t *testing.T) {
+// While a zone starts, its first entries don't know those that start after them. They wait until no more become
+// known, for a bounded time.
+func TestRanksAreUsedOnceMembershipHasSettled(t *testing.T) {
 	g := startingGroups(2)[0]
 	for at := 10 * time.Millisecond; at < settleLimit; at += 10 * time.Millisecond {
 		m := heartbeatFrom(entryAt(100+int(at/time.Millisecond)), "here")
@@ -63,7 +64,7 @@
 	require.True(t, g.ShouldReadAtStart(start.Add(settleLimit), settleLimit))
 }
 
-// An entry is the only one of its zone, or the seeds are down: it waits a little for others, and reads.
+// An entry that is alone in its zone, or whose seeds are down, waits a short time for others and then reads.
 func TestAnEntryThatHearsNoNeighbourReadsSoon(t *testing.T) {
 	g := New("self:1", "here", "i", []string{"seed:1"})
 	g.SetReadOptions(ReadOptions{Limit: changeLimit})
@@ -75,12 +76,12 @@
 	require.False(t, g.ShouldReadAtStart(start.Add(localPeerWait-1), localPeerWait-1))
 	require.True(t, g.ShouldReadAtStart(start.Add(localPeerWait), localPeerWait))
 	g.SetReadOptions(ReadOptions{Limit: minSharedReadLimit - 1})
-	require.True(t, g.ShouldReadAtStart(start, 0), "all read where changes have to be in force so soon")
+	require.True(t, g.ShouldReadAtStart(start, 0), "all read where the limit on changes is that short")
 }
 
-// Hundreds of entries start together. All of them took the list from the two that had read it, one after the other; now a
-// few do, and hand it on.
-func TestAListIsHandedOnFromFewToAll(t *testing.T) {
+// Hundreds of entries start together. All of them fetched the list from the two that had read it, one after the
+// other. They fetch it from a few that pass it on instead.
+func TestTheListSpreadsFromFewToAll(t *testing.T) {
 	const count = 200
 	groups := startingGroups(count)
 	has := make([]bool, count)
@@ -129,7 +130,7 @@
 	require.Equal(t, 3, rounds)
 }
 
-// The entry from which one is to take the list over is dead, or has an older one. It takes it from another one that has it.
+// The entry to fetch the list from has terminated, or has an older one. Another one that has the list is used.
 func TestAnEntryDoesNotWaitForASourceForEver(t *testing.T) {
 	groups := startingGroups(40)
 	g := groups[39]
--- a/proof/mutations/quarantine_mutations_test.go
+++ b/proof/mutations/quarantine_mutations_test.go
@@ -8,7 +8,7 @@
 	{"it is refused within an attempt", "entry/gateway/run.go", "		if cause, is := e.quarantined(now); is {\n", "		if cause, is := e.quarantined(now); is && e.core.Sent() == 0 {\n", gatewayPkg, "TestAnAttemptIsNotSentOn"},
 	{"all entries are told", "entry/gateway/quarantine.go", "	s.peers.tellRecord(record)\n}\n\n// isExpected", "	_ = record\n}\n\n// isExpected", gatewayPkg, "TestARequestThatEndsServers"},
 	{"entries of other zones are told", "entry/gateway/quarantine.go", "booking{far: p.group.RemoteZones()}", "booking{}", gatewayPkg, "TestEntriesOfOtherZonesAreTold"},
-	{"a restarted entry is told at once", "core/peering/group.go", "		known.recordsSentAt = time.Time{} // what the start before was told is lost\n", "		_ = known\n", peeringPkg, "TestARestartedEntryIsToldRecords"},
+	{"a restarted entry is told at once", "core/peering/group.go", "		known.recordsSentAt = time.Time{} // a restart loses all records\n", "		_ = known\n", peeringPkg, "TestARestartedEntryIsSentRecordsAtOnce"},
 	{"a lost record is told again", "entry/gateway/beats.go", "	m.SetRecordsDigest(s.watch.Digest())\n", "", gatewayPkg, "TestARecordThatIsLost"},
 	{"a server that lives is no end", "core/netopts/refuses.go", "			_ = connection.Close()\n			return false\n", "			_ = connection.Close()\n			return true\n", gatewayPkg, "TestARequestWhoseServersLive"},
 	{"a timeout that may be its own is looked at again", "core/netopts/refuses.go", "const looks = 2\n", "const looks = 1\n", "arbutusdeck/core/netopts", "TestATimeoutThatMayBe"},
