--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -113,10 +113,10 @@
 // Update holds the changes of the list of servers and of the evacuated zones between two revisions of the
 // platform.
 type Update struct {
-	Base       uint64             `cbor:"1,keyasint,omitempty"`
-	Revision   uint64             `cbor:"2,keyasint,omitempty"`
-	Servers    []directory.Server `cbor:"3,keyasint,omitempty"`
-	Tombstones []directory.Gone   `cbor:"4,keyasint,omitempty"`
+	BaseRevision uint64             `cbor:"1,keyasint,omitempty"`
+	UpToRevision uint64             `cbor:"2,keyasint,omitempty"`
+	Servers      []directory.Server `cbor:"3,keyasint,omitempty"`
+	Tombstones   []directory.Gone   `cbor:"4,keyasint,omitempty"`
 	// Evacuations are the zones whose evacuation was requested or ended.
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -122,7 +122,7 @@
 	require.True(t, s.avoids("there"))
 	s.adoptView(view{Revision: 15, Servers: s.directory.All(), Evacuations: []evacuation.State{}}, "one that has read the store since", true)
 	require.False(t, s.avoids("there"))
-	s.takeUpdate(peering.Update{Base: 15, Revision: 17, Evacuations: []evacuation.State{{Zone: "there", Revision: 16, Evacuated: true}}}, "reader")
+	s.takeUpdate(peering.Update{BaseRevision: 15, UpToRevision: 17, Evacuations: []evacuation.State{{Zone: "there", Revision: 16, Evacuated: true}}}, "reader")
 	require.True(t, s.avoids("there"))
 }
 
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -31,7 +31,7 @@
 	told.SetStoreState(peering.StoreState{Reads: true, Age: time.Second})
 	return []peering.Message{told, {Dispatches: []placement.Dispatch{d}, FirstEvents: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
 		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Reserved: []int64{1}}},
-		{Update: &peering.Update{Base: 1, Revision: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
+		{Update: &peering.Update{BaseRevision: 1, UpToRevision: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
 			Tombstones: []directory.Gone{{ID: "i-1", Revision: 3}}}},
 		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -149,12 +149,12 @@
 	servers, gone := s.directory.Rows(changedServers(changes))
 	s.mu.Unlock()
 	slices.SortFunc(servers, func(a, b directory.Server) int { return cmp.Compare(a.Revision, b.Revision) })
-	updates := []peering.Update{{Base: base, Revision: changes.Revision, Tombstones: gone, Evacuations: changes.Evacuations}}
+	updates := []peering.Update{{BaseRevision: base, UpToRevision: changes.Revision, Tombstones: gone, Evacuations: changes.Evacuations}}
 	for part := range slices.Chunk(servers, maxRows) {
 		last := &updates[len(updates)-1]
 		if len(last.Servers) > 0 {
-			last.Revision = last.Servers[len(last.Servers)-1].Revision
-			updates = append(updates, peering.Update{Base: last.Revision, Revision: changes.Revision})
+			last.UpToRevision = last.Servers[len(last.Servers)-1].Revision
+			updates = append(updates, peering.Update{BaseRevision: last.UpToRevision, UpToRevision: changes.Revision})
 			last = &updates[len(updates)-1]
 		}
 		last.Servers = part
@@ -186,8 +186,8 @@
 	s.mu.Lock()
 	noted := s.takeRows(update.Servers, update.Tombstones)
 	evacuations := s.takeEvacuations(update.Evacuations)
-	if !s.reading && s.revision != 0 && update.Base <= s.revision {
-		s.advance(update.Revision)
+	if !s.reading && s.revision != 0 && update.BaseRevision <= s.revision {
+		s.advance(update.UpToRevision)
 	}
 	s.mu.Unlock()
 	s.noteServers(noted, "peer "+from)
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -112,16 +112,16 @@
 		return directory.Server{ID: id, Service: "plain", Address: "127.0.0.1:1", Zone: "here", Slots: 1, Revision: revision}
 	}
 	s.replaceServers(platform.Changes{Revision: 10, Servers: []directory.Server{row("i-1", 9)}}, false)
-	s.takeUpdate(peering.Update{Base: 12, Revision: 13, Servers: []directory.Server{row("i-3", 13)}}, "peer")
+	s.takeUpdate(peering.Update{BaseRevision: 12, UpToRevision: 13, Servers: []directory.Server{row("i-3", 13)}}, "peer")
 	require.EqualValues(t, 10, s.position())
 	require.Len(t, w.available(s, "plain"), 2, "what was told is true all the same")
-	s.takeUpdate(peering.Update{Base: 10, Revision: 12, Tombstones: []directory.Gone{{ID: "i-1", Revision: 11}}}, "peer")
+	s.takeUpdate(peering.Update{BaseRevision: 10, UpToRevision: 12, Tombstones: []directory.Gone{{ID: "i-1", Revision: 11}}}, "peer")
 	require.EqualValues(t, 12, s.position())
 	require.Len(t, w.available(s, "plain"), 1)
-	s.takeUpdate(peering.Update{Base: 12, Revision: 13}, "peer")
+	s.takeUpdate(peering.Update{BaseRevision: 12, UpToRevision: 13}, "peer")
 	require.EqualValues(t, 13, s.position())
 	s.reading = true
-	s.takeUpdate(peering.Update{Base: 13, Revision: 14}, "peer")
+	s.takeUpdate(peering.Update{BaseRevision: 13, UpToRevision: 14}, "peer")
 	require.EqualValues(t, 13, s.position(), "a reader of the store rests on its own watch: the update holds no configuration")
 }
 
@@ -146,12 +146,12 @@
 	require.Len(t, updates, 3)
 	at, rows := uint64(1), 0
 	for _, update := range updates {
-		require.Equal(t, at, update.Base)
+		require.Equal(t, at, update.BaseRevision)
 		for _, server := range update.Servers {
-			require.Greater(t, server.Revision, update.Base)
-			require.LessOrEqual(t, server.Revision, update.Revision)
+			require.Greater(t, server.Revision, update.BaseRevision)
+			require.LessOrEqual(t, server.Revision, update.UpToRevision)
 		}
-		at, rows = update.Revision, rows+len(update.Servers)
+		at, rows = update.UpToRevision, rows+len(update.Servers)
 		message := peering.Message{From: "127.127.127.127:65535", Update: &update}
 		data, err := peering.Encode(message)
 		require.NoError(t, err)
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -233,7 +233,7 @@
 
 // tellChange tells the zone of a change of one row.
 func (e *entry) tellChange() {
-	update := &peering.Update{Base: e.revision - 1, Revision: e.revision}
+	update := &peering.Update{BaseRevision: e.revision - 1, UpToRevision: e.revision}
 	e.send(e.group.RunningIn(e.now(), e.zone), peering.Message{Update: update}, Updating)
 }
 
@@ -263,8 +263,8 @@
 	now := e.now()
 	e.fleet.result.received(e)
 	sender := e.group.Observe(now, m)
-	if m.Update != nil && m.Update.Revision > e.revision && e.revision > 0 {
-		e.revision = m.Update.Revision
+	if m.Update != nil && m.Update.UpToRevision > e.revision && e.revision > 0 {
+		e.revision = m.Update.UpToRevision
 		e.fleet.result.learned(e, e.revision)
 	}
 	if m.Revision > e.revision && e.serving && !e.behind {
