--- a/core/coldstart/limiter.go
+++ b/core/coldstart/limiter.go
@@ -9,28 +9,28 @@
 
 import "time"
 
-// interval is the time in which an entry sends a cold server one request at the most.
-const interval = time.Second
+// sendInterval is the time in which an entry sends a cold server one request at the most.
+const sendInterval = time.Second
 
-// knownShare is the part of what a server bears that entries use which know each other.
-const knownShare = 0.5
+// mutuallyKnownShare is the part of what a server bears that entries use which know each other.
+const mutuallyKnownShare = 0.5
 
 // RankFunc says which place an entry takes among those that it knows, itself included, for a server; the first is 0.
 type RankFunc func(start string) int
 
 // MaxSenders is how many entries may send to a server that bears a number of requests a second. One always may: a service
 // whose servers are all cold would otherwise never warm up.
-func MaxSenders(perSecond float64) int { return max(int(knownShare*perSecond), 1) }
+func MaxSenders(perSecond float64) int { return max(int(mutuallyKnownShare*perSecond), 1) }
 
 // Limiter knows which servers are cold, and when this entry has sent them requests. It is not safe for concurrent use.
 type Limiter struct{ servers map[string]*server }
 
 type server struct {
-	until time.Time
-	sent  time.Time
-	// place is this entry's among all, once placed.
-	place  int
-	placed bool
+	until    time.Time
+	lastSent time.Time
+	// rank is this entry's among all, once placed.
+	rank   int
+	ranked bool
 }
 
 // NewLimiter returns a limiter that takes no server for cold.
@@ -55,31 +55,31 @@
 }
 
 // Allows says whether a request may be sent to a server that bears a number of them a second while it is cold.
-func (l *Limiter) Allows(now time.Time, start string, perSecond float64, places RankFunc) bool {
+func (l *Limiter) Allows(now time.Time, start string, perSecond float64, rank RankFunc) bool {
 	if !l.IsCold(now, start) {
 		return true
 	}
 	known := l.servers[start]
-	if !known.sent.IsZero() && now.Sub(known.sent) < interval {
+	if !known.lastSent.IsZero() && now.Sub(known.lastSent) < sendInterval {
 		return false
 	}
-	if !known.placed {
-		known.place, known.placed = places(start), true
+	if !known.ranked {
+		known.rank, known.ranked = rank(start), true
 	}
-	return known.place < MaxSenders(perSecond)
+	return known.rank < MaxSenders(perSecond)
 }
 
 // RecordSend notes that a request is sent to a server.
 func (l *Limiter) RecordSend(now time.Time, start string) {
 	if l.IsCold(now, start) {
-		l.servers[start].sent = now
+		l.servers[start].lastSent = now
 	}
 }
 
 // ResetRanks forgets the places among other entries, after this process was suspended.
 func (l *Limiter) ResetRanks() {
 	for _, known := range l.servers {
-		known.placed = false
+		known.ranked = false
 	}
 }
 
--- a/core/coldstart/limiter_test.go
+++ b/core/coldstart/limiter_test.go
@@ -22,8 +22,8 @@
 	l.MarkCold("a", start.Add(3*time.Second))
 	require.True(t, l.Allows(start, "a", 40, first))
 	l.RecordSend(start, "a")
-	require.False(t, l.Allows(start.Add(interval-time.Millisecond), "a", 40, first))
-	require.True(t, l.Allows(start.Add(interval), "a", 40, first))
+	require.False(t, l.Allows(start.Add(sendInterval-time.Millisecond), "a", 40, first))
+	require.True(t, l.Allows(start.Add(sendInterval), "a", 40, first))
 	l.RecordSend(start, "b")
 	require.True(t, l.Allows(start, "b", 40, first), "a warm server")
 	require.True(t, l.Allows(start.Add(3*time.Second), "a", 40, first), "it is warm by now")
@@ -36,9 +36,9 @@
 	l := NewLimiter()
 	l.MarkCold("a", start.Add(time.Second))
 	l.MarkCold("b", start.Add(time.Second))
-	places := func(start string) int { return map[string]int{"a": 19, "b": 20}[start] }
-	require.True(t, l.Allows(start, "a", 40, places))
-	require.False(t, l.Allows(start, "b", 40, places))
+	rank := func(start string) int { return map[string]int{"a": 19, "b": 20}[start] }
+	require.True(t, l.Allows(start, "a", 40, rank))
+	require.False(t, l.Allows(start, "b", 40, rank))
 	require.Equal(t, 1, MaxSenders(0.5))
 }
 
@@ -46,19 +46,19 @@
 type entry struct {
 	name    string
 	limiter *Limiter
-	// knows are the names of the entries that it knows, its own among them.
-	knows []string
+	// known are the names of the entries that it known, its own among them.
+	known []string
 }
 
-func (e *entry) place(start string) int {
-	place := 0
+func (e *entry) rank(start string) int {
+	rank := 0
 	own := xxhash.Sum64String(e.name + start)
-	for _, name := range e.knows {
+	for _, name := range e.known {
 		if xxhash.Sum64String(name+start) > own {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 // Entries come, go, know all others or only themselves, and send to a cold server whenever they may. Whatever happens,
@@ -72,12 +72,12 @@
 		for i := range count {
 			all = append(all, fmt.Sprint("entry-", i))
 		}
-		strangers := rapid.IntRange(0, min(count, int(math.Floor(knownShare*perSecond)))).Draw(r, "know only themselves")
+		isolated := rapid.IntRange(0, min(count, int(math.Floor(mutuallyKnownShare*perSecond)))).Draw(r, "know only themselves")
 		entries := make([]*entry, count)
 		for i := range entries {
-			e := &entry{name: all[i], limiter: NewLimiter(), knows: all}
-			if i < strangers {
-				e.knows = all[i : i+1]
+			e := &entry{name: all[i], limiter: NewLimiter(), known: all}
+			if i < isolated {
+				e.known = all[i : i+1]
 			}
 			e.limiter.MarkCold("s", start.Add(time.Minute))
 			entries[i] = e
@@ -87,14 +87,14 @@
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "pause")) * time.Millisecond)
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, count-1), 0, count).Draw(r, "who") {
-				if e := entries[i]; e.limiter.Allows(now, "s", perSecond, e.place) {
+				if e := entries[i]; e.limiter.Allows(now, "s", perSecond, e.rank) {
 					e.limiter.RecordSend(now, "s")
 					sent = append(sent, now)
 				}
 			}
 		}
 		for i, from := range sent {
-			end, _ := slices.BinarySearchFunc(sent, from.Add(interval), func(a, b time.Time) int { return a.Compare(b) })
+			end, _ := slices.BinarySearchFunc(sent, from.Add(sendInterval), func(a, b time.Time) int { return a.Compare(b) })
 			require.LessOrEqual(r, float64(end-i), max(perSecond, 1))
 		}
 	})
--- a/core/evacuation/zones.go
+++ b/core/evacuation/zones.go
@@ -45,9 +45,9 @@
 		}
 	}
 	for _, zone := range z.Evacuated() {
-		back := State{Zone: zone, Revision: revision}
-		if !isListed[zone] && z.Apply(back) {
-			changed = append(changed, back)
+		ended := State{Zone: zone, Revision: revision}
+		if !isListed[zone] && z.Apply(ended) {
+			changed = append(changed, ended)
 		}
 	}
 	return changed
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -56,16 +56,16 @@
 }
 
 type member struct {
-	state       State
-	incarnation execution.Incarnation
-	left        map[execution.Incarnation]bool
-	failures    int
-	backoff     time.Duration
-	retryAt     time.Time
-	heard       time.Time
-	since       time.Time
-	listed      bool
-	listLeaving time.Time
+	state            State
+	incarnation      execution.Incarnation
+	drained          map[execution.Incarnation]bool
+	failures         int
+	backoff          time.Duration
+	retryAt          time.Time
+	lastHeard        time.Time
+	incarnationSince time.Time
+	listed           bool
+	listedDrainingAt time.Time
 }
 
 // View is the belief about all configured servers.
@@ -87,7 +87,7 @@
 	for _, name := range servers {
 		wanted[name] = true
 		if v.members[name] == nil {
-			v.members[name] = &member{state: Unknown, since: now, left: map[execution.Incarnation]bool{}}
+			v.members[name] = &member{state: Unknown, incarnationSince: now, drained: map[execution.Incarnation]bool{}}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
@@ -107,23 +107,23 @@
 	if m == nil || incarnation == "" {
 		return nil
 	}
-	if m.left[incarnation] && !draining {
+	if m.drained[incarnation] && !draining {
 		// A late message of an incarnation that has said it is leaving must
 		// not bring it back.
 		return nil
 	}
-	m.heard = now
+	m.lastHeard = now
 	if incarnation != m.incarnation {
 		m.incarnation = incarnation
-		m.since = now
-		m.listLeaving = time.Time{}
+		m.incarnationSince = now
+		m.listedDrainingAt = time.Time{}
 	}
 	if draining {
-		m.left[incarnation] = true
-		return m.move(server, Draining, "its daemon is stopping")
+		m.drained[incarnation] = true
+		return m.transition(server, Draining, "its daemon is stopping")
 	}
 	m.failures, m.backoff = 0, 0
-	return m.move(server, Live, "its daemon answered")
+	return m.transition(server, Live, "its daemon answered")
 }
 
 // RecordFailure takes in a failure to reach the server.
@@ -145,7 +145,7 @@
 	if m.state == Draining {
 		return nil
 	}
-	return m.move(server, Suspect, "it can't be reached")
+	return m.transition(server, Suspect, "it can't be reached")
 }
 
 // ListedServer is one row of the platform's host list.
@@ -162,60 +162,60 @@
 	for _, row := range rows {
 		if m := v.members[row.Server]; m != nil {
 			present[row.Server] = true
-			changes = append(changes, m.listedAs(now, row)...)
+			changes = append(changes, m.applyListed(now, row)...)
 		}
 	}
-	vanished := 0
+	missing := 0
 	for name, m := range v.members {
 		if m.listed && !present[name] {
-			vanished++
+			missing++
 		}
 	}
-	if vanished > 1 && float64(vanished) > v.options.MaxShrinkShare*float64(v.listed) {
+	if missing > 1 && float64(missing) > v.options.MaxShrinkShare*float64(v.listed) {
 		return changes, false
 	}
 	v.listed = len(present)
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		if m.listed && !present[name] && now.Sub(m.heard) > v.options.ProbeBackoff {
-			changes = append(changes, m.vanish(now, name, v.options)...)
+		if m.listed && !present[name] && now.Sub(m.lastHeard) > v.options.ProbeBackoff {
+			changes = append(changes, m.markMissing(now, name, v.options)...)
 		}
 		m.listed = present[name]
 	}
 	return changes, true
 }
 
-func (m *member) vanish(now time.Time, name string, options Options) []Change {
+func (m *member) markMissing(now time.Time, name string, options Options) []Change {
 	if m.state == Draining {
 		return nil
 	}
 	m.retryAt = now.Add(options.ProbeBackoff)
-	return m.move(name, Suspect, "it vanished from the host list")
+	return m.transition(name, Suspect, "it vanished from the host list")
 }
 
-// listedAs believes a leaving notice at once, since the promise is that a
+// applyListed believes a leaving notice at once, since the promise is that a
 // leaving server gets no new work; it is undone only by another incarnation.
-func (m *member) listedAs(now time.Time, row ListedServer) []Change {
+func (m *member) applyListed(now time.Time, row ListedServer) []Change {
 	if !row.Draining {
 		return nil
 	}
 	if m.incarnation == "" {
-		m.listLeaving = now
-		return m.move(row.Server, Draining, "the host list says so")
+		m.listedDrainingAt = now
+		return m.transition(row.Server, Draining, "the host list says so")
 	}
-	if m.listLeaving.IsZero() && now.Sub(m.since) < HostListLag {
+	if m.listedDrainingAt.IsZero() && now.Sub(m.incarnationSince) < HostListLag {
 		// The lagging list still tells of the incarnation before this one.
 		return nil
 	}
-	m.listLeaving = now
-	m.left[m.incarnation] = true
-	return m.move(row.Server, Draining, "the host list says so")
+	m.listedDrainingAt = now
+	m.drained[m.incarnation] = true
+	return m.transition(row.Server, Draining, "the host list says so")
 }
 
 // HostListLag is how far the list may lag behind a restarted server.
 const HostListLag = 20 * time.Second
 
-func (m *member) move(server string, to State, why string) []Change {
+func (m *member) transition(server string, to State, why string) []Change {
 	if m.state == to {
 		return nil
 	}
@@ -232,7 +232,7 @@
 		m := v.members[name]
 		if m.state == Live {
 			m.retryAt = now
-			changes = append(changes, m.move(name, Unknown, "this process was paused")...)
+			changes = append(changes, m.transition(name, Unknown, "this process was paused")...)
 		}
 	}
 	return changes
@@ -288,7 +288,7 @@
 // FirstObserved returns when the present incarnation was first heard.
 func (v *View) FirstObserved(server string) time.Time {
 	if m := v.members[server]; m != nil {
-		return m.since
+		return m.incarnationSince
 	}
 	return time.Time{}
 }
@@ -306,7 +306,7 @@
 	var rows []Member
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, Heard: m.heard})
+		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, Heard: m.lastHeard})
 	}
 	return rows
 }
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -25,13 +25,13 @@
 	w := NewTracker()
 	for i := range MaxRecords {
 		for _, server := range []string{"a", "b", "c"} {
-			w.ServerCrashed(start, named(fmt.Sprint(i)), fmt.Sprint(server, i))
+			w.ServerCrashed(start, request(fmt.Sprint(i)), fmt.Sprint(server, i))
 		}
 	}
-	f := named("0")
+	f := request("0")
 	b.Run("ended", func(b *testing.B) {
 		for i := range b.N {
-			w.ServerCrashed(start.Add(time.Duration(i)), named("new"), "a")
+			w.ServerCrashed(start.Add(time.Duration(i)), request("new"), "a")
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
--- a/core/quarantine/exonerated.go
+++ b/core/quarantine/exonerated.go
@@ -10,40 +10,40 @@
 	// caller, and short enough that a request which servers no longer bear after a release is
 	// soon recognised.
 	ExonerationTime = 10 * time.Second
-	// maxAnswered bounds the answers that are remembered, twice: an entry answers some 50
+	// maxExonerated bounds the answers that are remembered, twice: an entry answers some 50
 	// requests a second.
-	maxAnswered = 1024
+	maxExonerated = 1024
 )
 
-// answered remembers which requests have had a whole answer lately, in two generations: the
+// exonerated remembers which requests have had a whole answer lately, in two generations: the
 // newer one becomes the older one when it is AnsweredTime old, or full.
-type answered struct {
-	newer, older map[Fingerprint]bool
-	since        time.Time
+type exonerated struct {
+	current, previous map[Fingerprint]bool
+	since             time.Time
 }
 
-func (a *answered) add(now time.Time, f Fingerprint) {
-	a.turn(now)
-	if len(a.newer) >= maxAnswered {
-		a.older, a.newer, a.since = a.newer, nil, now
+func (e *exonerated) add(now time.Time, f Fingerprint) {
+	e.rotate(now)
+	if len(e.current) >= maxExonerated {
+		e.previous, e.current, e.since = e.current, nil, now
 	}
-	if a.newer == nil {
-		a.newer = map[Fingerprint]bool{}
+	if e.current == nil {
+		e.current = map[Fingerprint]bool{}
 	}
-	a.newer[f] = true
+	e.current[f] = true
 }
 
-func (a *answered) has(now time.Time, f Fingerprint) bool {
-	a.turn(now)
-	return a.newer[f] || a.older[f]
+func (e *exonerated) has(now time.Time, f Fingerprint) bool {
+	e.rotate(now)
+	return e.current[f] || e.previous[f]
 }
 
-// turn forgets what is too old.
-func (a *answered) turn(now time.Time) {
-	switch age := now.Sub(a.since); {
+// rotate forgets what is too old.
+func (e *exonerated) rotate(now time.Time) {
+	switch age := now.Sub(e.since); {
 	case age >= 2*ExonerationTime:
-		a.older, a.newer, a.since = nil, nil, now
+		e.previous, e.current, e.since = nil, nil, now
 	case age >= ExonerationTime:
-		a.older, a.newer, a.since = a.newer, nil, now
+		e.previous, e.current, e.since = e.current, nil, now
 	}
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -28,38 +28,38 @@
 // record is a Record as an entry keeps it.
 type record struct {
 	cleared uint32
-	// ended is in ascending order.
-	ended []uint64
+	// crashes is in ascending order.
+	crashes []uint64
 	// changed is when the last end or clearing was.
 	changed time.Time
 }
 
-// add adds an end and returns whether that is new. Of more than EndsInAnyCase the least hashes
+// addCrash adds an end and returns whether that is new. Of more than EndsInAnyCase the least hashes
 // are kept, so that entries that hear of the same ends keep the same ones.
-func (r *record) add(end uint64) bool {
-	at, found := slices.BinarySearch(r.ended, end)
+func (r *record) addCrash(end uint64) bool {
+	at, found := slices.BinarySearch(r.crashes, end)
 	if found || at >= CrashLimit {
 		return false
 	}
-	r.ended = slices.Insert(r.ended, at, end)
-	r.ended = r.ended[:min(len(r.ended), CrashLimit)]
+	r.crashes = slices.Insert(r.crashes, at, end)
+	r.crashes = r.crashes[:min(len(r.crashes), CrashLimit)]
 	return true
 }
 
-// join takes in another entry's record of the same request, and returns whether anything is new.
-func (r *record) join(told Record, changed time.Time) bool {
-	if told.Cleared < r.cleared {
+// merge takes in another entry's record of the same request, and returns whether anything is new.
+func (r *record) merge(other Record, changed time.Time) bool {
+	if other.Cleared < r.cleared {
 		return false
 	}
-	isNew := told.Cleared > r.cleared
-	if isNew {
-		r.cleared, r.ended = told.Cleared, nil
+	changes := other.Cleared > r.cleared
+	if changes {
+		r.cleared, r.crashes = other.Cleared, nil
 	}
-	for _, end := range told.Crashes {
-		isNew = r.add(end) || isNew
+	for _, end := range other.Crashes {
+		changes = r.addCrash(end) || changes
 	}
-	if isNew && changed.After(r.changed) {
+	if changes && changed.After(r.changed) {
 		r.changed = changed
 	}
-	return isNew
+	return changes
 }
--- a/core/quarantine/separator_test.go
+++ b/core/quarantine/separator_test.go
@@ -10,12 +10,12 @@
 // long as that may end it, and no longer; the first one may go there again.
 func TestSuspectsAreKeptApartForAWhile(t *testing.T) {
 	a := NewSeparator()
-	a.RecordSend(start, named("one"), "a")
-	a.RecordSend(start, named("two"), "b")
-	require.Equal(t, []string{"a"}, a.ServersOfOthers(start, named("two")))
-	require.Equal(t, []string{"b"}, a.ServersOfOthers(start, named("one")))
-	require.Equal(t, []string{"a", "b"}, a.ServersOfOthers(start.Add(apartTime-1), named("three")))
-	require.Empty(t, a.ServersOfOthers(start.Add(apartTime), named("three")))
+	a.RecordSend(start, request("one"), "a")
+	a.RecordSend(start, request("two"), "b")
+	require.Equal(t, []string{"a"}, a.ServersOfOthers(start, request("two")))
+	require.Equal(t, []string{"b"}, a.ServersOfOthers(start, request("one")))
+	require.Equal(t, []string{"a", "b"}, a.ServersOfOthers(start.Add(separationTime-1), request("three")))
+	require.Empty(t, a.ServersOfOthers(start.Add(separationTime), request("three")))
 	require.Empty(t, a.sent)
 }
 
@@ -23,7 +23,7 @@
 // end are there once: were they kept apart, answers would not be packed while servers are few.
 func TestOnlyWhatWasAtTwoEndsIsASuspect(t *testing.T) {
 	w := NewTracker()
-	f := named("sound")
+	f := request("sound")
 	for i, server := range []string{"a", "b", "c"} {
 		require.Equal(t, i >= 2, w.IsSuspect(f))
 		w.ServerCrashed(start, f, server)
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -36,14 +36,14 @@
 
 // RecentlyStarted says whether a request had just begun at a server that has ended: it had no event
 // from it (answerBegan is zero), or its first one lately.
-func RecentlyStarted(now, answerBegan time.Time) bool {
-	return answerBegan.IsZero() || now.Sub(answerBegan) < StartWindow
+func RecentlyStarted(now, firstEvent time.Time) bool {
+	return firstEvent.IsZero() || now.Sub(firstEvent) < StartWindow
 }
 
 // Tracker remembers requests under which servers have ended. It is not safe for concurrent use.
 type Tracker struct {
-	records  map[Fingerprint]*record
-	answered answered
+	records    map[Fingerprint]*record
+	exonerated exonerated
 }
 
 // NewTracker returns a watch that knows no request.
@@ -56,69 +56,69 @@
 // It returns what the other entries are to be told; false if nothing is new. A request that was
 // answered lately is not at fault.
 func (w *Tracker) ServerCrashed(now time.Time, f Fingerprint, start string) (Record, bool) {
-	if w.answered.has(now, f) {
+	if w.exonerated.has(now, f) {
 		return Record{}, false
 	}
 	r := w.records[f]
 	if r == nil {
-		r = w.make(f)
+		r = w.insert(f)
 	}
-	if !r.add(hashOf(start)) {
+	if !r.addCrash(hashOf(start)) {
 		return Record{}, false
 	}
 	r.changed = now
-	return r.told(now, f), true
+	return r.export(now, f), true
 }
 
 // Completed takes in that a request has got a whole answer that tells of success: no server ends
 // under it. It returns what the other entries are to be told; false if nothing was believed of it.
 func (w *Tracker) Completed(now time.Time, f Fingerprint) (Record, bool) {
-	w.answered.add(now, f)
+	w.exonerated.add(now, f)
 	r := w.records[f]
-	if r == nil || len(r.ended) == 0 {
+	if r == nil || len(r.crashes) == 0 {
 		return Record{}, false
 	}
 	r.cleared++
-	r.ended, r.changed = nil, now
-	return r.told(now, f), true
+	r.crashes, r.changed = nil, now
+	return r.export(now, f), true
 }
 
 // Merge takes in what another entry tells. It returns the requests of which something is new.
-func (w *Tracker) Merge(now time.Time, told []Record) []Fingerprint {
-	var news []Fingerprint
-	for _, t := range told {
+func (w *Tracker) Merge(now time.Time, records []Record) []Fingerprint {
+	var changed []Fingerprint
+	for _, t := range records {
 		if t.Age < 0 || t.Age >= RecordTTL {
 			continue
 		}
 		r := w.records[t.Fingerprint]
 		if r == nil {
-			r = w.make(t.Fingerprint)
+			r = w.insert(t.Fingerprint)
 		}
-		if r.join(t, now.Add(-t.Age)) {
-			news = append(news, t.Fingerprint)
+		if r.merge(t, now.Add(-t.Age)) {
+			changed = append(changed, t.Fingerprint)
 		}
 	}
-	return news
+	return changed
 }
 
-// make adds a record without an end. Where there are too many the one with the fewest ends
+// insert adds a record without an end. Where there are too many the one with the fewest ends
 // goes, the oldest of these: those that are refused stay.
-func (w *Tracker) make(f Fingerprint) *record {
+func (w *Tracker) insert(f Fingerprint) *record {
 	if len(w.records) >= MaxRecords {
-		delete(w.records, w.least())
+		delete(w.records, w.evictionCandidate())
 	}
 	r := &record{}
 	w.records[f] = r
 	return r
 }
 
-func (w *Tracker) least() Fingerprint {
+func (w *Tracker) evictionCandidate() Fingerprint {
 	var found Fingerprint
 	var least *record
 	for f, r := range w.records {
 		order := -1
 		if least != nil {
-			order = cmp.Or(cmp.Compare(len(r.ended), len(least.ended)), r.changed.Compare(least.changed), Compare(f, found))
+			order = cmp.Or(cmp.Compare(len(r.crashes), len(least.crashes)), r.changed.Compare(least.changed), Compare(f, found))
 		}
 		if order < 0 {
 			found, least = f, r
@@ -131,45 +131,45 @@
 // be sent.
 func (w *Tracker) RefusedFor(now time.Time, f Fingerprint) time.Duration {
 	r := w.records[f]
-	if r == nil || len(r.ended) < CrashLimit && w.charged(f, r) < AttributedCrashLimit {
+	if r == nil || len(r.crashes) < CrashLimit && w.attributedCrashes(f, r) < AttributedCrashLimit {
 		return 0
 	}
 	return max(RecordTTL-now.Sub(r.changed), 0)
 }
 
-// suspectedEnds is from how many ends on a request is a suspect, which is kept apart from others.
-const suspectedEnds = 2
+// suspectCrashes is from how many ends on a request is a suspect, which is kept apart from others.
+const suspectCrashes = 2
 
 // IsSuspect says whether a request may well be the reason why servers have ended.
 func (w *Tracker) IsSuspect(f Fingerprint) bool {
 	r := w.records[f]
-	return r != nil && len(r.ended) >= suspectedEnds
+	return r != nil && len(r.crashes) >= suspectCrashes
 }
 
-// charged is the number of ends of servers that no other request explains as well. One does that
+// attributedCrashes is the number of ends of servers that no other request explains as well. One does that
 // was there too and was at as many ends, or at one less: of the newest end it may not have been
 // heard yet, and without that allowance a request beside the one at fault would be taken for it
 // until the news is there.
-func (w *Tracker) charged(f Fingerprint, r *record) int {
-	if len(r.ended) < AttributedCrashLimit {
+func (w *Tracker) attributedCrashes(f Fingerprint, r *record) int {
+	if len(r.crashes) < AttributedCrashLimit {
 		return 0
 	}
-	count := len(r.ended)
-	for _, end := range r.ended {
-		if w.explained(end, f, len(r.ended)-1) {
+	count := len(r.crashes)
+	for _, end := range r.crashes {
+		if w.isExplained(end, f, len(r.crashes)-1) {
 			count--
 		}
 	}
 	return count
 }
 
-// explained says whether another request was at an end, and at as many ends in all as given.
-func (w *Tracker) explained(end uint64, f Fingerprint, ends int) bool {
+// isExplained says whether another request was at an end, and at as many ends in all as given.
+func (w *Tracker) isExplained(crash uint64, f Fingerprint, crashes int) bool {
 	for other, o := range w.records {
-		if other == f || len(o.ended) < ends {
+		if other == f || len(o.crashes) < crashes {
 			continue
 		}
-		if _, found := slices.BinarySearch(o.ended, end); found {
+		if _, found := slices.BinarySearch(o.crashes, crash); found {
 			return true
 		}
 	}
@@ -200,7 +200,7 @@
 func (w *Tracker) Records(now time.Time) []Record {
 	records := make([]Record, 0, len(w.records))
 	for f, r := range w.records {
-		records = append(records, r.told(now, f))
+		records = append(records, r.export(now, f))
 	}
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), Compare(a.Fingerprint, b.Fingerprint))
@@ -208,14 +208,14 @@
 	return records
 }
 
-// told returns a record as other entries are told of it.
-func (r *record) told(now time.Time, f Fingerprint) Record {
-	return Record{Fingerprint: f, Cleared: r.cleared, Crashes: slices.Clone(r.ended), Age: max(now.Sub(r.changed), 0)}
+// export returns a record as other entries are export of it.
+func (r *record) export(now time.Time, f Fingerprint) Record {
+	return Record{Fingerprint: f, Cleared: r.cleared, Crashes: slices.Clone(r.crashes), Age: max(now.Sub(r.changed), 0)}
 }
 
-// leastSummed is how many ends a record has that counts for Sum. Most records have one, of
+// minDigestCrashes is how many ends a record has that counts for Sum. Most records have one, of
 // requests that ran beside others, and decide nothing.
-const leastSummed = 2
+const minDigestCrashes = 2
 
 // Digest stands for the records that matter. Entries tell it with their heartbeats; those whose
 // sums differ tell each other their records, so that a record that was lost on its way reaches
@@ -223,11 +223,11 @@
 func (w *Tracker) Digest() uint32 {
 	sum := uint64(0)
 	for f, r := range w.records {
-		if len(r.ended) < leastSummed {
+		if len(r.crashes) < minDigestCrashes {
 			continue
 		}
 		data := binary.BigEndian.AppendUint32(slices.Clone(f[:]), r.cleared)
-		for _, end := range r.ended {
+		for _, end := range r.crashes {
 			data = binary.BigEndian.AppendUint64(data, end)
 		}
 		sum += xxhash.Sum64(data)
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func named(name string) Fingerprint {
+func request(name string) Fingerprint {
 	return FingerprintOf("press", "POST", "press.example", "/stream/"+name, []byte(name))
 }
 
@@ -20,7 +20,7 @@
 // on, for as long as it is remembered, and not before.
 func TestARequestIsRefusedOnceThreeServersHaveEndedUnderIt(t *testing.T) {
 	w := NewTracker()
-	f := named("fatal")
+	f := request("fatal")
 	for i, server := range []string{"a", "b", "b", "c"} {
 		require.Zero(t, w.RefusedFor(start, f), server)
 		_, isNew := w.ServerCrashed(start, f, server)
@@ -28,7 +28,7 @@
 	}
 	require.Equal(t, RecordTTL, w.RefusedFor(start, f))
 	require.Equal(t, RecordTTL-time.Minute, w.RefusedFor(start.Add(time.Minute), f))
-	require.Zero(t, w.RefusedFor(start, named("another")))
+	require.Zero(t, w.RefusedFor(start, request("another")))
 	w.Expire(start.Add(RecordTTL - 1))
 	require.False(t, w.Empty())
 	w.Expire(start.Add(RecordTTL))
@@ -41,7 +41,7 @@
 // refused once it was at two ends more.
 func TestARequestBesideTheOneAtFaultIsNotTakenForIt(t *testing.T) {
 	w := NewTracker()
-	fatal, sound := named("fatal"), named("sound")
+	fatal, sound := request("fatal"), request("sound")
 	for _, server := range []string{"a", "b"} {
 		w.ServerCrashed(start, sound, server)
 		w.ServerCrashed(start, fatal, server)
@@ -62,19 +62,19 @@
 func TestTwoAtFaultDoNotHideEachOther(t *testing.T) {
 	w := NewTracker()
 	for i := range CrashLimit {
-		require.Zero(t, w.RefusedFor(start, named("one")))
-		w.ServerCrashed(start, named("one"), fmt.Sprint(i))
-		w.ServerCrashed(start, named("two"), fmt.Sprint(i))
+		require.Zero(t, w.RefusedFor(start, request("one")))
+		w.ServerCrashed(start, request("one"), fmt.Sprint(i))
+		w.ServerCrashed(start, request("two"), fmt.Sprint(i))
 	}
-	require.Positive(t, w.RefusedFor(start, named("one")))
-	require.Positive(t, w.RefusedFor(start, named("two")))
+	require.Positive(t, w.RefusedFor(start, request("one")))
+	require.Positive(t, w.RefusedFor(start, request("two")))
 }
 
 // A request was beside others at ends of servers and is answered in whole. What is told of it
 // late, or once more, must not make it suspect again; what happens after that counts.
 func TestAWholeAnswerClearsARequest(t *testing.T) {
 	w := NewTracker()
-	f := named("sound")
+	f := request("sound")
 	late, _ := w.ServerCrashed(start, f, "a")
 	w.ServerCrashed(start, f, "b")
 	w.ServerCrashed(start, f, "c")
@@ -96,7 +96,7 @@
 // be refused when they are back. Only a request that is no longer answered is suspected.
 func TestARequestThatWasAnsweredLatelyIsNotAtFault(t *testing.T) {
 	w := NewTracker()
-	f := named("status")
+	f := request("status")
 	_, isNew := w.Completed(start, f)
 	require.False(t, isNew, "nothing is believed of it")
 	for _, server := range []string{"a", "b", "c"} {
@@ -114,10 +114,10 @@
 // and the newest ones are among it.
 func TestAnswersThatAreRememberedAreBounded(t *testing.T) {
 	w := NewTracker()
-	for i := range 10 * maxAnswered {
-		f := named(fmt.Sprint(i))
+	for i := range 10 * maxExonerated {
+		f := request(fmt.Sprint(i))
 		w.Completed(start.Add(time.Duration(i)*time.Millisecond), f)
-		require.LessOrEqual(t, len(w.answered.newer)+len(w.answered.older), 2*maxAnswered)
+		require.LessOrEqual(t, len(w.exonerated.current)+len(w.exonerated.previous), 2*maxExonerated)
 		_, isNew := w.ServerCrashed(start.Add(time.Duration(i)*time.Millisecond), f, "a")
 		require.False(t, isNew)
 	}
@@ -128,27 +128,27 @@
 func TestWhatIsRememberedIsBounded(t *testing.T) {
 	w := NewTracker()
 	for _, server := range []string{"a", "b", "c"} {
-		w.ServerCrashed(start, named("fatal"), server)
+		w.ServerCrashed(start, request("fatal"), server)
 	}
 	for i := range 20_000 {
 		at := start.Add(time.Duration(i) * time.Millisecond)
-		w.ServerCrashed(at, named(fmt.Sprint(i)), fmt.Sprint("s", i))
+		w.ServerCrashed(at, request(fmt.Sprint(i)), fmt.Sprint("s", i))
 		require.LessOrEqual(t, len(w.records), MaxRecords)
 	}
-	require.Positive(t, w.RefusedFor(start, named("fatal")))
+	require.Positive(t, w.RefusedFor(start, request("fatal")))
 	require.Len(t, w.records, MaxRecords)
 	require.Len(t, w.AllRefused(start), 1)
 	for i := range 100 {
-		w.ServerCrashed(start, named("fatal"), fmt.Sprint("t", i))
+		w.ServerCrashed(start, request("fatal"), fmt.Sprint("t", i))
 	}
-	require.Len(t, w.records[named("fatal")].ended, CrashLimit)
+	require.Len(t, w.records[request("fatal")].crashes, CrashLimit)
 }
 
 // What another entry tells of times that are past or to come can't keep a request for longer
 // than its term.
 func TestTellingDoesNotKeepARequestForLonger(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
-	f := named("fatal")
+	f := request("fatal")
 	for _, server := range []string{"a", "b", "c"} {
 		first.ServerCrashed(start, f, server)
 	}
@@ -167,7 +167,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		watches := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
 		var told []Record
-		requests := []Fingerprint{named("a"), named("b"), named("c")}
+		requests := []Fingerprint{request("a"), request("b"), request("c")}
 		now := start
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, ExonerationTime, 2 * ExonerationTime}).Draw(t, "pause"))
@@ -210,7 +210,7 @@
 func TestSoundRequestsAreNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := NewTracker()
-		fatal := named("fatal")
+		fatal := request("fatal")
 		sent := map[Fingerprint]int{}
 		servers := 0
 		for w.RefusedFor(start, fatal) == 0 {
@@ -219,7 +219,7 @@
 			require.LessOrEqual(t, servers, CrashLimit)
 			order := []Fingerprint{fatal}
 			for i := range rapid.IntRange(0, 6).Draw(t, "beside") {
-				f := named(fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "which")))
+				f := request(fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "which")))
 				if sent[f] < 4 && !slices.Contains(order, f) {
 					sent[f]++
 					order = slices.Insert(order, rapid.IntRange(0, i).Draw(t, "place")%len(order), f)
@@ -255,8 +255,8 @@
 	first, second := NewTracker(), NewTracker()
 	const ends = CrashLimit + 2
 	for i := range ends {
-		first.ServerCrashed(start, named("fatal"), fmt.Sprint(i))
-		second.ServerCrashed(start, named("fatal"), fmt.Sprint(ends-1-i))
+		first.ServerCrashed(start, request("fatal"), fmt.Sprint(i))
+		second.ServerCrashed(start, request("fatal"), fmt.Sprint(ends-1-i))
 	}
 	require.Equal(t, first.Digest(), second.Digest())
 }
--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -9,14 +9,14 @@
 var evacuationMutations = []mutation{
 	{"an evacuated zone gets nothing new", "core/directory/directory.go", "!server.Leaving && !d.evacuated[server.Zone]", "!server.Leaving", gatewayPkg, "TestAnEvacuatedZone"},
 	{"an older state of a zone changes nothing", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderState"},
-	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Apply(back) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
+	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Apply(ended) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
 	{"an evacuation outlives an older copy of the store", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
 	{"a lost evacuation is fetched", "entry/gateway/view.go", "	evacuations := s.takeViewedEvacuations(v)\n", "	var evacuations []evacuation.State\n", gatewayPkg, "TestALostEvacuation"},
 	{"an entry of an earlier version takes no zone back", "entry/gateway/evacuation.go", "v.Evacuations == nil || ", "", gatewayPkg, "TestALostEvacuation"},
 	{"a place in an evacuated zone is not used", "entry/gateway/crossing.go", " || !s.directory.TakesWork(server)", "", gatewayPkg, "TestAPlaceInAnEvacuated"},
-	{"an entry sends a cold server one request a second", "core/coldstart/limiter.go", "	if !known.sent.IsZero() && now.Sub(known.sent) < interval {", "	if false {", coldstartPkg, "TestAnEntrySends|TestNoCold"},
-	{"few entries send to a cold server", "core/coldstart/limiter.go", "	return known.place < MaxSenders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
-	{"room is left for entries that know too few", "core/coldstart/limiter.go", "const knownShare = 0.5", "const knownShare = 1", coldstartPkg, "TestNoCold"},
+	{"an entry sends a cold server one request a second", "core/coldstart/limiter.go", "	if !known.lastSent.IsZero() && now.Sub(known.lastSent) < sendInterval {", "	if false {", coldstartPkg, "TestAnEntrySends|TestNoCold"},
+	{"few entries send to a cold server", "core/coldstart/limiter.go", "	return known.rank < MaxSenders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
+	{"room is left for entries that know too few", "core/coldstart/limiter.go", "const mutuallyKnownShare = 0.5", "const mutuallyKnownShare = 1", coldstartPkg, "TestNoCold"},
 	{"cold servers are known by their rows", "entry/gateway/cold.go", "		if server.SlowFor > 0 {", "		if false {", gatewayPkg, "TestAColdServer"},
 	{"a choice counts for a cold server", "entry/gateway/cold.go", "		s.cold.RecordSend(now, choice.Server.Start())\n", "", gatewayPkg, "TestAColdServer"},
 }
