--- a/core/coldstart/limiter.go
+++ b/core/coldstart/limiter.go
@@ -26,8 +26,8 @@
 type Limiter struct{ servers map[string]*server }
 
 type server struct {
-	until    time.Time
-	lastSent time.Time
+	coldUntil time.Time
+	lastSent  time.Time
 	// rank is this entry's among all, once placed.
 	rank   int
 	ranked bool
@@ -43,15 +43,15 @@
 		known = &server{}
 		l.servers[start] = known
 	}
-	if until.After(known.until) {
-		known.until = until
+	if until.After(known.coldUntil) {
+		known.coldUntil = until
 	}
 }
 
 // IsCold says whether a start of a server is cold.
 func (l *Limiter) IsCold(now time.Time, start string) bool {
 	known := l.servers[start]
-	return known != nil && now.Before(known.until)
+	return known != nil && now.Before(known.coldUntil)
 }
 
 // Allows says whether a request may be sent to a server that bears a number of them a second while it is cold.
@@ -89,7 +89,7 @@
 // Expire forgets the servers that are no longer cold.
 func (l *Limiter) Expire(now time.Time) {
 	for start, known := range l.servers {
-		if !now.Before(known.until) {
+		if !now.Before(known.coldUntil) {
 			delete(l.servers, start)
 		}
 	}
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -157,7 +157,7 @@
 // ApplyHostList takes in the platform's lagging list of hosts. It is a hint: a server
 // that vanishes is only suspect, and a list that shrinks at a stroke is not
 // believed at all, because the list fails more often than half the fleet does.
-func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, believed bool) {
+func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, accepted bool) {
 	present := map[string]bool{}
 	for _, row := range rows {
 		if m := v.members[row.Server]; m != nil {
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -23,7 +23,7 @@
 
 // hashOf stands for the name of a start of a server. The names are some 25 bytes long, and a
 // record holds several; two starts that share a hash would count as one.
-func hashOf(start string) uint64 { return xxhash.Sum64String(start) }
+func hashOf(server string) uint64 { return xxhash.Sum64String(server) }
 
 // record is a Record as an entry keeps it.
 type record struct {
--- a/core/quarantine/separator.go
+++ b/core/quarantine/separator.go
@@ -28,22 +28,22 @@
 func NewSeparator() *Separator { return &Separator{sent: map[string]send{}} }
 
 // RecordSend takes in that a suspect is sent to a start of a server.
-func (sep *Separator) RecordSend(now time.Time, f Fingerprint, start string) {
+func (sep *Separator) RecordSend(now time.Time, f Fingerprint, server string) {
 	sep.expire(now)
-	sep.sent[start] = send{f, now}
+	sep.sent[server] = send{f, now}
 }
 
 // ServersOfOthers returns the starts of servers that another suspect may be about to end, in a fixed order.
 func (sep *Separator) ServersOfOthers(now time.Time, f Fingerprint) []string {
 	sep.expire(now)
-	var starts []string
+	var servers []string
 	for start, s := range sep.sent {
 		if s.fingerprint != f {
-			starts = append(starts, start)
+			servers = append(servers, start)
 		}
 	}
-	slices.Sort(starts)
-	return starts
+	slices.Sort(servers)
+	return servers
 }
 
 // expire bounds what is remembered to the suspects of the last second.
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -50,20 +50,20 @@
 func NewTracker() *Tracker { return &Tracker{records: map[Fingerprint]*record{}} }
 
 // Empty says whether no request is remembered.
-func (w *Tracker) Empty() bool { return len(w.records) == 0 }
+func (tr *Tracker) Empty() bool { return len(tr.records) == 0 }
 
 // ServerCrashed takes in that a start of a server has ended under a request that had just begun there.
 // It returns what the other entries are to be told; false if nothing is new. A request that was
 // answered lately is not at fault.
-func (w *Tracker) ServerCrashed(now time.Time, f Fingerprint, start string) (Record, bool) {
-	if w.exonerated.has(now, f) {
+func (tr *Tracker) ServerCrashed(now time.Time, f Fingerprint, server string) (Record, bool) {
+	if tr.exonerated.has(now, f) {
 		return Record{}, false
 	}
-	r := w.records[f]
+	r := tr.records[f]
 	if r == nil {
-		r = w.insert(f)
+		r = tr.insert(f)
 	}
-	if !r.addCrash(hashOf(start)) {
+	if !r.addCrash(hashOf(server)) {
 		return Record{}, false
 	}
 	r.changed = now
@@ -72,9 +72,9 @@
 
 // Completed takes in that a request has got a whole answer that tells of success: no server ends
 // under it. It returns what the other entries are to be told; false if nothing was believed of it.
-func (w *Tracker) Completed(now time.Time, f Fingerprint) (Record, bool) {
-	w.exonerated.add(now, f)
-	r := w.records[f]
+func (tr *Tracker) Completed(now time.Time, f Fingerprint) (Record, bool) {
+	tr.exonerated.add(now, f)
+	r := tr.records[f]
 	if r == nil || len(r.crashes) == 0 {
 		return Record{}, false
 	}
@@ -84,15 +84,15 @@
 }
 
 // Merge takes in what another entry tells. It returns the requests of which something is new.
-func (w *Tracker) Merge(now time.Time, records []Record) []Fingerprint {
+func (tr *Tracker) Merge(now time.Time, records []Record) []Fingerprint {
 	var changed []Fingerprint
 	for _, t := range records {
 		if t.Age < 0 || t.Age >= RecordTTL {
 			continue
 		}
-		r := w.records[t.Fingerprint]
+		r := tr.records[t.Fingerprint]
 		if r == nil {
-			r = w.insert(t.Fingerprint)
+			r = tr.insert(t.Fingerprint)
 		}
 		if r.merge(t, now.Add(-t.Age)) {
 			changed = append(changed, t.Fingerprint)
@@ -103,19 +103,19 @@
 
 // insert adds a record without an end. Where there are too many the one with the fewest ends
 // goes, the oldest of these: those that are refused stay.
-func (w *Tracker) insert(f Fingerprint) *record {
-	if len(w.records) >= MaxRecords {
-		delete(w.records, w.evictionCandidate())
+func (tr *Tracker) insert(f Fingerprint) *record {
+	if len(tr.records) >= MaxRecords {
+		delete(tr.records, tr.evictionCandidate())
 	}
 	r := &record{}
-	w.records[f] = r
+	tr.records[f] = r
 	return r
 }
 
-func (w *Tracker) evictionCandidate() Fingerprint {
+func (tr *Tracker) evictionCandidate() Fingerprint {
 	var found Fingerprint
 	var least *record
-	for f, r := range w.records {
+	for f, r := range tr.records {
 		order := -1
 		if least != nil {
 			order = cmp.Or(cmp.Compare(len(r.crashes), len(least.crashes)), r.changed.Compare(least.changed), Compare(f, found))
@@ -129,9 +129,9 @@
 
 // RefusedFor says whether a request is not to be sent to any server, and for how long; 0 if it may
 // be sent.
-func (w *Tracker) RefusedFor(now time.Time, f Fingerprint) time.Duration {
-	r := w.records[f]
-	if r == nil || len(r.crashes) < CrashLimit && w.attributedCrashes(f, r) < AttributedCrashLimit {
+func (tr *Tracker) RefusedFor(now time.Time, f Fingerprint) time.Duration {
+	r := tr.records[f]
+	if r == nil || len(r.crashes) < CrashLimit && tr.attributedCrashes(f, r) < AttributedCrashLimit {
 		return 0
 	}
 	return max(RecordTTL-now.Sub(r.changed), 0)
@@ -141,8 +141,8 @@
 const suspectCrashes = 2
 
 // IsSuspect says whether a request may well be the reason why servers have ended.
-func (w *Tracker) IsSuspect(f Fingerprint) bool {
-	r := w.records[f]
+func (tr *Tracker) IsSuspect(f Fingerprint) bool {
+	r := tr.records[f]
 	return r != nil && len(r.crashes) >= suspectCrashes
 }
 
@@ -150,13 +150,13 @@
 // was there too and was at as many ends, or at one less: of the newest end it may not have been
 // heard yet, and without that allowance a request beside the one at fault would be taken for it
 // until the news is there.
-func (w *Tracker) attributedCrashes(f Fingerprint, r *record) int {
+func (tr *Tracker) attributedCrashes(f Fingerprint, r *record) int {
 	if len(r.crashes) < AttributedCrashLimit {
 		return 0
 	}
 	count := len(r.crashes)
 	for _, end := range r.crashes {
-		if w.isExplained(end, f, len(r.crashes)-1) {
+		if tr.isExplained(end, f, len(r.crashes)-1) {
 			count--
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 // isExplained says whether another request was at an end, and at as many ends in all as given.
-func (w *Tracker) isExplained(crash uint64, f Fingerprint, crashes int) bool {
-	for other, o := range w.records {
+func (tr *Tracker) isExplained(crash uint64, f Fingerprint, crashes int) bool {
+	for other, o := range tr.records {
 		if other == f || len(o.crashes) < crashes {
 			continue
 		}
@@ -177,19 +177,19 @@
 }
 
 // Expire forgets the requests whose term is over.
-func (w *Tracker) Expire(now time.Time) {
-	for f, r := range w.records {
+func (tr *Tracker) Expire(now time.Time) {
+	for f, r := range tr.records {
 		if now.Sub(r.changed) >= RecordTTL {
-			delete(w.records, f)
+			delete(tr.records, f)
 		}
 	}
 }
 
 // AllRefused returns the requests that are refused.
-func (w *Tracker) AllRefused(now time.Time) map[Fingerprint]bool {
+func (tr *Tracker) AllRefused(now time.Time) map[Fingerprint]bool {
 	refused := map[Fingerprint]bool{}
-	for f := range w.records {
-		if w.RefusedFor(now, f) > 0 {
+	for f := range tr.records {
+		if tr.RefusedFor(now, f) > 0 {
 			refused[f] = true
 		}
 	}
@@ -197,9 +197,9 @@
 }
 
 // Records returns what an entry is told that knows nothing, those with most ends first.
-func (w *Tracker) Records(now time.Time) []Record {
-	records := make([]Record, 0, len(w.records))
-	for f, r := range w.records {
+func (tr *Tracker) Records(now time.Time) []Record {
+	records := make([]Record, 0, len(tr.records))
+	for f, r := range tr.records {
 		records = append(records, r.export(now, f))
 	}
 	slices.SortFunc(records, func(a, b Record) int {
@@ -220,9 +220,9 @@
 // Digest stands for the records that matter. Entries tell it with their heartbeats; those whose
 // sums differ tell each other their records, so that a record that was lost on its way reaches
 // everybody, and costs nothing once it has.
-func (w *Tracker) Digest() uint32 {
+func (tr *Tracker) Digest() uint32 {
 	sum := uint64(0)
-	for f, r := range w.records {
+	for f, r := range tr.records {
 		if len(r.crashes) < minDigestCrashes {
 			continue
 		}
