--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkFingerprint is the time to name a request by bodies of a short and a long prompt, and
-// of the longest that entries take.
+// BenchmarkFingerprint measures FingerprintOf with bodies of a short and a long prompt, and of the longest that
+// entries accept.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{1200, 38_000, 4 << 20} {
 		body := make([]byte, size)
@@ -19,9 +19,8 @@
 	}
 }
 
-// BenchmarkWatch is the time to take in an end while as many requests as may be are remembered,
-// and to ask whether one is refused.
-func BenchmarkWatch(b *testing.B) {
+// BenchmarkTracker measures ServerCrashed and RefusedFor while the tracker is full.
+func BenchmarkTracker(b *testing.B) {
 	w := NewTracker()
 	for i := range MaxRecords {
 		for _, server := range []string{"a", "b", "c"} {
--- a/core/quarantine/exonerated.go
+++ b/core/quarantine/exonerated.go
@@ -3,20 +3,18 @@
 import "time"
 
 const (
-	// ExonerationTime is for how long at least a whole answer speaks for a request. A request that
-	// many callers of a workspace repeat, as a check of a status, runs at all servers of its
-	// service at any moment: where a rack fails, as many servers end under it as under one at
-	// fault. It was answered a moment before, many times. Ten seconds are some repeats of such a
-	// caller, and short enough that a request which servers no longer bear after a release is
-	// soon recognised.
+	// ExonerationTime is the shortest time for which a complete answer exonerates a request. A request that many
+	// callers of a workspace repeat, such as a status check, runs at all servers of its service at any moment:
+	// when a rack fails, as many servers crash under it as under a culprit, but it was answered many times a
+	// moment before. Ten seconds cover some repeats of such a caller, and are short enough that a request which
+	// servers no longer survive after a release is detected soon.
 	ExonerationTime = 10 * time.Second
-	// maxExonerated bounds the answers that are remembered, twice: an entry answers some 50
-	// requests a second.
+	// maxExonerated bounds each of the two generations: an entry answers some 50 requests a second.
 	maxExonerated = 1024
 )
 
-// exonerated remembers which requests have had a whole answer lately, in two generations: the
-// newer one becomes the older one when it is AnsweredTime old, or full.
+// exonerated is the set of requests with a recent complete answer. It keeps two generations: the current one
+// becomes the previous one when it is ExonerationTime old, or full.
 type exonerated struct {
 	current, previous map[Fingerprint]bool
 	since             time.Time
@@ -38,7 +36,7 @@
 	return e.current[f] || e.previous[f]
 }
 
-// rotate forgets what is too old.
+// rotate drops the generations that are too old.
 func (e *exonerated) rotate(now time.Time) {
 	switch age := now.Sub(e.since); {
 	case age >= 2*ExonerationTime:
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -8,18 +8,17 @@
 	"io"
 )
 
-// Fingerprint names a request over all attempts in which it comes, at any entry. It is made of
-// what backend servers are given of the request, since that decides what they do with it. It
-// is long enough that two requests never share one, also if somebody tries to make them.
+// Fingerprint identifies a request across attempts and entries. It covers what backend servers receive of the
+// request, since that decides what they do. It is long enough to rule out collisions, including deliberate ones.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a request. Callers are told apart by workspace,
-// which is all that servers learn of them; it is empty on public routes.
+// FingerprintOf returns the fingerprint of a request. The workspace, all that servers learn of a caller,
+// separates callers; it is empty on public routes.
 func FingerprintOf(workspace, method, host, uri string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, field := range []string{workspace, method, host, uri} {
-		// With its length, so that no field can be mistaken for the end of the one before it.
-		// A hash never fails to take bytes.
+		// The length keeps a field from being mistaken for the end of the one before it. A hash never fails to
+		// write.
 		_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
 		_, _ = io.WriteString(hash, field)
 	}
@@ -29,8 +28,8 @@
 	return f
 }
 
-// Compare orders fingerprints, for lists that are the same each time.
+// Compare orders fingerprints, for deterministic lists.
 func Compare(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) }
 
-// String returns the fingerprint as log lines show it.
+// String returns the fingerprint in hexadecimal, as in log lines.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request is refused by its fingerprint alone. Another caller's request to the same path with
-// the same body, or one that differs in a single field, must have another one.
+// A request is refused by its fingerprint alone. A request of another caller with the same path and body, or one
+// that differs in a single field, must have another fingerprint.
 func TestOnlyTheSameRequestOfTheSameCallerSharesAFingerprint(t *testing.T) {
 	body := []byte("prompt")
 	seen := map[Fingerprint]bool{FingerprintOf("press", "POST", "press.example", "/a?x=1", body): true}
@@ -19,7 +19,7 @@
 		FingerprintOf("press", "POST", "press.example", "/a?x=2", body),
 		FingerprintOf("press", "POST", "press.example", "/a?x=1", []byte("prompt.")),
 		FingerprintOf("press", "POST", "press.example", "/a?x=1", nil),
-		// What one field ends with, the next one begins with.
+		// The end of one field moves to the beginning of the next.
 		FingerprintOf("pressP", "OST", "press.example", "/a?x=1", body),
 		FingerprintOf("press", "POST", "press.example", "/a?x=1p", []byte("rompt")),
 	} {
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -7,46 +7,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is what entries tell each other of one request. Two records of a request are joined
-// the same way in any order: the one that was cleared more often goes before the other, and of
-// two that were cleared equally often all ends count. Fields are numbered for the wire.
+// Record is what entries exchange about one request. Merging two records of a request is commutative: the one
+// cleared more often wins, and between equals the crashes of both count. Fields are numbered for the wire.
 type Record struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Cleared is how often a whole answer has cleared the request since it is remembered.
+	// Cleared counts the complete answers that have cleared the request since its record was created.
 	Cleared uint32 `cbor:"2,keyasint,omitempty"`
-	// Crashes are the starts of servers that have ended under it since, see hashOf; EndsInAnyCase
-	// at the most.
+	// Crashes are the servers that have crashed under the request since then, as hashed by hashOf; CrashLimit at
+	// most.
 	Crashes []uint64 `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the last of these ends, or the answer that cleared it, was.
+	// Age is the time since the last crash, or since the answer that cleared the request.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// hashOf stands for the name of a start of a server. The names are some 25 bytes long, and a
-// record holds several; two starts that share a hash would count as one.
-func hashOf(server string) uint64 { return xxhash.Sum64String(server) }
+// hashOf returns the hash of a server's incarnation. The names take some 25 bytes, and a record holds several;
+// two incarnations with the same hash would count as one.
+func hashOf(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
-// record is a Record as an entry keeps it.
+// record is a Record as an entry stores it.
 type record struct {
 	cleared uint32
-	// crashes is in ascending order.
+	// crashes is sorted in ascending order.
 	crashes []uint64
-	// changed is when the last end or clearing was.
+	// changed is the time of the last crash or clearing.
 	changed time.Time
 }
 
-// addCrash adds an end and returns whether that is new. Of more than EndsInAnyCase the least hashes
-// are kept, so that entries that hear of the same ends keep the same ones.
-func (r *record) addCrash(end uint64) bool {
-	at, found := slices.BinarySearch(r.crashes, end)
+// addCrash adds a crash and reports whether it is new. Of more than CrashLimit the lowest hashes are kept, so
+// that entries that learn of the same crashes keep the same ones.
+func (r *record) addCrash(crash uint64) bool {
+	at, found := slices.BinarySearch(r.crashes, crash)
 	if found || at >= CrashLimit {
 		return false
 	}
-	r.crashes = slices.Insert(r.crashes, at, end)
+	r.crashes = slices.Insert(r.crashes, at, crash)
 	r.crashes = r.crashes[:min(len(r.crashes), CrashLimit)]
 	return true
 }
 
-// merge takes in another entry's record of the same request, and returns whether anything is new.
+// merge merges another entry's record of the same request and reports whether anything changed.
 func (r *record) merge(other Record, changed time.Time) bool {
 	if other.Cleared < r.cleared {
 		return false
@@ -55,8 +54,8 @@
 	if changes {
 		r.cleared, r.crashes = other.Cleared, nil
 	}
-	for _, end := range other.Crashes {
-		changes = r.addCrash(end) || changes
+	for _, crash := range other.Crashes {
+		changes = r.addCrash(crash) || changes
 	}
 	if changes && changed.After(r.changed) {
 		r.changed = changed
--- a/core/quarantine/separator_test.go
+++ b/core/quarantine/separator_test.go
@@ -6,22 +6,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two suspects come one after the other. The second one keeps away from the server of the first for as
-// long as that may end it, and no longer; the first one may go there again.
+// Two suspects come one after the other. The second avoids the server of the first for as long as that may crash
+// it; the first may go there again.
 func TestSuspectsAreKeptApartForAWhile(t *testing.T) {
-	a := NewSeparator()
-	a.RecordSend(start, request("one"), "a")
-	a.RecordSend(start, request("two"), "b")
-	require.Equal(t, []string{"a"}, a.ServersOfOthers(start, request("two")))
-	require.Equal(t, []string{"b"}, a.ServersOfOthers(start, request("one")))
-	require.Equal(t, []string{"a", "b"}, a.ServersOfOthers(start.Add(separationTime-1), request("three")))
-	require.Empty(t, a.ServersOfOthers(start.Add(separationTime), request("three")))
-	require.Empty(t, a.sent)
+	separator := NewSeparator()
+	separator.RecordSend(start, request("one"), "a")
+	separator.RecordSend(start, request("two"), "b")
+	require.Equal(t, []string{"a"}, separator.ServersOfOthers(start, request("two")))
+	require.Equal(t, []string{"b"}, separator.ServersOfOthers(start, request("one")))
+	require.Equal(t, []string{"a", "b"}, separator.ServersOfOthers(start.Add(separationTime-1), request("three")))
+	require.Empty(t, separator.ServersOfOthers(start.Add(separationTime), request("three")))
+	require.Empty(t, separator.sent)
 }
 
-// A request is a suspect from its second end on, until a whole answer clears it. Most requests beside an
-// end are there once: were they kept apart, answers would not be packed while servers are few.
-func TestOnlyWhatWasAtTwoEndsIsASuspect(t *testing.T) {
+// A request is a suspect from its second crash until a complete answer clears it. Most requests beside a crash
+// are there once: keeping them apart would spread answers over too many servers while servers are few.
+func TestARequestIsASuspectFromItsSecondCrash(t *testing.T) {
 	w := NewTracker()
 	f := request("sound")
 	for i, server := range []string{"a", "b", "c"} {
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -10,52 +10,49 @@
 )
 
 const (
-	// AttributedCrashLimit is after how many ends of servers that are charged to a request it is
-	// refused. One is chance, and two can be where servers fail one after the other; a request
-	// that comes again ends this many within seconds. The users allow three.
+	// AttributedCrashLimit is the number of attributed crashes after which a request is refused. One is chance,
+	// and so can two be where servers fail one after the other; a request that is repeated reaches this many
+	// within seconds. The users allow three.
 	AttributedCrashLimit = 3
-	// CrashLimit is after how many ends it is refused whatever else ran at these servers.
-	// Two requests at fault that always meet at the same servers would otherwise hide each
-	// other. The users allow three sends after the third end; one of them is kept for a second
-	// attempt that is under way as the last server ends. A sound request is sent to four servers
-	// on the users' deployments: two in an attempt, and its caller repeats it once.
+	// CrashLimit is the number of crashes after which a request is refused whatever else ran at these servers.
+	// Two culprits that always meet at the same servers would otherwise hide each other. The users allow three
+	// sends after the third crash; one of them is reserved for a second attempt that is under way when the last
+	// server crashes. An innocent request is sent to four servers on the users' deployments: two in an attempt,
+	// and its caller repeats it once.
 	CrashLimit = 5
-	// StartWindow is for how long after its first event a request has just begun. A server that
-	// a request ends does so as it begins to run it, before its first event. It is longer by
-	// much, since events are late on a busy host, and short beside the time that answers last.
+	// StartWindow is the time after its first event for which a request counts as recently started. A server
+	// crashes as it begins to run the culprit, before the first event. The window is much longer than that, since
+	// events are late on a busy host, and short beside the time that answers last.
 	StartWindow = time.Second
-	// RecordTTL is how long a request is remembered after the last end. It bounds what such a
-	// request may do to three servers an hour, and a request that servers bear again after
-	// a release is served within the hour.
+	// RecordTTL is the time for which a request is remembered after its last crash. It limits a culprit to three
+	// servers an hour, and a request that servers survive again after a release is served within the hour.
 	RecordTTL = time.Hour
-	// MaxRecords bounds the requests that are remembered, and what an entry is told that has
-	// started, up to 76 bytes each. Where half of a fleet fails at once, a few requests have just
-	// begun at each server.
+	// MaxRecords bounds the remembered requests, and what is sent to a starting entry, up to 76 bytes each. Where
+	// half of a fleet fails at once, a few requests have just started at each server.
 	MaxRecords = 256
 )
 
-// RecentlyStarted says whether a request had just begun at a server that has ended: it had no event
-// from it (answerBegan is zero), or its first one lately.
+// RecentlyStarted reports whether a request had just started at a crashed server: it had no event from it
+// (firstEvent is zero), or its first one within StartWindow.
 func RecentlyStarted(now, firstEvent time.Time) bool {
 	return firstEvent.IsZero() || now.Sub(firstEvent) < StartWindow
 }
 
-// Tracker remembers requests under which servers have ended. It is not safe for concurrent use.
+// Tracker remembers requests under which servers have crashed. It is not safe for concurrent use.
 type Tracker struct {
 	records    map[Fingerprint]*record
 	exonerated exonerated
 }
 
-// NewTracker returns a watch that knows no request.
+// NewTracker returns a Tracker without records.
 func NewTracker() *Tracker { return &Tracker{records: map[Fingerprint]*record{}} }
 
-// Empty says whether no request is remembered.
+// Empty reports whether no request is remembered.
 func (tr *Tracker) Empty() bool { return len(tr.records) == 0 }
 
-// ServerCrashed takes in that a start of a server has ended under a request that had just begun there.
-// It returns what the other entries are to be told; false if nothing is new. A request that was
-// answered lately is not at fault.
-func (tr *Tracker) ServerCrashed(now time.Time, f Fingerprint, server string) (Record, bool) {
+// ServerCrashed records that a server crashed under a request that had just started there. It returns the record
+// to send to the other entries, or false if nothing changed. Exonerated requests are not recorded.
+func (tr *Tracker) ServerCrashed(now time.Time, f Fingerprint, incarnation string) (Record, bool) {
 	if tr.exonerated.has(now, f) {
 		return Record{}, false
 	}
@@ -63,15 +60,15 @@
 	if r == nil {
 		r = tr.insert(f)
 	}
-	if !r.addCrash(hashOf(server)) {
+	if !r.addCrash(hashOf(incarnation)) {
 		return Record{}, false
 	}
 	r.changed = now
 	return r.export(now, f), true
 }
 
-// Completed takes in that a request has got a whole answer that tells of success: no server ends
-// under it. It returns what the other entries are to be told; false if nothing was believed of it.
+// Completed records a complete, successful answer to a request, which clears it. It returns the record to send to
+// the other entries, or false if the request had no crashes.
 func (tr *Tracker) Completed(now time.Time, f Fingerprint) (Record, bool) {
 	tr.exonerated.add(now, f)
 	r := tr.records[f]
@@ -83,7 +80,8 @@
 	return r.export(now, f), true
 }
 
-// Merge takes in what another entry tells. It returns the requests of which something is new.
+// Merge merges records of another entry and returns the requests whose records changed. Records with an age
+// outside 0 to RecordTTL are ignored.
 func (tr *Tracker) Merge(now time.Time, records []Record) []Fingerprint {
 	var changed []Fingerprint
 	for _, t := range records {
@@ -101,8 +99,8 @@
 	return changed
 }
 
-// insert adds a record without an end. Where there are too many the one with the fewest ends
-// goes, the oldest of these: those that are refused stay.
+// insert adds an empty record. When full it evicts the oldest of the records with the fewest crashes, so that
+// refused requests stay.
 func (tr *Tracker) insert(f Fingerprint) *record {
 	if len(tr.records) >= MaxRecords {
 		delete(tr.records, tr.evictionCandidate())
@@ -127,8 +125,7 @@
 	return found
 }
 
-// RefusedFor says whether a request is not to be sent to any server, and for how long; 0 if it may
-// be sent.
+// RefusedFor returns for how long a request is not to be sent to any server; 0 if it may be sent.
 func (tr *Tracker) RefusedFor(now time.Time, f Fingerprint) time.Duration {
 	r := tr.records[f]
 	if r == nil || len(r.crashes) < CrashLimit && tr.attributedCrashes(f, r) < AttributedCrashLimit {
@@ -137,33 +134,33 @@
 	return max(RecordTTL-now.Sub(r.changed), 0)
 }
 
-// suspectCrashes is from how many ends on a request is a suspect, which is kept apart from others.
+// suspectCrashes is the number of crashes from which on a request is a suspect, which Separator keeps apart from
+// others.
 const suspectCrashes = 2
 
-// IsSuspect says whether a request may well be the reason why servers have ended.
+// IsSuspect reports whether a request may be the cause of crashes.
 func (tr *Tracker) IsSuspect(f Fingerprint) bool {
 	r := tr.records[f]
 	return r != nil && len(r.crashes) >= suspectCrashes
 }
 
-// attributedCrashes is the number of ends of servers that no other request explains as well. One does that
-// was there too and was at as many ends, or at one less: of the newest end it may not have been
-// heard yet, and without that allowance a request beside the one at fault would be taken for it
-// until the news is there.
+// attributedCrashes counts the crashes that no other request explains as well. Another request explains a crash
+// if it was there too and was at as many crashes, or at one less: its record of the newest crash may not have
+// arrived, and without that allowance a request beside the culprit would be refused until it has.
 func (tr *Tracker) attributedCrashes(f Fingerprint, r *record) int {
 	if len(r.crashes) < AttributedCrashLimit {
 		return 0
 	}
 	count := len(r.crashes)
-	for _, end := range r.crashes {
-		if tr.isExplained(end, f, len(r.crashes)-1) {
+	for _, crash := range r.crashes {
+		if tr.isExplained(crash, f, len(r.crashes)-1) {
 			count--
 		}
 	}
 	return count
 }
 
-// isExplained says whether another request was at an end, and at as many ends in all as given.
+// isExplained reports whether another request was at a crash, and at no fewer crashes than given in total.
 func (tr *Tracker) isExplained(crash uint64, f Fingerprint, crashes int) bool {
 	for other, o := range tr.records {
 		if other == f || len(o.crashes) < crashes {
@@ -176,7 +173,7 @@
 	return false
 }
 
-// Expire forgets the requests whose term is over.
+// Expire drops the records older than RecordTTL.
 func (tr *Tracker) Expire(now time.Time) {
 	for f, r := range tr.records {
 		if now.Sub(r.changed) >= RecordTTL {
@@ -185,7 +182,7 @@
 	}
 }
 
-// AllRefused returns the requests that are refused.
+// AllRefused returns the refused requests.
 func (tr *Tracker) AllRefused(now time.Time) map[Fingerprint]bool {
 	refused := map[Fingerprint]bool{}
 	for f := range tr.records {
@@ -196,7 +193,7 @@
 	return refused
 }
 
-// Records returns what an entry is told that knows nothing, those with most ends first.
+// Records returns all records, those with the most crashes first, for an entry that has none.
 func (tr *Tracker) Records(now time.Time) []Record {
 	records := make([]Record, 0, len(tr.records))
 	for f, r := range tr.records {
@@ -208,18 +205,17 @@
 	return records
 }
 
-// export returns a record as other entries are export of it.
+// export returns the record as it is sent to other entries.
 func (r *record) export(now time.Time, f Fingerprint) Record {
 	return Record{Fingerprint: f, Cleared: r.cleared, Crashes: slices.Clone(r.crashes), Age: max(now.Sub(r.changed), 0)}
 }
 
-// minDigestCrashes is how many ends a record has that counts for Sum. Most records have one, of
-// requests that ran beside others, and decide nothing.
+// minDigestCrashes is the number of crashes from which on a record counts in Digest. Most records have one crash,
+// of a request beside others, and decide nothing.
 const minDigestCrashes = 2
 
-// Digest stands for the records that matter. Entries tell it with their heartbeats; those whose
-// sums differ tell each other their records, so that a record that was lost on its way reaches
-// everybody, and costs nothing once it has.
+// Digest returns a hash of the records that matter. Heartbeats carry it; entries whose digests differ exchange
+// their records, so that a record lost on its way still reaches all, at no cost once it has.
 func (tr *Tracker) Digest() uint32 {
 	sum := uint64(0)
 	for f, r := range tr.records {
@@ -227,8 +223,8 @@
 			continue
 		}
 		data := binary.BigEndian.AppendUint32(slices.Clone(f[:]), r.cleared)
-		for _, end := range r.crashes {
-			data = binary.BigEndian.AppendUint64(data, end)
+		for _, crash := range r.crashes {
+			data = binary.BigEndian.AppendUint64(data, crash)
 		}
 		sum += xxhash.Sum64(data)
 	}
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -16,9 +16,9 @@
 	return FingerprintOf("press", "POST", "press.example", "/stream/"+name, []byte(name))
 }
 
-// A request comes again and again and ends a server each time. It is refused from the third end
-// on, for as long as it is remembered, and not before.
-func TestARequestIsRefusedOnceThreeServersHaveEndedUnderIt(t *testing.T) {
+// A request is repeated and crashes a server each time. It is refused from the third crash on, for as long as it
+// is remembered.
+func TestARequestIsRefusedOnceItHasCrashedThreeServers(t *testing.T) {
 	w := NewTracker()
 	f := request("fatal")
 	for i, server := range []string{"a", "b", "b", "c"} {
@@ -35,11 +35,10 @@
 	require.True(t, w.Empty())
 }
 
-// A sound request runs beside one that ends its server, is sent to the next one, and meets it
-// there again, and once more when its caller comes back. It was at three ends of servers, of the
-// last of which the news of the other request are not there yet. It must be served; the other one is
-// refused once it was at two ends more.
-func TestARequestBesideTheOneAtFaultIsNotTakenForIt(t *testing.T) {
+// An innocent request runs beside the culprit, is sent to the next server and meets it there again, and once more
+// when its caller repeats it. It was at three crashes, for the last of which the record of the culprit has not
+// arrived. It must be served; the culprit is refused after two more crashes.
+func TestARequestBesideTheCulpritIsNotTakenForIt(t *testing.T) {
 	w := NewTracker()
 	fatal, sound := request("fatal"), request("sound")
 	for _, server := range []string{"a", "b"} {
@@ -58,8 +57,8 @@
 	require.Zero(t, w.RefusedFor(start, sound))
 }
 
-// Two requests that both end servers always meet. Neither can hide behind the other for long.
-func TestTwoAtFaultDoNotHideEachOther(t *testing.T) {
+// Two requests that both crash servers always meet. Neither must hide behind the other for long.
+func TestTwoCulpritsDoNotHideEachOther(t *testing.T) {
 	w := NewTracker()
 	for i := range CrashLimit {
 		require.Zero(t, w.RefusedFor(start, request("one")))
@@ -70,9 +69,9 @@
 	require.Positive(t, w.RefusedFor(start, request("two")))
 }
 
-// A request was beside others at ends of servers and is answered in whole. What is told of it
-// late, or once more, must not make it suspect again; what happens after that counts.
-func TestAWholeAnswerClearsARequest(t *testing.T) {
+// A request beside others at crashes is answered completely. Records that arrive late or repeatedly must not make
+// it suspect again; later crashes count.
+func TestACompleteAnswerClearsARequest(t *testing.T) {
 	w := NewTracker()
 	f := request("sound")
 	late, _ := w.ServerCrashed(start, f, "a")
@@ -91,14 +90,14 @@
 	require.Positive(t, w.RefusedFor(later, f))
 }
 
-// Many callers of a workspace ask for the same status again and again, and are answered. Then the
-// whole rack of its three servers fails, and the request has just begun at each of them. It must not
-// be refused when they are back. Only a request that is no longer answered is suspected.
-func TestARequestThatWasAnsweredLatelyIsNotAtFault(t *testing.T) {
+// Many callers of a workspace repeat the same status request and are answered. Then the whole rack of its three
+// servers fails, and the request has just started at each of them. It must not be refused when they are back.
+// Only a request that is no longer answered is suspected.
+func TestARecentlyAnsweredRequestIsExonerated(t *testing.T) {
 	w := NewTracker()
 	f := request("status")
 	_, isNew := w.Completed(start, f)
-	require.False(t, isNew, "nothing is believed of it")
+	require.False(t, isNew, "it has no record")
 	for _, server := range []string{"a", "b", "c"} {
 		_, isNew := w.ServerCrashed(start.Add(ExonerationTime), f, server)
 		require.False(t, isNew)
@@ -110,9 +109,9 @@
 	require.Positive(t, w.RefusedFor(start.Add(2*ExonerationTime), f))
 }
 
-// An entry answers many requests a second for a long time. What it remembers of them is bounded,
-// and the newest ones are among it.
-func TestAnswersThatAreRememberedAreBounded(t *testing.T) {
+// An entry answers many requests a second for a long time. The exonerated requests are bounded and include the
+// newest.
+func TestExoneratedRequestsAreBounded(t *testing.T) {
 	w := NewTracker()
 	for i := range 10 * maxExonerated {
 		f := request(fmt.Sprint(i))
@@ -123,9 +122,9 @@
 	}
 }
 
-// Servers end under one request each, many thousand times, as in a crash of half a fleet that
-// goes on. What is remembered stays bounded, and what is refused stays refused.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+// Servers crash under one request each, many thousand times, as in a lasting failure of half a fleet. The records
+// stay bounded, and refused requests stay refused.
+func TestRecordsAreBounded(t *testing.T) {
 	w := NewTracker()
 	for _, server := range []string{"a", "b", "c"} {
 		w.ServerCrashed(start, request("fatal"), server)
@@ -144,9 +143,8 @@
 	require.Len(t, w.records[request("fatal")].crashes, CrashLimit)
 }
 
-// What another entry tells of times that are past or to come can't keep a request for longer
-// than its term.
-func TestTellingDoesNotKeepARequestForLonger(t *testing.T) {
+// Records of another entry with past or future times must not keep a request for longer than RecordTTL.
+func TestMergingDoesNotExtendTheTTL(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
 	f := request("fatal")
 	for _, server := range []string{"a", "b", "c"} {
@@ -161,9 +159,9 @@
 	require.True(t, second.Empty())
 }
 
-// Entries hear of ends and answers in any order, late, twice or not at all. Once they have told
-// each other all that they know they decide alike, and their sums are equal.
-func TestEntriesThatKnowTheSameDecideAlike(t *testing.T) {
+// Entries learn of crashes and answers in any order, late, twice or not at all. Once they have exchanged all
+// records they decide alike, and their digests are equal.
+func TestEntriesWithTheSameRecordsDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		watches := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
 		var told []Record
@@ -204,10 +202,10 @@
 	})
 }
 
-// One request ends each server that begins to run it. Sound ones begin beside it at random, are
-// sent to four servers at the most and mostly answered then. None of them is ever refused, and
-// the one at fault is before it has ended more than EndsInAnyCase servers.
-func TestSoundRequestsAreNeverRefused(t *testing.T) {
+// One request crashes each server that starts to run it. Innocent ones start beside it at random, are sent to
+// four servers at most, and most of them are answered then. None of them is ever refused, and the culprit is
+// before it has crashed more than CrashLimit servers.
+func TestInnocentRequestsAreNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := NewTracker()
 		fatal := request("fatal")
@@ -241,17 +239,17 @@
 	})
 }
 
-// A server ends while it writes answers. Those that have come for longer didn't end it, those
-// that have just begun may have.
-func TestOnlyWhatHasJustBegunMayHaveEndedItsServer(t *testing.T) {
+// A server crashes while it writes answers. Those that have lasted for longer did not cause it; those that have
+// just started may have.
+func TestOnlyARecentlyStartedRequestMayHaveCrashedItsServer(t *testing.T) {
 	require.True(t, RecentlyStarted(start, time.Time{}), "no event yet")
 	require.True(t, RecentlyStarted(start, start.Add(-StartWindow/2)))
 	require.False(t, RecentlyStarted(start, start.Add(-StartWindow)))
 }
 
-// Two entries hear of more ends than are kept of a request, in opposite orders. They must keep the
-// same ones, or they would tell each other all records for ever.
-func TestEntriesKeepTheSameEnds(t *testing.T) {
+// Two entries learn of more crashes than are kept of a request, in opposite orders. They must keep the same ones,
+// or they would exchange all records for ever.
+func TestEntriesKeepTheSameCrashes(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
 	const ends = CrashLimit + 2
 	for i := range ends {
