--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -52,7 +52,7 @@
 	Server string
 	From   State
 	To     State
-	Why    string
+	Reason string
 }
 
 type member struct {
@@ -94,7 +94,7 @@
 		if wanted[name] {
 			continue
 		}
-		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Removed, Why: "left the configuration"})
+		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Removed, Reason: "left the configuration"})
 		delete(v.members, name)
 	}
 	return changes
@@ -219,7 +219,7 @@
 	if m.state == to {
 		return nil
 	}
-	change := Change{Server: server, From: m.state, To: to, Why: why}
+	change := Change{Server: server, From: m.state, To: to, Reason: why}
 	m.state = to
 	return []Change{change}
 }
@@ -298,7 +298,7 @@
 	Server      string                `json:"server"`
 	State       State                 `json:"state"`
 	Incarnation execution.Incarnation `json:"incarnation,omitempty"`
-	Heard       time.Time             `json:"heard"`
+	LastHeard   time.Time             `json:"heard"`
 }
 
 // Members lists the view, by name.
@@ -306,7 +306,7 @@
 	var rows []Member
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, Heard: m.lastHeard})
+		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, LastHeard: m.lastHeard})
 	}
 	return rows
 }
