--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -1,6 +1,5 @@
-// Package membership keeps a daemon's view of the fleet: which backend servers
-// may be offered new work. The view is a pure core fed by the platform's host
-// list, by what messages show and by the passing of time.
+// Package membership maintains a daemon's view of the fleet: which backend servers may be offered new work. The
+// view is pure; its inputs are the platform's host list, the messages of servers and the time.
 package membership
 
 import (
@@ -11,33 +10,30 @@
 	"arbutusdeck/core/execution"
 )
 
-// State is what is believed of one server.
+// State is the state of one server as the view knows it.
 type State string
 
 const (
-	// Unknown: configured, but nothing is known of it yet.
+	// Unknown: configured, but not heard yet.
 	Unknown State = "unheard"
-	// Live: it has answered of late.
+	// Live: it answered the last message.
 	Live State = "live"
-	// Suspect: recent failures; it gets probes but no work until it answers.
+	// Suspect: it failed repeatedly; it gets probes but no work until it answers.
 	Suspect State = "suspect"
-	// Draining: it has said, or the list says, that it is leaving.
+	// Draining: it, or the host list, has announced that it leaves.
 	Draining State = "leaving"
-	// Removed: configured no more.
+	// Removed: no longer configured.
 	Removed State = "gone"
 )
 
 // Options are the bounds of a View.
 type Options struct {
-	// FailuresToSuspect is the number of failures in a row before a server is
-	// suspect.
+	// FailuresToSuspect is the number of consecutive failures after which a server is suspect.
 	FailuresToSuspect int
-	// ProbeBackoff is the first wait before a suspect server is tried again; it
-	// doubles up to SuspectMax.
+	// ProbeBackoff is the first delay before a suspect server is probed again; it doubles up to MaxProbeBackoff.
 	ProbeBackoff    time.Duration
 	MaxProbeBackoff time.Duration
-	// MaxShrinkShare is the part of the listed hosts that may vanish from the
-	// list at once and still be believed.
+	// MaxShrinkShare is the share of the listed hosts that may be missing from a new list for it to be accepted.
 	MaxShrinkShare float64
 }
 
@@ -68,7 +64,7 @@
 	listedDrainingAt time.Time
 }
 
-// View is the belief about all configured servers.
+// View is the state of all configured servers.
 type View struct {
 	options Options
 	members map[string]*member
@@ -80,7 +76,7 @@
 	return &View{options: options, members: map[string]*member{}}
 }
 
-// Configure takes over the servers of a snapshot.
+// Configure replaces the set of configured servers.
 func (v *View) Configure(now time.Time, servers []string) []Change {
 	var changes []Change
 	wanted := map[string]bool{}
@@ -100,16 +96,14 @@
 	return changes
 }
 
-// Observe takes in direct evidence: a message from the server's daemon. It goes
-// before everything the list says.
+// Observe records direct evidence, a message from the server's daemon. It takes precedence over the host list.
 func (v *View) Observe(now time.Time, server string, incarnation execution.Incarnation, draining bool) []Change {
 	m := v.members[server]
 	if m == nil || incarnation == "" {
 		return nil
 	}
 	if m.drained[incarnation] && !draining {
-		// A late message of an incarnation that has said it is leaving must
-		// not bring it back.
+		// A late message of an incarnation that has announced its stop must not make it live again.
 		return nil
 	}
 	m.lastHeard = now
@@ -126,7 +120,7 @@
 	return m.transition(server, Live, "its daemon answered")
 }
 
-// RecordFailure takes in a failure to reach the server.
+// RecordFailure records a failure to reach the server.
 func (v *View) RecordFailure(now time.Time, server string) []Change {
 	m := v.members[server]
 	if m == nil {
@@ -154,9 +148,9 @@
 	Draining bool
 }
 
-// ApplyHostList takes in the platform's lagging list of hosts. It is a hint: a server
-// that vanishes is only suspect, and a list that shrinks at a stroke is not
-// believed at all, because the list fails more often than half the fleet does.
+// ApplyHostList applies the platform's host list, which lags. It is a hint: a missing server is only suspect, and
+// a list that loses more than MaxShrinkShare of its hosts at once is rejected, since the list fails more often
+// than half the fleet does.
 func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, accepted bool) {
 	present := map[string]bool{}
 	for _, row := range rows {
@@ -185,6 +179,7 @@
 	return changes, true
 }
 
+// markMissing makes a server that is missing from the host list suspect.
 func (m *member) markMissing(now time.Time, name string, options Options) []Change {
 	if m.state == Draining {
 		return nil
@@ -193,8 +188,8 @@
 	return m.transition(name, Suspect, "it vanished from the host list")
 }
 
-// applyListed believes a leaving notice at once, since the promise is that a
-// leaving server gets no new work; it is undone only by another incarnation.
+// applyListed applies a draining notice at once, since a draining server must get no new work. Only another
+// incarnation ends it.
 func (m *member) applyListed(now time.Time, row ListedServer) []Change {
 	if !row.Draining {
 		return nil
@@ -204,7 +199,7 @@
 		return m.transition(row.Server, Draining, "the host list says so")
 	}
 	if m.listedDrainingAt.IsZero() && now.Sub(m.incarnationSince) < HostListLag {
-		// The lagging list still tells of the incarnation before this one.
+		// The lagging list may still mean the incarnation before this one.
 		return nil
 	}
 	m.listedDrainingAt = now
@@ -212,7 +207,7 @@
 	return m.transition(row.Server, Draining, "the host list says so")
 }
 
-// HostListLag is how far the list may lag behind a restarted server.
+// HostListLag bounds how far the host list lags behind a restarted server.
 const HostListLag = 20 * time.Second
 
 func (m *member) transition(server string, to State, why string) []Change {
@@ -224,8 +219,8 @@
 	return []Change{change}
 }
 
-// ResetAfterPause forgets what may have changed while the process was paused: every live
-// server has to be heard again before it is trusted. Leaving stays.
+// ResetAfterPause makes every live server unknown, after this process was paused: each has to be heard again
+// before it gets work. Draining servers stay so.
 func (v *View) ResetAfterPause(now time.Time) []Change {
 	var changes []Change
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
@@ -238,19 +233,17 @@
 	return changes
 }
 
-// Eligible says whether new work may be offered to the server.
+// Eligible reports whether new work may be offered to the server.
 func (v *View) Eligible(server string) bool {
 	m := v.members[server]
 	if m == nil {
 		return false
 	}
-	// An unheard server is probed first: without its incarnation every offer
-	// would be refused.
+	// An unknown server is probed first: without its incarnation every offer would be refused.
 	return m.state == Live
 }
 
-// DueForProbe returns the servers that should be asked how they are: those never
-// heard and suspects whose wait is over.
+// DueForProbe returns the servers to probe: unknown, suspect and draining ones whose backoff is over.
 func (v *View) DueForProbe(now time.Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
@@ -263,7 +256,7 @@
 	return due
 }
 
-// RecordProbe notes that a probe is under way, so that it is not due again at once.
+// RecordProbe records that a probe is under way, and schedules the next one.
 func (v *View) RecordProbe(now time.Time, server string) {
 	m := v.members[server]
 	if m == nil {
@@ -271,7 +264,7 @@
 	}
 	wait := max(m.backoff, v.options.ProbeBackoff)
 	if m.state == Draining {
-		// Only a new incarnation can change its state; no need to hurry.
+		// Only a new incarnation changes its state, so that probes may be rare.
 		wait = v.options.MaxProbeBackoff / 3
 	}
 	m.retryAt = now.Add(wait)
@@ -285,7 +278,7 @@
 	return ""
 }
 
-// FirstObserved returns when the present incarnation was first heard.
+// FirstObserved returns the time at which the present incarnation was first heard.
 func (v *View) FirstObserved(server string) time.Time {
 	if m := v.members[server]; m != nil {
 		return m.incarnationSince
@@ -293,7 +286,7 @@
 	return time.Time{}
 }
 
-// Member is one row for operators.
+// Member is one row of Members, for operators.
 type Member struct {
 	Server      string                `json:"server"`
 	State       State                 `json:"state"`
@@ -301,7 +294,7 @@
 	LastHeard   time.Time             `json:"heard"`
 }
 
-// Members lists the view, by name.
+// Members returns the servers and their states, sorted by name.
 func (v *View) Members() []Member {
 	var rows []Member
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
--- a/core/membership/view_test.go
+++ b/core/membership/view_test.go
@@ -19,8 +19,8 @@
 	return v
 }
 
-// A server says that it is leaving; a late message of before then arrives, and
-// the lagging list still shows it. It gets no new work until it has restarted.
+// A server announces that it drains; then an earlier message arrives late, and the lagging list still shows the
+// server. It gets no new work until it has restarted.
 func TestViewLeavingIsSticky(t *testing.T) {
 	v := liveView("a")
 	v.Observe(start, "a", "1", true)
@@ -33,8 +33,8 @@
 	require.True(t, v.Eligible("a"))
 }
 
-// The list says that a server leaves. That is believed at once, but not of a
-// daemon so young that the list may still tell of the one before it.
+// The list announces that a server drains. That is applied at once, except to a daemon so young that the list may
+// still mean the one before it.
 func TestViewListedAsLeaving(t *testing.T) {
 	v := liveView("a")
 	v.ApplyHostList(start.Add(5*time.Second), []ListedServer{{Server: "a", Draining: true}})
@@ -43,8 +43,8 @@
 	require.False(t, v.Eligible("a"))
 }
 
-// The list empties, or halves at a stroke: the platform has failed, not the
-// fleet. One host that vanishes is suspect until it answers.
+// The list empties or halves at once: the platform has failed rather than the fleet. A single missing host is
+// suspect until it answers.
 func TestViewShrinkingList(t *testing.T) {
 	var names []string
 	var rows []ListedServer
@@ -56,23 +56,22 @@
 	for _, left := range []int{0, 10, 13} {
 		v := liveView(names...)
 		v.ApplyHostList(start, rows)
-		_, believed := v.ApplyHostList(later, rows[:left])
-		require.False(t, believed)
+		_, accepted := v.ApplyHostList(later, rows[:left])
+		require.False(t, accepted)
 		for _, name := range names {
 			require.True(t, v.Eligible(name))
 		}
 	}
 	v := liveView(names...)
 	v.ApplyHostList(start, rows)
-	_, believed := v.ApplyHostList(later, rows[:19])
-	require.True(t, believed)
+	_, accepted := v.ApplyHostList(later, rows[:19])
+	require.True(t, accepted)
 	require.False(t, v.Eligible("s19"))
 	v.Observe(later, "s19", "1", false)
 	require.True(t, v.Eligible("s19"))
 }
 
-// A process wakes after a long pause. Nothing that it believed live is offered
-// work before it has answered again.
+// A process resumes after a long pause. No server that was live gets work before it has answered again.
 func TestViewAfterAPause(t *testing.T) {
 	v := liveView("a", "b")
 	v.Observe(start, "b", "1", true)
@@ -86,11 +85,10 @@
 	require.Contains(t, v.DueForProbe(start.Add(time.Minute)), "a")
 	v.Observe(start.Add(time.Minute), "a", "1", false)
 	require.True(t, v.Eligible("a"))
-	require.False(t, v.Eligible("b"), "leaving survives a pause")
+	require.False(t, v.Eligible("b"), "draining outlasts a pause")
 }
 
-// A server that can't be reached is asked ever more rarely, and serves again
-// with its first answer.
+// A server that can't be reached is probed with growing delays, and serves again with its first answer.
 func TestViewSuspects(t *testing.T) {
 	v := liveView("a")
 	v.RecordFailure(start, "a")
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -9,9 +9,12 @@
 // A crashing server takes down all its requests, so that innocent requests are recorded beside the culprit. Three
 // rules tell them apart:
 //
-//   - Only a request that has just started at the server is recorded (RecentlyStarted). Most requests that run there have been answered for longer.
-//   - A crash is attributed to the request that was at most crashes (Tracker.attributedCrashes). Requests beside the culprit are there once or twice, together with one that was there more often.
-//   - A complete answer clears a request, for the past and for a while after: it has run to its end, and its server lives.
+//   - Only a request that has just started at the server is recorded (RecentlyStarted). Most requests that run
+//     there have been answered for longer.
+//   - A crash is attributed to the request that was at most crashes (Tracker.attributedCrashes). Requests beside
+//     the culprit are there once or twice, together with one that was there more often.
+//   - A complete answer clears a request, for the past and for a while after: it has run to its end, and its
+//     server lives.
 //
 // Entries that hold the same records decide alike, in whatever order they received them.
 package quarantine
