--- a/core/coldstart/limiter_test.go
+++ b/core/coldstart/limiter_test.go
@@ -16,7 +16,7 @@
 
 func first(string) int { return 0 }
 
-// A server that was cold ended under the requests of one entry alone, which had a burst of callers.
+// A cold server crashed under the requests of one entry alone, which had a burst of callers.
 func TestAnEntrySendsAColdServerOneRequestASecond(t *testing.T) {
 	l := NewLimiter()
 	l.MarkCold("a", start.Add(3*time.Second))
@@ -31,7 +31,7 @@
 	require.Empty(t, l.servers)
 }
 
-// Of many entries only some send to a server that is cold.
+// Of many entries only some send to a cold server.
 func TestOfManyEntriesFewSendToAColdServer(t *testing.T) {
 	l := NewLimiter()
 	l.MarkCold("a", start.Add(time.Second))
@@ -42,11 +42,11 @@
 	require.Equal(t, 1, MaxSenders(0.5))
 }
 
-// entry is one of a group in the exploration below.
+// entry is one of the entries in TestNoColdServerGetsMoreThanItBears.
 type entry struct {
 	name    string
 	limiter *Limiter
-	// known are the names of the entries that it known, its own among them.
+	// known are the names of the entries that it knows, itself included.
 	known []string
 }
 
@@ -61,9 +61,9 @@
 	return rank
 }
 
-// Entries come, go, know all others or only themselves, and send to a cold server whenever they may. Whatever happens,
-// as long as those that know too few are no more than half of what the server bears, it gets no more than that in any
-// second.
+// Entries come and go, know all others or only themselves, and send to a cold server whenever they may. As long
+// as those that know only themselves are no more than half of the server's rate, it gets no more than that rate
+// in any second.
 func TestNoColdServerGetsMoreThanItBears(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		perSecond := float64(rapid.IntRange(4, 60).Draw(r, "bears"))
--- a/core/evacuation/zones.go
+++ b/core/evacuation/zones.go
@@ -1,7 +1,9 @@
-// Package evacuation knows from which availability zones the operators keep new work away. It is pure.
+// Package evacuation tracks the availability zones that operators have evacuated, so that they get no new work.
+// The package is pure.
 //
-// What is known of a zone is a register that the newest revision of the platform's store wins, so that states may be
-// taken in from the store, from other entries, twice and in any order, and nothing goes back to an older one.
+// Each zone is a last-writer-wins register, ordered by the revision of the platform's store. States may be
+// applied from the store and from other entries, repeatedly and in any order, and no older state replaces a newer
+// one.
 package evacuation
 
 import (
@@ -9,18 +11,18 @@
 	"slices"
 )
 
-// State is whether a zone is evacuated as of a revision of the platform's store.
+// State tells whether a zone is evacuated as of a revision of the platform's store.
 type State struct {
 	Zone      string `json:"zone" cbor:"1,keyasint,omitempty"`
 	Revision  uint64 `json:"revision" cbor:"2,keyasint,omitempty"`
 	Evacuated bool   `json:"evacuated" cbor:"3,keyasint,omitempty"`
 }
 
-// Zones is what is known of all zones; one of which nothing is known is not evacuated. The zero value knows nothing. It
-// is not safe for concurrent use.
+// Zones holds the states of all zones; a zone without a state is not evacuated. The zero value is empty. It is
+// not safe for concurrent use.
 type Zones struct{ states map[string]State }
 
-// Apply takes in what is known of a zone. It returns false if nothing changes for the zone's servers.
+// Apply applies the state of a zone. It reports whether the zone's evacuation began or ended.
 func (z *Zones) Apply(state State) bool {
 	known := z.states[state.Zone]
 	if state.Revision <= known.Revision {
@@ -33,8 +35,8 @@
 	return state.Evacuated != known.Evacuated
 }
 
-// Replace takes in all zones that are evacuated as of a revision, and returns the states that have changed. A zone that
-// is not listed has been taken back, unless something later is known of it.
+// Replace applies the complete list of evacuated zones as of a revision, and returns the changed states. The
+// evacuation of a zone that is not listed has ended, unless a newer state is known.
 func (z *Zones) Replace(listed []State, revision uint64) []State {
 	var changed []State
 	isListed := map[string]bool{}
@@ -53,8 +55,9 @@
 	return changed
 }
 
-// Restore takes in the zones that are listed once the store has come back from an older copy. One that is not listed may
-// have been evacuated after the copy was made: it stays evacuated until it is written of anew.
+// Restore applies the evacuated zones that are listed after the store came back from an older copy, and returns
+// the changed states. A zone that is not listed may have been evacuated after the copy was made: it stays
+// evacuated until it is written again.
 func (z *Zones) Restore(listed []State) []State {
 	var changed []State
 	for _, state := range listed {
@@ -65,10 +68,10 @@
 	return changed
 }
 
-// IsEvacuated says whether a zone is evacuated.
+// IsEvacuated reports whether a zone is evacuated.
 func (z *Zones) IsEvacuated(zone string) bool { return z.states[zone].Evacuated }
 
-// Evacuated returns the zones that are, in a fixed order.
+// Evacuated returns the evacuated zones, sorted.
 func (z *Zones) Evacuated() []string {
 	var zones []string
 	for _, state := range z.All() {
@@ -79,7 +82,7 @@
 	return zones
 }
 
-// All returns what other entries are told, in a fixed order. It is never nil.
+// All returns all states, sorted by zone, for other entries. It is never nil.
 func (z *Zones) All() []State {
 	all := make([]State, 0, len(z.states))
 	for _, zone := range slices.Sorted(maps.Keys(z.states)) {
--- a/core/evacuation/zones_test.go
+++ b/core/evacuation/zones_test.go
@@ -11,23 +11,24 @@
 	return State{Zone: zone, Revision: revision, Evacuated: true}
 }
 
-// Requests went to a zone that was to get none: an entry that had heard of the evacuation took in an older view of
-// another one, or a message that came late.
-func TestAnOlderStateDoesNotTakeAZoneBack(t *testing.T) {
+// Requests went to an evacuated zone: an entry that knew of the evacuation applied an older view of another one,
+// or a late message.
+func TestAnOlderStateDoesNotEndAnEvacuation(t *testing.T) {
 	var z Zones
 	require.True(t, z.Apply(evacuated("a", 5)))
 	require.False(t, z.Apply(State{Zone: "a", Revision: 4}))
 	require.False(t, z.Apply(State{Zone: "a", Revision: 5}))
-	require.Empty(t, z.Replace(nil, 4), "a list that was read before")
+	require.Empty(t, z.Replace(nil, 4), "a list read earlier")
 	require.True(t, z.IsEvacuated("a"))
 	require.False(t, z.Apply(evacuated("a", 6)), "evacuated again")
 	require.True(t, z.Apply(State{Zone: "a", Revision: 7}))
-	require.False(t, z.Apply(evacuated("a", 6)), "the evacuation before, told late")
+	require.False(t, z.Apply(evacuated("a", 6)), "the earlier evacuation, received late")
 	require.False(t, z.IsEvacuated("a"))
 }
 
-// A zone stayed without work for ever: it was taken back while the entry could not read the store.
-func TestAZoneThatIsNotListedHasBeenTakenBack(t *testing.T) {
+// The evacuation of a zone ended while the entry could not read the store, and the zone stayed without work for
+// ever.
+func TestTheEvacuationOfAZoneThatIsNotListedHasEnded(t *testing.T) {
 	var z Zones
 	z.Apply(evacuated("a", 5))
 	z.Apply(evacuated("b", 6))
@@ -36,7 +37,7 @@
 	require.Equal(t, []string{"b", "c"}, z.Evacuated(), "c was evacuated after the list was read")
 }
 
-// The store comes back from a copy that was made before the evacuation, and the operators don't know that it is lost.
+// The store comes back from a copy made before the evacuation, and the operators don't know that it is lost.
 func TestAnEvacuationOutlivesAStoreThatComesBackFromAnOlderCopy(t *testing.T) {
 	var z Zones
 	z.Apply(evacuated("a", 5))
@@ -45,16 +46,16 @@
 	require.True(t, z.Apply(State{Zone: "a", Revision: 9}))
 }
 
-// Entries hear of the same states in any order, some of them twice, and must agree.
-func TestEntriesThatHaveHeardTheSameAgree(t *testing.T) {
+// Entries receive the same states in any order, some of them twice, and must agree.
+func TestEntriesThatHaveReceivedTheSameAgree(t *testing.T) {
 	states := []State{evacuated("a", 1), {Zone: "a", Revision: 2}, evacuated("a", 3), evacuated("b", 4), {Zone: "b", Revision: 5}}
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
 		var z Zones
-		heard := append([]State{}, states...)
-		heard = append(heard, states[random.IntN(len(states))])
-		random.Shuffle(len(heard), func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
-		for _, state := range heard {
+		received := append([]State{}, states...)
+		received = append(received, states[random.IntN(len(states))])
+		random.Shuffle(len(received), func(i, j int) { received[i], received[j] = received[j], received[i] })
+		for _, state := range received {
 			z.Apply(state)
 		}
 		require.Equal(t, []State{evacuated("a", 3), {Zone: "b", Revision: 5}}, z.All())
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -1,6 +1,5 @@
-// Package routes holds the configuration of requests that are forwarded by host
-// name and path: which service runs them, what may be repeated, and which
-// workspace an API key belongs to. A Table is never changed once it is built.
+// Package routes holds the configuration of requests that are forwarded by host name and path: the service that
+// runs them, the retry policy, and the workspaces of API keys. A Table is immutable.
 package routes
 
 import (
@@ -13,32 +12,32 @@
 	"arbutusdeck/core/execution"
 )
 
-// Route says how requests of one host name and path prefix are handled.
+// Route configures the requests of one host name and path prefix.
 type Route struct {
 	Name   string `json:"name"`
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
-	// Repeat is what may be done with a request that may already have run.
+	// Repeat says whether a request that may already have run can be repeated.
 	Repeat execution.Repeat `json:"repeat"`
-	// Streaming says that answers are series of events.
+	// Streaming is set if answers are event streams.
 	Streaming bool `json:"streaming,omitempty"`
 	// Timeout bounds a request from its arrival to the end of its answer.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the time to the first byte of the answer that callers expect.
+	// Target is the expected time to the first byte of the answer.
 	Target time.Duration `json:"target"`
-	// EventGap is the longest pause between two events that callers expect.
+	// EventGap is the longest expected pause between two events.
 	EventGap time.Duration `json:"eventGap,omitempty"`
-	// MaxAttempts is how many backend servers a request may be sent to.
+	// MaxAttempts bounds the number of backend servers that a request is sent to.
 	MaxAttempts int `json:"maxAttempts"`
-	// Priority is the rank of the route; 0 goes first.
+	// Priority ranks the route's requests; 0 goes first.
 	Priority int `json:"priority"`
-	// Public says that requests need no API key.
+	// Public is set if requests need no API key.
 	Public bool `json:"public,omitempty"`
-	// Shares divides the requests between services.
+	// Shares divide the requests between services.
 	Shares []Share `json:"shares"`
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's weight among a route's services.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -48,16 +47,16 @@
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"healthPath,omitempty"`
-	// MaxConnections is what one backend server accepts from all callers.
+	// MaxConnections is the number of connections that one backend server accepts from all callers.
 	MaxConnections int `json:"maxConnections,omitempty"`
-	// ColdRate is how many requests a second, of all entries together, a backend server bears while it is cold; 0 if that
-	// is not bounded.
+	// ColdRate is the number of requests per second, summed over all entries, that a backend server sustains
+	// while cold; 0 if unlimited.
 	ColdRate float64 `json:"coldRate,omitempty"`
 	// Engine is nil for a plain service.
 	Engine *enginemodel.Engine `json:"engine,omitempty"`
 }
 
-// Limits bound what a caller may send, and how slowly.
+// Limits bound the size of callers' requests and how slowly they may be sent.
 type Limits struct {
 	HeaderBytes   int           `json:"headerBytes"`
 	BodyBytes     int64         `json:"bodyBytes"`
@@ -69,11 +68,11 @@
 type Workspace struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"apiKeys"`
-	// Priority goes before the route's where it is set.
+	// Priority, if set, overrides the route's.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// Definition is a whole configuration as it is read and passed between daemons.
+// Definition is a complete configuration as it is read and passed between daemons.
 type Definition struct {
 	Version    uint64      `json:"version"`
 	Routes     []Route     `json:"routes"`
@@ -82,7 +81,7 @@
 	Workspaces []Workspace `json:"workspaces"`
 }
 
-// Table answers questions about one Definition. It is safe for concurrent use.
+// Table indexes one Definition. It is safe for concurrent use.
 type Table struct {
 	definition Definition
 	byHost     map[string][]*Route // the longest prefix first
@@ -90,7 +89,7 @@
 	keys       map[string]*Workspace
 }
 
-// NewTable checks a definition and indexes it. Errors name the place.
+// NewTable validates a definition and indexes it. Errors name the invalid element.
 func NewTable(definition Definition) (*Table, error) {
 	t := &Table{definition: definition, byHost: map[string][]*Route{}, services: map[string]*Service{}, keys: map[string]*Workspace{}}
 	if err := t.addServices(); err != nil {
@@ -160,20 +159,20 @@
 	return nil
 }
 
-// Definition returns what the table was built from. It must not be changed.
+// Definition returns the definition of the table, which must not be changed.
 func (t *Table) Definition() *Definition { return &t.definition }
 
 // Version returns the definition's version.
 func (t *Table) Version() uint64 { return t.definition.Version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on callers.
 func (t *Table) Limits() Limits { return t.definition.Limits }
 
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match returns the route of the host name with the longest prefix of the path,
-// or nil. A port in the host name is passed over.
+// Match returns the route of the host name with the longest matching prefix of the path, or nil. A port in the
+// host name is ignored.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, ok := t.byHost[host]
@@ -195,9 +194,8 @@
 // WorkspaceOf returns the workspace that holds an API key, or nil.
 func (t *Table) WorkspaceOf(key string) *Workspace { return t.keys[key] }
 
-// PickService divides requests between the services of a route by their weights. draw
-// is a random number from 0 to 1; callers choose once for a request, so that all
-// its attempts go to one service.
+// PickService picks a service of the route at random, by weight. draw is a random number in [0, 1). Callers pick
+// once for each request, so that all its attempts go to one service.
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, share := range r.Shares {
--- a/core/routes/table_test.go
+++ b/core/routes/table_test.go
@@ -61,9 +61,9 @@
 	require.Equal(t, "orders", (&Route{Shares: []Share{{"orders", 0}}}).PickService(0.5))
 }
 
-// A configuration that can't be served is refused as a whole, with the place of
-// its first mistake; the caller of NewTable keeps the last good one.
-func TestMistakesNameTheirPlace(t *testing.T) {
+// An invalid configuration is rejected as a whole, and the error names its first invalid element; the caller of
+// NewTable keeps the last valid one.
+func TestErrorsNameTheInvalidElement(t *testing.T) {
 	for _, c := range []struct {
 		change func(d *Definition)
 		want   string
--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -8,8 +8,8 @@
 // evacuationMutations remove the safeguards around zones that are evacuated, and around cold servers.
 var evacuationMutations = []mutation{
 	{"an evacuated zone gets nothing new", "core/directory/directory.go", "!server.Leaving && !d.evacuated[server.Zone]", "!server.Leaving", gatewayPkg, "TestAnEvacuatedZone"},
-	{"an older state of a zone changes nothing", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderState"},
-	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Apply(ended) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
+	{"an older state of a zone changes nothing", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderStateDoesNotEndAnEvacuation"},
+	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Apply(ended) {\n", "		if false {\n", evacuationPkg, "TestTheEvacuationOfAZoneThatIsNotListedHasEnded"},
 	{"an evacuation outlives an older copy of the store", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
 	{"a lost evacuation is fetched", "entry/gateway/view.go", "	evacuations := s.takeViewedEvacuations(v)\n", "	var evacuations []evacuation.State\n", gatewayPkg, "TestALostEvacuation"},
 	{"an entry of an earlier version takes no zone back", "entry/gateway/evacuation.go", "v.Evacuations == nil || ", "", gatewayPkg, "TestALostEvacuation"},
