--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkCodec measures encoding and decoding of a message with one dispatch.
 func BenchmarkCodec(b *testing.B) {
-	m := usualMessage()
+	m := dispatchMessage()
 	data, err := Encode(m)
 	require.NoError(b, err)
 	b.Run("encode", func(b *testing.B) {
@@ -55,7 +55,7 @@
 		require.NoError(b, from.Close())
 		require.NoError(b, to.Close())
 	})
-	data, err := Encode(usualMessage())
+	data, err := Encode(dispatchMessage())
 	require.NoError(b, err)
 	b.ReportAllocs()
 	for range b.N {
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -11,14 +11,14 @@
 	"arbutusdeck/core/quarantine"
 )
 
-func usualMessage() Message {
+func dispatchMessage() Message {
 	return Message{From: "10.1.0.40:8229", Incarnation: "5f1c07a2", Version: 18, Revision: 1234,
 		Dispatches: []placement.Dispatch{{ID: "2kq0x1v9m4c7z", Server: "i-3888e856cb", Helpers: []string{"i-4097e082f0"}, PromptTokens: 27_000, AnswerTokens: 1600,
 			Gap: 600 * time.Millisecond, Target: 1500 * time.Millisecond, Life: 10 * time.Second}}}
 }
 
 func TestAMessageIsReadAsItWasWritten(t *testing.T) {
-	m := usualMessage()
+	m := dispatchMessage()
 	m.FirstEvents, m.Ended, m.KnownPeers, m.Stopping = []string{"a"}, []string{"b", "c"}, []string{"10.2.0.1:8229"}, true
 	m.Dispatches[0].Held = []int64{200_000, 0}
 	data, err := Encode(m)
@@ -30,9 +30,9 @@
 
 // A message goes to every entry at every dispatch, first event and end of a request.
 func TestAMessageIsShort(t *testing.T) {
-	data, err := Encode(usualMessage())
+	data, err := Encode(dispatchMessage())
 	require.NoError(t, err)
-	text, err := json.Marshal(usualMessage())
+	text, err := json.Marshal(dispatchMessage())
 	require.NoError(t, err)
 	require.Less(t, len(data), 130)
 	require.Greater(t, len(text), 2*len(data))
@@ -40,7 +40,7 @@
 
 // A truncated datagram, or one of another program, must be refused rather than half read.
 func TestAMessageThatIsCutShortIsRefused(t *testing.T) {
-	data, err := Encode(usualMessage())
+	data, err := Encode(dispatchMessage())
 	require.NoError(t, err)
 	for n := range data {
 		_, err := Decode(data[:n])
@@ -74,7 +74,7 @@
 		},
 		"a place": func(m *Message) { m.PlacementReply = &PlacementReply{Reserved: []int64{1, 2}} },
 	} {
-		m := usualMessage()
+		m := dispatchMessage()
 		breaks(&m)
 		data, err := Encode(m)
 		require.NoError(t, err)
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -210,21 +210,21 @@
 }
 
 // update stores what a member reports of itself.
-func (known *member) update(now time.Time, m Message, restarted bool) {
-	if m.Stopping && (!known.stopping || restarted) {
-		known.stoppedAt = now
+func (m *member) update(now time.Time, message Message, restarted bool) {
+	if message.Stopping && (!m.stopping || restarted) {
+		m.stoppedAt = now
 	}
 	switch {
-	case m.Starting || m.Stopping:
-		known.servingSince = time.Time{}
-	case known.servingSince.IsZero() || restarted:
-		known.servingSince = now
+	case message.Starting || message.Stopping:
+		m.servingSince = time.Time{}
+	case m.servingSince.IsZero() || restarted:
+		m.servingSince = now
 	}
-	known.incarnation, known.lastHeard, known.stopping = m.Incarnation, now, m.Stopping
-	known.version, known.revision = m.Version, m.Revision
-	known.capacity, known.store = m.Capacity, m.storeState()
-	if m.Digest != 0 {
-		known.digest = m.Digest
+	m.incarnation, m.lastHeard, m.stopping = message.Incarnation, now, message.Stopping
+	m.version, m.revision = message.Version, message.Revision
+	m.capacity, m.store = message.Capacity, message.storeState()
+	if message.Digest != 0 {
+		m.digest = message.Digest
 	}
 }
 
--- a/core/peering/heartbeats.go
+++ b/core/peering/heartbeats.go
@@ -83,16 +83,16 @@
 // SplitMembers splits a member list into parts that each fit a message.
 func SplitMembers(members []ZoneMembers) [][]ZoneMembers {
 	var parts [][]ZoneMembers
-	room := 0
+	free := 0
 	for _, zone := range members {
 		for rest := zone.Addresses; len(rest) > 0; {
-			if room == 0 {
-				parts, room = append(parts, nil), maxAddressesPerMessage
+			if free == 0 {
+				parts, free = append(parts, nil), maxAddressesPerMessage
 			}
-			count := min(room, len(rest))
+			count := min(free, len(rest))
 			last := len(parts) - 1
 			parts[last] = append(parts[last], ZoneMembers{Zone: zone.Zone, Addresses: rest[:count]})
-			rest, room = rest[count:], room-count
+			rest, free = rest[count:], free-count
 		}
 	}
 	return parts
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -22,11 +22,11 @@
 
 // SplitGreetings divides newly discovered entries into those that are asked for the entries of this zone and
 // those that are only greeted.
-func (g *Group) SplitGreetings(now time.Time, found []string) (asked, greeted []string) {
-	if len(found) > 0 && g.NeedsMembers(now) {
-		return found[:1], found[1:]
+func (g *Group) SplitGreetings(now time.Time, discovered []string) (asked, greeted []string) {
+	if len(discovered) > 0 && g.NeedsMembers(now) {
+		return discovered[:1], discovered[1:]
 	}
-	return nil, found
+	return nil, discovered
 }
 
 // MembersFor returns the reply to an entry of a zone that asks for members: the running entries of its zone, and
--- a/core/peering/ranks.go
+++ b/core/peering/ranks.go
@@ -45,9 +45,9 @@
 // rank returns how many of the members that eachCandidate visits rank before this entry, and their number.
 func (g *Group) rank(now time.Time, holds func(*member) bool) (before, others int) {
 	own := g.ownRankKey()
-	g.eachCandidate(now, holds, func(s rankKey) {
+	g.eachCandidate(now, holds, func(key rankKey) {
 		others++
-		if s.compare(own) < 0 {
+		if key.compare(own) < 0 {
 			before++
 		}
 	})
@@ -57,9 +57,9 @@
 // topRanked returns the addresses of the first count entries by rank, of those that each visits.
 func (g *Group) topRanked(count int, each func(call func(rankKey))) []string {
 	best := make([]rankKey, 0, count+1)
-	each(func(s rankKey) {
+	each(func(key rankKey) {
 		at := len(best)
-		for at > 0 && s.compare(best[at-1]) < 0 {
+		for at > 0 && key.compare(best[at-1]) < 0 {
 			at--
 		}
 		if at == count {
@@ -67,7 +67,7 @@
 		}
 		best = append(best, rankKey{})
 		copy(best[at+1:], best[at:])
-		best[at] = s
+		best[at] = key
 		best = best[:min(len(best), count)]
 	})
 	addresses := make([]string, 0, len(best))
--- a/core/peering/remote.go
+++ b/core/peering/remote.go
@@ -86,13 +86,13 @@
 	return known
 }
 
-func (f *remoteZone) update(asOf time.Time, entries, room int, delegates []string) {
-	if asOf.Before(f.asOf) {
+func (z *remoteZone) update(asOf time.Time, entryCount, spareCapacity int, delegates []string) {
+	if asOf.Before(z.asOf) {
 		return
 	}
-	f.asOf, f.entryCount, f.delegates = asOf, entries, delegates
-	if room > 0 {
-		f.spareCapacity = room
+	z.asOf, z.entryCount, z.delegates = asOf, entryCount, delegates
+	if spareCapacity > 0 {
+		z.spareCapacity = spareCapacity
 	}
 }
 
