--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -16,7 +16,7 @@
 const (
 	// Unknown: configured, but not heard yet.
 	Unknown State = "unheard"
-	// Live: it answered the last message.
+	// Live: it answered recently.
 	Live State = "live"
 	// Suspect: it failed repeatedly; it gets probes but no work until it answers.
 	Suspect State = "suspect"
@@ -149,7 +149,7 @@
 }
 
 // ApplyHostList applies the platform's host list, which lags. It is a hint: a missing server is only suspect, and
-// a list that loses more than MaxShrinkShare of its hosts at once is rejected, since the list fails more often
+// a list that loses several hosts at once, more than MaxShrinkShare, is rejected, since the list fails more often
 // than half the fleet does.
 func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, accepted bool) {
 	present := map[string]bool{}
--- a/core/membership/view_test.go
+++ b/core/membership/view_test.go
@@ -98,11 +98,11 @@
 	for range 8 {
 		v.RecordFailure(now, "a")
 		require.False(t, v.Eligible("a"))
-		begun := now
+		started := now
 		for len(v.DueForProbe(now)) == 0 {
 			now = now.Add(100 * time.Millisecond)
 		}
-		waits = append(waits, now.Sub(begun))
+		waits = append(waits, now.Sub(started))
 	}
 	require.Less(t, waits[0], time.Second)
 	require.Equal(t, 15*time.Second, waits[7])
--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// BenchmarkHeard measures Observe by the number of known entries.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkObserve measures Observe by the number of known entries.
+func BenchmarkObserve(b *testing.B) {
 	for _, entries := range []int{5, 28, 68, 101} {
 		g := New("self:1", "here", "i", nil)
 		var messages []Message
--- a/core/peering/codec_test.go
+++ b/core/peering/codec_test.go
@@ -59,7 +59,7 @@
 }
 
 // A faulty entry sends a request with memory reserved at more servers than it names. The entries that received it
-// crashed, and crashed again after their restart, as open requests are sent anew.
+// crashed, and crashed again after their restart, as open requests are sent again.
 func TestAnInvalidMessageIsRefused(t *testing.T) {
 	for name, breaks := range map[string]func(*Message){
 		"held at fewer servers": func(m *Message) { m.Dispatches[0].Held = []int64{1} },
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -25,7 +25,7 @@
 
 // Intervals and timeouts of heartbeats and failure detection.
 const (
-	// HeartbeatInterval lies between two heartbeats, which also tell how new the sender's view is. At two a
+	// HeartbeatInterval lies between two heartbeats, which also report how new the sender's view is. At two a
 	// second, a daemon that the platform refuses can take over a configuration from a peer within a second.
 	HeartbeatInterval = 500 * time.Millisecond
 	// ForgetAfter bounds how long messages are sent to an entry that is not heard: a few times a partition of
@@ -175,7 +175,7 @@
 	NeedsSync bool
 }
 
-// Observe updates the sender of a message and the members that the message tells of.
+// Observe updates the sender of a message and the members that the message lists.
 func (g *Group) Observe(now time.Time, m Message) Sender {
 	known := g.add(now, m.From)
 	if known == nil {
--- a/core/peering/group_test.go
+++ b/core/peering/group_test.go
@@ -43,7 +43,7 @@
 	require.True(t, missed(0, "x"), "it was never heard of")
 	require.False(t, missed(HeartbeatInterval, "x"))
 	require.True(t, missed(HeartbeatInterval+SuspectAfter, "x"))
-	require.True(t, missed(HeartbeatInterval+SuspectAfter, "y"), "it has started anew")
+	require.True(t, missed(HeartbeatInterval+SuspectAfter, "y"), "it has restarted")
 }
 
 // A starting entry knows no servers and could not record requests. The state is sent to it once it can.
--- a/core/peering/join.go
+++ b/core/peering/join.go
@@ -68,9 +68,9 @@
 	return sortedByZone(zones)
 }
 
-// mayReport reports whether others are told that a member runs. Of its own zone an entry reports only what it
-// hears itself: members that relied on each other's reports would keep a terminated entry alive between them for
-// ever.
+// mayReport reports whether a member is reported to others as running. Of its own zone an entry reports only what
+// it hears itself: members that relied on each other's reports would keep a terminated entry alive between them
+// for ever.
 func (g *Group) mayReport(now time.Time, m *member) bool {
 	return m.isAlive(now) || m.zone != g.zone && m.isRunning(now)
 }
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -57,8 +57,8 @@
 	WantsMembers bool `cbor:"23,keyasint,omitempty"`
 	// Digest is the sender's Group.Digest, a hash of the local entries that it hears; 0 if not given.
 	Digest uint32 `cbor:"24,keyasint,omitempty"`
-	// EntryCount is the number of running entries in the sender's zone; Delegates are those that speak for it.
-	// Like SpareCapacity they are sent to other zones.
+	// EntryCount is the number of running entries in the sender's zone; Delegates are those that exchange state
+	// with other zones. Like SpareCapacity they are sent to other zones.
 	EntryCount int      `cbor:"25,keyasint,omitempty"`
 	Delegates  []string `cbor:"26,keyasint,omitempty"`
 	// ZoneSummaries pass on what other zones have reported to the sender.
@@ -74,7 +74,7 @@
 	EntryCount    int   `cbor:"2,keyasint,omitempty"`
 	SpareCapacity int   `cbor:"3,keyasint,omitempty"`
 	Age           int64 `cbor:"4,keyasint,omitempty"`
-	// Delegates speak for the zone; Addresses are other running entries.
+	// Delegates are the zone's delegates; Addresses are other running entries.
 	Delegates []string `cbor:"5,keyasint,omitempty"`
 	Addresses []string `cbor:"6,keyasint,omitempty"`
 }
@@ -113,10 +113,11 @@
 // Update holds the changes of the list of servers and of the evacuated zones between two revisions of the
 // platform.
 type Update struct {
-	BaseRevision uint64             `cbor:"1,keyasint,omitempty"`
-	UpToRevision uint64             `cbor:"2,keyasint,omitempty"`
-	Servers      []directory.Server `cbor:"3,keyasint,omitempty"`
-	Tombstones   []directory.Gone   `cbor:"4,keyasint,omitempty"`
+	BaseRevision uint64 `cbor:"1,keyasint,omitempty"`
+	UpToRevision uint64 `cbor:"2,keyasint,omitempty"`
+	// Servers are the new and changed servers, Tombstones the removed ones.
+	Servers    []directory.Server `cbor:"3,keyasint,omitempty"`
+	Tombstones []directory.Gone   `cbor:"4,keyasint,omitempty"`
 	// Evacuations are the zones whose evacuation was requested or ended.
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
--- a/core/peering/remote.go
+++ b/core/peering/remote.go
@@ -43,7 +43,7 @@
 	// asOf is the time of the state; lastDirect is the last time at which an entry of the zone reported to this
 	// one.
 	asOf, lastDirect time.Time
-	// delegates speak for the zone.
+	// delegates are the entries that exchange state for the zone.
 	delegates []string
 }
 
@@ -122,8 +122,8 @@
 	return count >= remoteMembersPerZone
 }
 
-// delegates returns the entries that speak for this zone: the first by rank that serve and, while these are too
-// few, others. While the entries' views differ, more or fewer than wanted speak.
+// delegates returns the delegates of this zone: the first by rank that serve and, while these are too few,
+// others. While the entries' views differ, more or fewer than wanted act as delegates.
 func (g *Group) delegates(now time.Time) []string {
 	delegates := g.topCandidates(now, g.serving, func(m *member) bool { return !m.servingSince.IsZero() })
 	if len(delegates) < delegatesPerZone {
@@ -198,7 +198,7 @@
 	return g.scope != scopeAll && m.EntryCount > 0 && m.Zone != "" && m.Zone != g.zone && !g.isDelegate(now)
 }
 
-// MistakenForLocal reports whether the sender of a message takes this entry for a local one and has to be told
+// MistakenForLocal reports whether the sender of a message takes this entry for a local one and has to be sent
 // its zone. That happens if it never heard this entry, such as a seed that starts later than others.
 func (g *Group) MistakenForLocal(m Message) bool {
 	return g.scope != scopeAll && m.Digest != 0 && m.Zone != "" && m.Zone != g.zone
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -21,21 +21,21 @@
 
 // BenchmarkTracker measures ServerCrashed and RefusedFor while the tracker is full.
 func BenchmarkTracker(b *testing.B) {
-	w := NewTracker()
+	tracker := NewTracker()
 	for i := range MaxRecords {
 		for _, server := range []string{"a", "b", "c"} {
-			w.ServerCrashed(start, request(fmt.Sprint(i)), fmt.Sprint(server, i))
+			tracker.ServerCrashed(start, request(fmt.Sprint(i)), fmt.Sprint(server, i))
 		}
 	}
 	f := request("0")
 	b.Run("ended", func(b *testing.B) {
 		for i := range b.N {
-			w.ServerCrashed(start.Add(time.Duration(i)), request("new"), "a")
+			tracker.ServerCrashed(start.Add(time.Duration(i)), request("new"), "a")
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
 		for range b.N {
-			w.RefusedFor(start, f)
+			tracker.RefusedFor(start, f)
 		}
 	})
 }
--- a/core/quarantine/separator_test.go
+++ b/core/quarantine/separator_test.go
@@ -22,12 +22,12 @@
 // A request is a suspect from its second crash until a complete answer clears it. Most requests beside a crash
 // are there once: keeping them apart would spread answers over too many servers while servers are few.
 func TestARequestIsASuspectFromItsSecondCrash(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	f := request("sound")
 	for i, server := range []string{"a", "b", "c"} {
-		require.Equal(t, i >= 2, w.IsSuspect(f))
-		w.ServerCrashed(start, f, server)
+		require.Equal(t, i >= 2, tracker.IsSuspect(f))
+		tracker.ServerCrashed(start, f, server)
 	}
-	w.Completed(start, f)
-	require.False(t, w.IsSuspect(f))
+	tracker.Completed(start, f)
+	require.False(t, tracker.IsSuspect(f))
 }
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -19,105 +19,105 @@
 // A request is repeated and crashes a server each time. It is refused from the third crash on, for as long as it
 // is remembered.
 func TestARequestIsRefusedOnceItHasCrashedThreeServers(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	f := request("fatal")
 	for i, server := range []string{"a", "b", "b", "c"} {
-		require.Zero(t, w.RefusedFor(start, f), server)
-		_, isNew := w.ServerCrashed(start, f, server)
+		require.Zero(t, tracker.RefusedFor(start, f), server)
+		_, isNew := tracker.ServerCrashed(start, f, server)
 		require.Equal(t, i != 2, isNew)
 	}
-	require.Equal(t, RecordTTL, w.RefusedFor(start, f))
-	require.Equal(t, RecordTTL-time.Minute, w.RefusedFor(start.Add(time.Minute), f))
-	require.Zero(t, w.RefusedFor(start, request("another")))
-	w.Expire(start.Add(RecordTTL - 1))
-	require.False(t, w.Empty())
-	w.Expire(start.Add(RecordTTL))
-	require.True(t, w.Empty())
+	require.Equal(t, RecordTTL, tracker.RefusedFor(start, f))
+	require.Equal(t, RecordTTL-time.Minute, tracker.RefusedFor(start.Add(time.Minute), f))
+	require.Zero(t, tracker.RefusedFor(start, request("another")))
+	tracker.Expire(start.Add(RecordTTL - 1))
+	require.False(t, tracker.Empty())
+	tracker.Expire(start.Add(RecordTTL))
+	require.True(t, tracker.Empty())
 }
 
 // An innocent request runs beside the culprit, is sent to the next server and meets it there again, and once more
 // when its caller repeats it. It was at three crashes, for the last of which the record of the culprit has not
 // arrived. It must be served; the culprit is refused after two more crashes.
 func TestARequestBesideTheCulpritIsNotTakenForIt(t *testing.T) {
-	w := NewTracker()
-	fatal, sound := request("fatal"), request("sound")
+	tracker := NewTracker()
+	culprit, innocent := request("fatal"), request("sound")
 	for _, server := range []string{"a", "b"} {
-		w.ServerCrashed(start, sound, server)
-		w.ServerCrashed(start, fatal, server)
+		tracker.ServerCrashed(start, innocent, server)
+		tracker.ServerCrashed(start, culprit, server)
 	}
-	w.ServerCrashed(start, sound, "c")
-	require.Zero(t, w.RefusedFor(start, sound), "before the news")
-	w.ServerCrashed(start, fatal, "c")
-	require.Zero(t, w.RefusedFor(start, sound), "after the news")
-	require.Zero(t, w.RefusedFor(start, fatal), "either may be at fault")
-	w.ServerCrashed(start, fatal, "d")
-	require.Zero(t, w.RefusedFor(start, fatal))
-	w.ServerCrashed(start, fatal, "e")
-	require.Positive(t, w.RefusedFor(start, fatal))
-	require.Zero(t, w.RefusedFor(start, sound))
+	tracker.ServerCrashed(start, innocent, "c")
+	require.Zero(t, tracker.RefusedFor(start, innocent), "before the record")
+	tracker.ServerCrashed(start, culprit, "c")
+	require.Zero(t, tracker.RefusedFor(start, innocent), "after the record")
+	require.Zero(t, tracker.RefusedFor(start, culprit), "either may be the culprit")
+	tracker.ServerCrashed(start, culprit, "d")
+	require.Zero(t, tracker.RefusedFor(start, culprit))
+	tracker.ServerCrashed(start, culprit, "e")
+	require.Positive(t, tracker.RefusedFor(start, culprit))
+	require.Zero(t, tracker.RefusedFor(start, innocent))
 }
 
 // Two requests that both crash servers always meet. Neither must hide behind the other for long.
 func TestTwoCulpritsDoNotHideEachOther(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	for i := range CrashLimit {
-		require.Zero(t, w.RefusedFor(start, request("one")))
-		w.ServerCrashed(start, request("one"), fmt.Sprint(i))
-		w.ServerCrashed(start, request("two"), fmt.Sprint(i))
+		require.Zero(t, tracker.RefusedFor(start, request("one")))
+		tracker.ServerCrashed(start, request("one"), fmt.Sprint(i))
+		tracker.ServerCrashed(start, request("two"), fmt.Sprint(i))
 	}
-	require.Positive(t, w.RefusedFor(start, request("one")))
-	require.Positive(t, w.RefusedFor(start, request("two")))
+	require.Positive(t, tracker.RefusedFor(start, request("one")))
+	require.Positive(t, tracker.RefusedFor(start, request("two")))
 }
 
 // A request beside others at crashes is answered completely. Records that arrive late or repeatedly must not make
 // it suspect again; later crashes count.
 func TestACompleteAnswerClearsARequest(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	f := request("sound")
-	late, _ := w.ServerCrashed(start, f, "a")
-	w.ServerCrashed(start, f, "b")
-	w.ServerCrashed(start, f, "c")
-	require.Positive(t, w.RefusedFor(start, f))
-	_, isNew := w.Completed(start, f)
+	late, _ := tracker.ServerCrashed(start, f, "a")
+	tracker.ServerCrashed(start, f, "b")
+	tracker.ServerCrashed(start, f, "c")
+	require.Positive(t, tracker.RefusedFor(start, f))
+	_, isNew := tracker.Completed(start, f)
 	require.True(t, isNew)
-	require.Zero(t, w.RefusedFor(start, f))
-	require.Empty(t, w.Merge(start, []Record{late}))
+	require.Zero(t, tracker.RefusedFor(start, f))
+	require.Empty(t, tracker.Merge(start, []Record{late}))
 	later := start.Add(2 * ExonerationTime)
-	w.ServerCrashed(later, f, "d")
-	w.ServerCrashed(later, f, "e")
-	require.Zero(t, w.RefusedFor(later, f))
-	w.ServerCrashed(later, f, "f")
-	require.Positive(t, w.RefusedFor(later, f))
+	tracker.ServerCrashed(later, f, "d")
+	tracker.ServerCrashed(later, f, "e")
+	require.Zero(t, tracker.RefusedFor(later, f))
+	tracker.ServerCrashed(later, f, "f")
+	require.Positive(t, tracker.RefusedFor(later, f))
 }
 
 // Many callers of a workspace repeat the same status request and are answered. Then the whole rack of its three
 // servers fails, and the request has just started at each of them. It must not be refused when they are back.
 // Only a request that is no longer answered is suspected.
 func TestARecentlyAnsweredRequestIsExonerated(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	f := request("status")
-	_, isNew := w.Completed(start, f)
+	_, isNew := tracker.Completed(start, f)
 	require.False(t, isNew, "it has no record")
 	for _, server := range []string{"a", "b", "c"} {
-		_, isNew := w.ServerCrashed(start.Add(ExonerationTime), f, server)
+		_, isNew := tracker.ServerCrashed(start.Add(ExonerationTime), f, server)
 		require.False(t, isNew)
 	}
-	require.True(t, w.Empty())
+	require.True(t, tracker.Empty())
 	for _, server := range []string{"d", "e", "f"} {
-		w.ServerCrashed(start.Add(2*ExonerationTime), f, server)
+		tracker.ServerCrashed(start.Add(2*ExonerationTime), f, server)
 	}
-	require.Positive(t, w.RefusedFor(start.Add(2*ExonerationTime), f))
+	require.Positive(t, tracker.RefusedFor(start.Add(2*ExonerationTime), f))
 }
 
 // An entry answers many requests a second for a long time. The exonerated requests are bounded and include the
 // newest.
 func TestExoneratedRequestsAreBounded(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	for i := range 10 * maxExonerated {
 		f := request(fmt.Sprint(i))
-		w.Completed(start.Add(time.Duration(i)*time.Millisecond), f)
-		require.LessOrEqual(t, len(w.exonerated.current)+len(w.exonerated.previous), 2*maxExonerated)
-		_, isNew := w.ServerCrashed(start.Add(time.Duration(i)*time.Millisecond), f, "a")
+		tracker.Completed(start.Add(time.Duration(i)*time.Millisecond), f)
+		require.LessOrEqual(t, len(tracker.exonerated.current)+len(tracker.exonerated.previous), 2*maxExonerated)
+		_, isNew := tracker.ServerCrashed(start.Add(time.Duration(i)*time.Millisecond), f, "a")
 		require.False(t, isNew)
 	}
 }
@@ -125,22 +125,22 @@
 // Servers crash under one request each, many thousand times, as in a lasting failure of half a fleet. The records
 // stay bounded, and refused requests stay refused.
 func TestRecordsAreBounded(t *testing.T) {
-	w := NewTracker()
+	tracker := NewTracker()
 	for _, server := range []string{"a", "b", "c"} {
-		w.ServerCrashed(start, request("fatal"), server)
+		tracker.ServerCrashed(start, request("fatal"), server)
 	}
 	for i := range 20_000 {
 		at := start.Add(time.Duration(i) * time.Millisecond)
-		w.ServerCrashed(at, request(fmt.Sprint(i)), fmt.Sprint("s", i))
-		require.LessOrEqual(t, len(w.records), MaxRecords)
+		tracker.ServerCrashed(at, request(fmt.Sprint(i)), fmt.Sprint("s", i))
+		require.LessOrEqual(t, len(tracker.records), MaxRecords)
 	}
-	require.Positive(t, w.RefusedFor(start, request("fatal")))
-	require.Len(t, w.records, MaxRecords)
-	require.Len(t, w.AllRefused(start), 1)
+	require.Positive(t, tracker.RefusedFor(start, request("fatal")))
+	require.Len(t, tracker.records, MaxRecords)
+	require.Len(t, tracker.AllRefused(start), 1)
 	for i := range 100 {
-		w.ServerCrashed(start, request("fatal"), fmt.Sprint("t", i))
+		tracker.ServerCrashed(start, request("fatal"), fmt.Sprint("t", i))
 	}
-	require.Len(t, w.records[request("fatal")].crashes, CrashLimit)
+	require.Len(t, tracker.records[request("fatal")].crashes, CrashLimit)
 }
 
 // Records of another entry with past or future times must not keep a request for longer than RecordTTL.
@@ -163,40 +163,40 @@
 // records they decide alike, and their digests are equal.
 func TestEntriesWithTheSameRecordsDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		watches := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
-		var told []Record
+		trackers := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
+		var records []Record
 		requests := []Fingerprint{request("a"), request("b"), request("c")}
 		now := start
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, ExonerationTime, 2 * ExonerationTime}).Draw(t, "pause"))
-			w := watches[rapid.IntRange(0, len(watches)-1).Draw(t, "entry")]
+			tracker := trackers[rapid.IntRange(0, len(trackers)-1).Draw(t, "entry")]
 			f := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				if r, isNew := w.Completed(now, f); isNew {
-					told = append(told, r)
+				if r, isNew := tracker.Completed(now, f); isNew {
+					records = append(records, r)
 				}
 			case 1:
-				if len(told) > 0 {
-					w.Merge(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "news"):][:1])
+				if len(records) > 0 {
+					tracker.Merge(now, records[rapid.IntRange(0, len(records)-1).Draw(t, "news"):][:1])
 				}
 			default:
-				if r, isNew := w.ServerCrashed(now, f, fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "server"))); isNew {
-					told = append(told, r)
+				if r, isNew := tracker.ServerCrashed(now, f, fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "server"))); isNew {
+					records = append(records, r)
 				}
 			}
 		}
 		for range 2 {
-			for _, from := range watches {
-				for _, to := range watches {
+			for _, from := range trackers {
+				for _, to := range trackers {
 					to.Merge(now, from.Records(now))
 				}
 			}
 		}
-		for _, w := range watches[1:] {
-			require.Equal(t, watches[0].Digest(), w.Digest())
+		for _, tracker := range trackers[1:] {
+			require.Equal(t, trackers[0].Digest(), tracker.Digest())
 			for _, f := range requests {
-				require.Equal(t, watches[0].RefusedFor(now, f) > 0, w.RefusedFor(now, f) > 0)
+				require.Equal(t, trackers[0].RefusedFor(now, f) > 0, tracker.RefusedFor(now, f) > 0)
 			}
 		}
 	})
@@ -207,15 +207,15 @@
 // before it has crashed more than CrashLimit servers.
 func TestInnocentRequestsAreNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := NewTracker()
-		fatal := request("fatal")
+		tracker := NewTracker()
+		culprit := request("fatal")
 		sent := map[Fingerprint]int{}
 		servers := 0
-		for w.RefusedFor(start, fatal) == 0 {
+		for tracker.RefusedFor(start, culprit) == 0 {
 			server := fmt.Sprint(servers)
 			servers++
 			require.LessOrEqual(t, servers, CrashLimit)
-			order := []Fingerprint{fatal}
+			order := []Fingerprint{culprit}
 			for i := range rapid.IntRange(0, 6).Draw(t, "beside") {
 				f := request(fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "which")))
 				if sent[f] < 4 && !slices.Contains(order, f) {
@@ -224,15 +224,15 @@
 				}
 			}
 			for _, f := range order {
-				if f != fatal {
-					require.Zero(t, w.RefusedFor(start, f))
+				if f != culprit {
+					require.Zero(t, tracker.RefusedFor(start, f))
 				}
-				w.ServerCrashed(start, f, server)
+				tracker.ServerCrashed(start, f, server)
 			}
 			for f := range sent {
-				require.Zero(t, w.RefusedFor(start, f))
+				require.Zero(t, tracker.RefusedFor(start, f))
 				if rapid.IntRange(0, 3).Draw(t, "answered") > 0 {
-					w.Completed(start, f)
+					tracker.Completed(start, f)
 				}
 			}
 		}
@@ -251,10 +251,10 @@
 // or they would exchange all records for ever.
 func TestEntriesKeepTheSameCrashes(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
-	const ends = CrashLimit + 2
-	for i := range ends {
+	const crashes = CrashLimit + 2
+	for i := range crashes {
 		first.ServerCrashed(start, request("fatal"), fmt.Sprint(i))
-		second.ServerCrashed(start, request("fatal"), fmt.Sprint(ends-1-i))
+		second.ServerCrashed(start, request("fatal"), fmt.Sprint(crashes-1-i))
 	}
 	require.Equal(t, first.Digest(), second.Digest())
 }
