--- a/core/coldstart/limiter.go
+++ b/core/coldstart/limiter.go
@@ -58,7 +58,7 @@
 
 // Allows reports whether a request may be sent to a server that sustains perSecond requests per second while
 // cold.
-func (l *Limiter) Allows(now time.Time, incarnation string, perSecond float64, rank RankFunc) bool {
+func (l *Limiter) Allows(now time.Time, incarnation string, perSecond float64, rankOf RankFunc) bool {
 	if !l.IsCold(now, incarnation) {
 		return true
 	}
@@ -67,7 +67,7 @@
 		return false
 	}
 	if !known.ranked {
-		known.rank, known.ranked = rank(incarnation), true
+		known.rank, known.ranked = rankOf(incarnation), true
 	}
 	return known.rank < MaxSenders(perSecond)
 }
--- a/core/coldstart/limiter_test.go
+++ b/core/coldstart/limiter_test.go
@@ -36,9 +36,9 @@
 	l := NewLimiter()
 	l.MarkCold("a", start.Add(time.Second))
 	l.MarkCold("b", start.Add(time.Second))
-	rank := func(start string) int { return map[string]int{"a": 19, "b": 20}[start] }
-	require.True(t, l.Allows(start, "a", 40, rank))
-	require.False(t, l.Allows(start, "b", 40, rank))
+	rankOf := func(start string) int { return map[string]int{"a": 19, "b": 20}[start] }
+	require.True(t, l.Allows(start, "a", 40, rankOf))
+	require.False(t, l.Allows(start, "b", 40, rankOf))
 	require.Equal(t, 1, MaxSenders(0.5))
 }
 
--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -82,9 +82,9 @@
 
 // Merge merges records of another entry and returns the requests whose records changed. Records with an age
 // outside 0 to RecordTTL are ignored.
-func (tr *Tracker) Merge(now time.Time, records []Record) []Fingerprint {
+func (tr *Tracker) Merge(now time.Time, received []Record) []Fingerprint {
 	var changed []Fingerprint
-	for _, t := range records {
+	for _, t := range received {
 		if t.Age < 0 || t.Age >= RecordTTL {
 			continue
 		}
@@ -161,9 +161,9 @@
 }
 
 // isExplained reports whether another request was at a crash, and at no fewer crashes than given in total.
-func (tr *Tracker) isExplained(crash uint64, f Fingerprint, crashes int) bool {
+func (tr *Tracker) isExplained(crash uint64, f Fingerprint, minCrashes int) bool {
 	for other, o := range tr.records {
-		if other == f || len(o.crashes) < crashes {
+		if other == f || len(o.crashes) < minCrashes {
 			continue
 		}
 		if _, found := slices.BinarySearch(o.crashes, crash); found {
--- a/core/quarantine/tracker_test.go
+++ b/core/quarantine/tracker_test.go
@@ -164,7 +164,7 @@
 func TestEntriesWithTheSameRecordsDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		trackers := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
-		var records []Record
+		var exported []Record
 		requests := []Fingerprint{request("a"), request("b"), request("c")}
 		now := start
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
@@ -174,15 +174,15 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				if r, isNew := tracker.Completed(now, f); isNew {
-					records = append(records, r)
+					exported = append(exported, r)
 				}
 			case 1:
-				if len(records) > 0 {
-					tracker.Merge(now, records[rapid.IntRange(0, len(records)-1).Draw(t, "news"):][:1])
+				if len(exported) > 0 {
+					tracker.Merge(now, exported[rapid.IntRange(0, len(exported)-1).Draw(t, "news"):][:1])
 				}
 			default:
 				if r, isNew := tracker.ServerCrashed(now, f, fmt.Sprint(rapid.IntRange(0, 7).Draw(t, "server"))); isNew {
-					records = append(records, r)
+					exported = append(exported, r)
 				}
 			}
 		}
