--- a/core/quarantine/tracker.go
+++ b/core/quarantine/tracker.go
@@ -160,7 +160,7 @@
 	return count
 }
 
-// isExplained reports whether another request was at a crash, and at no fewer crashes than given in total.
+// isExplained reports whether another request was at a crash, and at no fewer than minCrashes crashes in total.
 func (tr *Tracker) isExplained(crash uint64, f Fingerprint, minCrashes int) bool {
 	for other, o := range tr.records {
 		if other == f || len(o.crashes) < minCrashes {
--- a/proof/mutations/quarantine_mutations_test.go
+++ b/proof/mutations/quarantine_mutations_test.go
@@ -29,7 +29,7 @@
 	{"late news don't undo an answer", "core/quarantine/record.go", "	if other.Cleared < r.cleared {", "	if false {", quarantinePkg, "TestACompleteAnswerClearsARequest"},
 	{"what is remembered is bounded", "core/quarantine/tracker.go", "		delete(tr.records, tr.evictionCandidate())\n", "", quarantinePkg, "TestRecordsAreBounded"},
 	{"what is refused stays remembered", "core/quarantine/tracker.go", "cmp.Compare(len(r.crashes), len(least.crashes)), ", "", quarantinePkg, "TestRecordsAreBounded"},
-	{"entries keep the same ends", "core/quarantine/record.go", "	if found || at >= CrashLimit {", "	if found || len(r.ended) >= CrashLimit {", quarantinePkg, "TestEntriesKeepTheSameCrashes"},
+	{"entries keep the same ends", "core/quarantine/record.go", "	if found || at >= CrashLimit {", "	if found || len(r.crashes) >= CrashLimit {", quarantinePkg, "TestEntriesKeepTheSameCrashes"},
 	{"a request's term ends", "core/quarantine/tracker.go", "		if now.Sub(r.changed) >= RecordTTL {", "		if now.Sub(r.changed) >= 1000*RecordTTL {", quarantinePkg, "TestARequestIsRefusedOnceItHasCrashedThreeServers"},
 	{"telling keeps the age", "core/quarantine/tracker.go", "r.merge(t, now.Add(-t.Age))", "r.merge(t, now)", quarantinePkg, "TestMergingDoesNotExtendTheTTL"},
 	{"only what has just begun is remembered", "core/quarantine/tracker.go", "now.Sub(firstEvent) < StartWindow", "true", quarantinePkg, "TestOnlyARecentlyStartedRequestMayHaveCrashedItsServer"},
