--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -277,7 +277,7 @@
 	return suspects, all
 }
 
-// Forget removes members that were not heard, directly or indirectly, for ForgetAfter.
+// Forget removes members, other than seeds, that were not heard, directly or indirectly, for ForgetAfter.
 func (g *Group) Forget(now time.Time) {
 	for address, m := range g.members {
 		if slices.Contains(g.seeds, address) {
