--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -1,6 +1,5 @@
-// Package membership keeps a daemon's view of the fleet: which backend servers
-// may be offered new work. The view is a pure core fed by the platform's host
-// list, by what messages show and by the passing of time.
+// Package membership maintains a daemon's view of the fleet: which backend servers may be offered new work. The
+// view is pure; its inputs are the platform's host list, the messages of servers and the time.
 package membership
 
 import (
@@ -11,40 +10,37 @@
 	"arbutusdeck/core/execution"
 )
 
-// State is what is believed of one server.
+// State is the state of one server as the view knows it.
 type State string
 
 const (
-	// Unheard: configured, but nothing is known of it yet.
-	Unheard State = "unheard"
-	// Live: it has answered of late.
+	// Unknown: configured, but not heard yet.
+	Unknown State = "unheard"
+	// Live: it answered recently.
 	Live State = "live"
-	// Suspect: recent failures; it gets probes but no work until it answers.
+	// Suspect: it failed repeatedly; it gets probes but no work until it answers.
 	Suspect State = "suspect"
-	// Leaving: it has said, or the list says, that it is leaving.
-	Leaving State = "leaving"
-	// Gone: configured no more.
-	Gone State = "gone"
+	// Draining: it, or the host list, has announced that it leaves.
+	Draining State = "leaving"
+	// Removed: no longer configured.
+	Removed State = "gone"
 )
 
 // Options are the bounds of a View.
 type Options struct {
-	// FailuresToSuspect is the number of failures in a row before a server is
-	// suspect.
+	// FailuresToSuspect is the number of consecutive failures after which a server is suspect.
 	FailuresToSuspect int
-	// SuspectFor is the first wait before a suspect server is tried again; it
-	// doubles up to SuspectMax.
-	SuspectFor time.Duration
-	SuspectMax time.Duration
-	// ShrinkLimit is the part of the listed hosts that may vanish from the
-	// list at once and still be believed.
-	ShrinkLimit float64
+	// ProbeBackoff is the first delay before a suspect server is probed again; it doubles up to MaxProbeBackoff.
+	ProbeBackoff    time.Duration
+	MaxProbeBackoff time.Duration
+	// MaxShrinkShare is the share of the listed hosts that may be missing from a new list for it to be accepted.
+	MaxShrinkShare float64
 }
 
 // DefaultOptions returns the bounds used when the settings name none.
 func DefaultOptions() Options {
-	return Options{FailuresToSuspect: 2, SuspectFor: 500 * time.Millisecond, SuspectMax: 15 * time.Second,
-		ShrinkLimit: 0.3}
+	return Options{FailuresToSuspect: 2, ProbeBackoff: 500 * time.Millisecond, MaxProbeBackoff: 15 * time.Second,
+		MaxShrinkShare: 0.3}
 }
 
 // Change is one transition, for the audit trail.
@@ -52,23 +48,23 @@
 	Server string
 	From   State
 	To     State
-	Why    string
+	Reason string
 }
 
 type member struct {
-	state       State
-	incarnation execution.Incarnation
-	left        map[execution.Incarnation]bool
-	failures    int
-	backoff     time.Duration
-	retryAt     time.Time
-	heard       time.Time
-	since       time.Time
-	listed      bool
-	listLeaving time.Time
+	state            State
+	incarnation      execution.Incarnation
+	drained          map[execution.Incarnation]bool
+	failures         int
+	backoff          time.Duration
+	retryAt          time.Time
+	lastHeard        time.Time
+	incarnationSince time.Time
+	listed           bool
+	listedDrainingAt time.Time
 }
 
-// View is the belief about all configured servers.
+// View is the state of all configured servers.
 type View struct {
 	options Options
 	members map[string]*member
@@ -80,54 +76,52 @@
 	return &View{options: options, members: map[string]*member{}}
 }
 
-// Configure takes over the servers of a snapshot.
+// Configure replaces the set of configured servers.
 func (v *View) Configure(now time.Time, servers []string) []Change {
 	var changes []Change
 	wanted := map[string]bool{}
 	for _, name := range servers {
 		wanted[name] = true
 		if v.members[name] == nil {
-			v.members[name] = &member{state: Unheard, since: now, left: map[execution.Incarnation]bool{}}
+			v.members[name] = &member{state: Unknown, incarnationSince: now, drained: map[execution.Incarnation]bool{}}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		if wanted[name] {
 			continue
 		}
-		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Gone, Why: "left the configuration"})
+		changes = append(changes, Change{Server: name, From: v.members[name].state, To: Removed, Reason: "left the configuration"})
 		delete(v.members, name)
 	}
 	return changes
 }
 
-// Heard takes in direct evidence: a message from the server's daemon. It goes
-// before everything the list says.
-func (v *View) Heard(now time.Time, server string, incarnation execution.Incarnation, draining bool) []Change {
+// Observe records direct evidence, a message from the server's daemon. It takes precedence over the host list.
+func (v *View) Observe(now time.Time, server string, incarnation execution.Incarnation, draining bool) []Change {
 	m := v.members[server]
 	if m == nil || incarnation == "" {
 		return nil
 	}
-	if m.left[incarnation] && !draining {
-		// A late message of an incarnation that has said it is leaving must
-		// not bring it back.
+	if m.drained[incarnation] && !draining {
+		// A late message of an incarnation that has announced its stop must not make it live again.
 		return nil
 	}
-	m.heard = now
+	m.lastHeard = now
 	if incarnation != m.incarnation {
 		m.incarnation = incarnation
-		m.since = now
-		m.listLeaving = time.Time{}
+		m.incarnationSince = now
+		m.listedDrainingAt = time.Time{}
 	}
 	if draining {
-		m.left[incarnation] = true
-		return m.move(server, Leaving, "its daemon is stopping")
+		m.drained[incarnation] = true
+		return m.transition(server, Draining, "its daemon is stopping")
 	}
 	m.failures, m.backoff = 0, 0
-	return m.move(server, Live, "its daemon answered")
+	return m.transition(server, Live, "its daemon answered")
 }
 
-// Failed takes in a failure to reach the server.
-func (v *View) Failed(now time.Time, server string) []Change {
+// RecordFailure records a failure to reach the server.
+func (v *View) RecordFailure(now time.Time, server string) []Change {
 	m := v.members[server]
 	if m == nil {
 		return nil
@@ -137,142 +131,141 @@
 		return nil
 	}
 	if m.backoff == 0 {
-		m.backoff = v.options.SuspectFor
+		m.backoff = v.options.ProbeBackoff
 	} else if !now.Before(m.retryAt) {
-		m.backoff = min(m.backoff*2, v.options.SuspectMax)
+		m.backoff = min(m.backoff*2, v.options.MaxProbeBackoff)
 	}
 	m.retryAt = now.Add(m.backoff)
-	if m.state == Leaving {
+	if m.state == Draining {
 		return nil
 	}
-	return m.move(server, Suspect, "it can't be reached")
+	return m.transition(server, Suspect, "it can't be reached")
 }
 
-// Listed is one row of the platform's host list.
-type Listed struct {
-	Server  string
-	Leaving bool
+// ListedServer is one row of the platform's host list.
+type ListedServer struct {
+	Server   string
+	Draining bool
 }
 
-// ReadList takes in the platform's lagging list of hosts. It is a hint: a server
-// that vanishes is only suspect, and a list that shrinks at a stroke is not
-// believed at all, because the list fails more often than half the fleet does.
-func (v *View) ReadList(now time.Time, rows []Listed) (changes []Change, believed bool) {
+// ApplyHostList applies the platform's host list, which lags. It is a hint: a missing server is only suspect, and
+// a list that loses several hosts at once, more than MaxShrinkShare, is rejected, since the list fails more often
+// than half the fleet does.
+func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, accepted bool) {
 	present := map[string]bool{}
 	for _, row := range rows {
 		if m := v.members[row.Server]; m != nil {
 			present[row.Server] = true
-			changes = append(changes, m.listedAs(now, row)...)
+			changes = append(changes, m.applyListed(now, row)...)
 		}
 	}
-	vanished := 0
+	missing := 0
 	for name, m := range v.members {
 		if m.listed && !present[name] {
-			vanished++
+			missing++
 		}
 	}
-	if vanished > 1 && float64(vanished) > v.options.ShrinkLimit*float64(v.listed) {
+	if missing > 1 && float64(missing) > v.options.MaxShrinkShare*float64(v.listed) {
 		return changes, false
 	}
 	v.listed = len(present)
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		if m.listed && !present[name] && now.Sub(m.heard) > v.options.SuspectFor {
-			changes = append(changes, m.vanish(now, name, v.options)...)
+		if m.listed && !present[name] && now.Sub(m.lastHeard) > v.options.ProbeBackoff {
+			changes = append(changes, m.markMissing(now, name, v.options)...)
 		}
 		m.listed = present[name]
 	}
 	return changes, true
 }
 
-func (m *member) vanish(now time.Time, name string, options Options) []Change {
-	if m.state == Leaving {
+// markMissing makes a server that is missing from the host list suspect.
+func (m *member) markMissing(now time.Time, name string, options Options) []Change {
+	if m.state == Draining {
 		return nil
 	}
-	m.retryAt = now.Add(options.SuspectFor)
-	return m.move(name, Suspect, "it vanished from the host list")
+	m.retryAt = now.Add(options.ProbeBackoff)
+	return m.transition(name, Suspect, "it vanished from the host list")
 }
 
-// listedAs believes a leaving notice at once, since the promise is that a
-// leaving server gets no new work; it is undone only by another incarnation.
-func (m *member) listedAs(now time.Time, row Listed) []Change {
-	if !row.Leaving {
+// applyListed applies a draining notice at once, since a draining server must get no new work. Only another
+// incarnation ends it.
+func (m *member) applyListed(now time.Time, row ListedServer) []Change {
+	if !row.Draining {
 		return nil
 	}
 	if m.incarnation == "" {
-		m.listLeaving = now
-		return m.move(row.Server, Leaving, "the host list says so")
+		m.listedDrainingAt = now
+		return m.transition(row.Server, Draining, "the host list says so")
 	}
-	if m.listLeaving.IsZero() && now.Sub(m.since) < ListLag {
-		// The lagging list still tells of the incarnation before this one.
+	if m.listedDrainingAt.IsZero() && now.Sub(m.incarnationSince) < HostListLag {
+		// The lagging list may still mean the incarnation before this one.
 		return nil
 	}
-	m.listLeaving = now
-	m.left[m.incarnation] = true
-	return m.move(row.Server, Leaving, "the host list says so")
+	m.listedDrainingAt = now
+	m.drained[m.incarnation] = true
+	return m.transition(row.Server, Draining, "the host list says so")
 }
 
-// ListLag is how far the list may lag behind a restarted server.
-const ListLag = 20 * time.Second
+// HostListLag bounds how far the host list lags behind a restarted server.
+const HostListLag = 20 * time.Second
 
-func (m *member) move(server string, to State, why string) []Change {
+func (m *member) transition(server string, to State, why string) []Change {
 	if m.state == to {
 		return nil
 	}
-	change := Change{Server: server, From: m.state, To: to, Why: why}
+	change := Change{Server: server, From: m.state, To: to, Reason: why}
 	m.state = to
 	return []Change{change}
 }
 
-// Expire forgets what may have changed while the process was paused: every live
-// server has to be heard again before it is trusted. Leaving stays.
-func (v *View) Expire(now time.Time) []Change {
+// ResetAfterPause makes every live server unknown, after this process was paused: each has to be heard again
+// before it gets work. Draining servers stay so.
+func (v *View) ResetAfterPause(now time.Time) []Change {
 	var changes []Change
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
 		if m.state == Live {
 			m.retryAt = now
-			changes = append(changes, m.move(name, Unheard, "this process was paused")...)
+			changes = append(changes, m.transition(name, Unknown, "this process was paused")...)
 		}
 	}
 	return changes
 }
 
-// Eligible says whether new work may be offered to the server.
+// Eligible reports whether new work may be offered to the server.
 func (v *View) Eligible(server string) bool {
 	m := v.members[server]
 	if m == nil {
 		return false
 	}
-	// An unheard server is probed first: without its incarnation every offer
-	// would be refused.
+	// An unknown server is probed first: without its incarnation every offer would be refused.
 	return m.state == Live
 }
 
-// DueForProbe returns the servers that should be asked how they are: those never
-// heard and suspects whose wait is over.
+// DueForProbe returns the servers to probe: unknown, suspect and draining ones whose backoff is over.
 func (v *View) DueForProbe(now time.Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
 		waiting := now.Before(m.retryAt)
-		if !waiting && (m.state == Suspect || m.state == Unheard || m.state == Leaving) {
+		if !waiting && (m.state == Suspect || m.state == Unknown || m.state == Draining) {
 			due = append(due, name)
 		}
 	}
 	return due
 }
 
-// Probing notes that a probe is under way, so that it is not due again at once.
-func (v *View) Probing(now time.Time, server string) {
+// RecordProbe records that a probe is under way, and schedules the next one.
+func (v *View) RecordProbe(now time.Time, server string) {
 	m := v.members[server]
 	if m == nil {
 		return
 	}
-	wait := max(m.backoff, v.options.SuspectFor)
-	if m.state == Leaving {
-		// Only a new incarnation can change its state; no need to hurry.
-		wait = v.options.SuspectMax / 3
+	wait := max(m.backoff, v.options.ProbeBackoff)
+	if m.state == Draining {
+		// Only a new incarnation changes its state, so that probes may be rare.
+		wait = v.options.MaxProbeBackoff / 3
 	}
 	m.retryAt = now.Add(wait)
 }
@@ -285,28 +278,28 @@
 	return ""
 }
 
-// Since returns when the present incarnation was first heard.
-func (v *View) Since(server string) time.Time {
+// FirstObserved returns the time at which the present incarnation was first heard.
+func (v *View) FirstObserved(server string) time.Time {
 	if m := v.members[server]; m != nil {
-		return m.since
+		return m.incarnationSince
 	}
 	return time.Time{}
 }
 
-// Member is one row for operators.
+// Member is one row of Members, for operators.
 type Member struct {
 	Server      string                `json:"server"`
 	State       State                 `json:"state"`
 	Incarnation execution.Incarnation `json:"incarnation,omitempty"`
-	Heard       time.Time             `json:"heard"`
+	LastHeard   time.Time             `json:"heard"`
 }
 
-// Members lists the view, by name.
+// Members returns the servers and their states, sorted by name.
 func (v *View) Members() []Member {
 	var rows []Member
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
-		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, Heard: m.heard})
+		rows = append(rows, Member{Server: name, State: m.state, Incarnation: m.incarnation, LastHeard: m.lastHeard})
 	}
 	return rows
 }
--- a/core/peering/bench_test.go
+++ b/core/peering/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkCodec is the time of writing and of reading the news of a begin.
+// BenchmarkCodec measures encoding and decoding of a message with one dispatch.
 func BenchmarkCodec(b *testing.B) {
-	m := usualMessage()
+	m := dispatchMessage()
 	data, err := Encode(m)
 	require.NoError(b, err)
 	b.Run("encode", func(b *testing.B) {
@@ -27,25 +27,25 @@
 	})
 }
 
-// BenchmarkHeard is the time of taking in who sent a message, among some entries.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkObserve measures Observe by the number of known entries.
+func BenchmarkObserve(b *testing.B) {
 	for _, entries := range []int{5, 28, 68, 101} {
 		g := New("self:1", "here", "i", nil)
 		var messages []Message
 		for i := range entries {
-			messages = append(messages, zoned(fmt.Sprintf("e%d:1", i), "here"))
-			g.Heard(start, messages[i])
+			messages = append(messages, heartbeatFrom(fmt.Sprintf("e%d:1", i), "here"))
+			g.Observe(start, messages[i])
 		}
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				g.Heard(start, messages[i%entries])
+				g.Observe(start, messages[i%entries])
 			}
 		})
 	}
 }
 
-// BenchmarkSend is the time of sending a message to one entry over loopback.
+// BenchmarkSend measures sending a message to one entry over loopback.
 func BenchmarkSend(b *testing.B) {
 	from, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -55,7 +55,7 @@
 		require.NoError(b, from.Close())
 		require.NoError(b, to.Close())
 	})
-	data, err := Encode(usualMessage())
+	data, err := Encode(dispatchMessage())
 	require.NoError(b, err)
 	b.ReportAllocs()
 	for range b.N {
--- a/core/peering/owners.go
+++ b/core/peering/owners.go
@@ -7,54 +7,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners gives each server to one entry, in even numbers. While entries can't hear each
-// other each of them prefers its own servers and keeps away from those of the silent
-// ones: without a word they then meet nowhere. Entries that know the same entries and
-// servers compute the same. One entry or server more or less changes the owner of few
-// servers, since each goes to the entry that ranks highest for it by a hash of both and
-// still has room.
+// Owners assigns each server to one entry, in even numbers, by rendezvous hashing with bounded load. Entries that
+// can't hear each other prefer their own servers and avoid those of the silent ones, so that they don't collide
+// without communicating. Entries that know the same entries and servers compute the same owners. Each server goes
+// to the entry with the highest hash that has capacity left, so that one entry or server more or less moves few
+// servers.
 func Owners(entries, servers []string) map[string]string {
 	owners := make(map[string]string, len(servers))
 	if len(entries) == 0 {
 		return owners
 	}
-	most := (len(servers) + len(entries) - 1) / len(entries)
-	taken := map[string]int{}
+	limit := (len(servers) + len(entries) - 1) / len(entries)
+	counts := map[string]int{}
 	ordered := slices.Clone(servers)
-	slices.SortFunc(ordered, func(a, b string) int { return cmp.Compare(rank(a, ""), rank(b, "")) })
+	slices.SortFunc(ordered, func(a, b string) int { return cmp.Compare(rendezvousHash(a, ""), rendezvousHash(b, "")) })
 	for _, server := range ordered {
 		owner, highest := "", uint64(0)
 		for _, entry := range entries {
-			if r := rank(entry, server); taken[entry] < most && (owner == "" || r > highest) {
+			if r := rendezvousHash(entry, server); counts[entry] < limit && (owner == "" || r > highest) {
 				owner, highest = entry, r
 			}
 		}
-		taken[owner]++
+		counts[owner]++
 		owners[server] = owner
 	}
 	return owners
 }
 
-func rank(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
+func rendezvousHash(entry, server string) uint64 { return xxhash.Sum64String(entry + "\x00" + server) }
 
-// Place returns this entry's place among all that it knows by a hash of each and of a server; the first is 0.
-func (g *Group) Place(server string) int {
-	place, own := 0, rank(g.self, server)
+// Rank returns this entry's rank among all known entries by their rendezvous hash with a server; the highest hash
+// has rank 0.
+func (g *Group) Rank(server string) int {
+	rank, own := 0, rendezvousHash(g.self, server)
 	for address := range g.members {
-		if rank(address, server) > own {
-			place++
+		if rendezvousHash(address, server) > own {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// ServersOf returns the servers that some entries own.
+// ServersOf returns the set of servers that the given entries own.
 func ServersOf(entries []string, owners map[string]string) map[string]bool {
-	theirs := map[string]bool{}
+	owned := map[string]bool{}
 	for server, owner := range owners {
 		if slices.Contains(entries, owner) {
-			theirs[server] = true
+			owned[server] = true
 		}
 	}
-	return theirs
+	return owned
 }
--- a/core/peering/ranks.go
+++ b/core/peering/ranks.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// Ranks. Who does something for its zone is the first by rank of those that are heard, without a word: those with the
-// fastest links first, and of equal ones another one for each zone. All entries compute the same from whom they hear; where
-// they differ, more or fewer do it for a while.
+// Duties of a zone fall to its live entries of the lowest ranks, without messages: the fastest links first, and
+// among equals a different order in each zone. All entries compute the same ranks from the members that they
+// hear; while their views differ, more or fewer entries than wanted act.
 
-// standing is what ranks an entry.
-type standing struct {
+// rankKey orders entries by rank.
+type rankKey struct {
 	address  string
 	capacity int
 	hash     uint64
 }
 
-// compare is negative if a goes before b.
-func (a standing) compare(b standing) int {
+// compare is negative if a ranks before b.
+func (a rankKey) compare(b rankKey) int {
 	return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
 
-func (g *Group) ownStanding() standing {
-	return standing{g.self, g.reading.Capacity, rank(g.self, g.zone)}
+func (g *Group) ownRankKey() rankKey {
+	return rankKey{g.self, g.readOptions.Capacity, rendezvousHash(g.self, g.zone)}
 }
 
-// standingOf returns that of a member of the own zone; its hash is made once.
-func (g *Group) standingOf(m *member) standing {
-	if m.placing == 0 {
-		m.placing = rank(m.address, g.zone)
+// rankKeyOf returns the rank key of a member of the own zone.
+func (g *Group) rankKeyOf(m *member) rankKey {
+	if m.rankHash == 0 {
+		m.rankHash = rendezvousHash(m.address, g.zone)
 	}
-	return standing{m.address, m.capacity, m.placing}
+	return rankKey{m.address, m.capacity, m.rankHash}
 }
 
-// candidates calls for each entry of the own zone that is heard and for which a condition holds.
-func (g *Group) candidates(now time.Time, holds func(*member) bool, call func(standing)) {
+// eachCandidate calls a function for each member of the own zone that is not suspect and satisfies a condition.
+func (g *Group) eachCandidate(now time.Time, holds func(*member) bool, call func(rankKey)) {
 	for _, m := range g.members {
-		if m.zone == g.zone && !m.heard.IsZero() && now.Sub(m.heard) < SilentAfter && holds(m) {
-			call(g.standingOf(m))
+		if m.zone == g.zone && !m.lastHeard.IsZero() && now.Sub(m.lastHeard) < SuspectAfter && holds(m) {
+			call(g.rankKeyOf(m))
 		}
 	}
 }
 
-// place returns how many of the entries of the own zone that are heard and for which a condition holds go before this one,
-// and how many there are.
-func (g *Group) place(now time.Time, holds func(*member) bool) (before, others int) {
-	own := g.ownStanding()
-	g.candidates(now, holds, func(s standing) {
+// rank returns how many of the members that eachCandidate visits rank before this entry, and their number.
+func (g *Group) rank(now time.Time, holds func(*member) bool) (before, others int) {
+	own := g.ownRankKey()
+	g.eachCandidate(now, holds, func(key rankKey) {
 		others++
-		if s.compare(own) < 0 {
+		if key.compare(own) < 0 {
 			before++
 		}
 	})
 	return before, others
 }
 
-// first returns the first few of some entries by rank.
-func (g *Group) first(count int, each func(call func(standing))) []string {
-	best := make([]standing, 0, count+1)
-	each(func(s standing) {
+// topRanked returns the addresses of the first count entries by rank, of those that each visits.
+func (g *Group) topRanked(count int, each func(call func(rankKey))) []string {
+	best := make([]rankKey, 0, count+1)
+	each(func(key rankKey) {
 		at := len(best)
-		for at > 0 && s.compare(best[at-1]) < 0 {
+		for at > 0 && key.compare(best[at-1]) < 0 {
 			at--
 		}
 		if at == count {
 			return
 		}
-		best = append(best, standing{})
+		best = append(best, rankKey{})
 		copy(best[at+1:], best[at:])
-		best[at] = s
+		best[at] = key
 		best = best[:min(len(best), count)]
 	})
 	addresses := make([]string, 0, len(best))
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -10,20 +10,20 @@
 
 const changeLimit = 3 * time.Second
 
-// zoneGroups returns the groups of entries of one zone that have just heard each other.
+// zoneGroups returns the groups of the entries of one zone that have just heard each other.
 func zoneGroups(count int, capacity func(int) int) []*Group {
 	var groups []*Group
 	for i := range count {
 		g := New(entryAt(i), "here", "i", nil)
-		g.SetReading(ReadOptions{Capacity: capacity(i), Limit: changeLimit})
+		g.SetReadOptions(ReadOptions{Capacity: capacity(i), Limit: changeLimit})
 		groups = append(groups, g)
 	}
 	for i := range groups {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = capacity(i)
 		for j := range groups {
 			if i != j {
-				groups[j].Heard(start, m)
+				groups[j].Observe(start, m)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 
 func sameCapacity(int) int { return 1 }
 
-// readersOf returns who has to read while a reader that is heard knows everything.
+// readersOf returns the entries that should read the store.
 func readersOf(groups []*Group, now time.Time) []int {
 	var readers []int
 	for i, g := range groups {
@@ -45,26 +45,25 @@
 	return readers
 }
 
-// tell makes all others hear of an entry's reading.
-func tell(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
-	m := zoned(entryAt(i), "here")
+// broadcast makes all other entries observe an entry's reading of the store.
+func broadcast(groups []*Group, now time.Time, i int, state StoreState, capacity int) {
+	m := heartbeatFrom(entryAt(i), "here")
 	m.Capacity = capacity
-	m.SetStore(state)
+	m.SetStoreState(state)
 	for j, g := range groups {
 		if i != j {
-			g.Heard(now, m)
+			g.Observe(now, m)
 		}
 	}
 }
 
-// Calls of the store would grow with the square of the entries if all of them watched, and with each entry that watches
-// beside another one that all hear.
+// If all entries of a zone watched the store, its calls would grow with the square of their number.
 func TestOneEntryOfAZoneReads(t *testing.T) {
 	groups := zoneGroups(8, sameCapacity)
-	require.Len(t, readersOf(groups, start), 8, "nobody has told yet that it reads")
+	require.Len(t, readersOf(groups, start), 8, "no reader is known yet")
 	first, places := 0, map[int]bool{}
 	for i, g := range groups {
-		place, others := g.place(start, canRead)
+		place, others := g.rank(start, canRead)
 		require.Equal(t, 7, others)
 		places[place] = true
 		if place == 0 {
@@ -72,271 +71,270 @@
 		}
 	}
 	require.Len(t, places, 8, "all compute the same ranks")
-	tell(groups, start, first, StoreState{Reads: true}, 1)
+	broadcast(groups, start, first, StoreState{Reads: true}, 1)
 	require.Equal(t, []int{first}, readersOf(groups, start))
 }
 
-// Readers hand whole configurations to the others; a small host's link would be full of it.
+// Readers send whole configurations to the others, which would saturate the link of a small host.
 func TestHostsWithFasterLinksRead(t *testing.T) {
 	groups := zoneGroups(6, func(i int) int { return map[int]int{2: 200, 4: 100}[i] + 20 })
-	tell(groups, start, 2, StoreState{Reads: true}, 220)
+	broadcast(groups, start, 2, StoreState{Reads: true}, 220)
 	require.Equal(t, []int{2}, readersOf(groups, start))
-	tell(groups, start, 2, StoreState{Reads: true, Lost: true}, 220)
-	require.Equal(t, []int{2, 4}, readersOf(groups, start), "the one with the next faster link beside one that doesn't know yet that it has lost the store")
+	broadcast(groups, start, 2, StoreState{Reads: true, Lost: true}, 220)
+	require.Equal(t, []int{2, 4}, readersOf(groups, start), "the one with the next faster link, beside one that has not detected yet that it lost the store")
 }
 
-// A reader that can't reach the store says so, and the next one reads in its place.
+// A reader that can't reach the store says so, and the next by rank reads in its place.
 func TestAReaderWithoutTheStoreIsReplaced(t *testing.T) {
 	groups := zoneGroups(4, func(i int) int { return 10 - i })
-	tell(groups, start, 0, StoreState{Reads: true}, 10)
+	broadcast(groups, start, 0, StoreState{Reads: true}, 10)
 	require.Equal(t, []int{0}, readersOf(groups, start))
-	tell(groups, start, 0, StoreState{Reads: true, Lost: true}, 10)
+	broadcast(groups, start, 0, StoreState{Reads: true, Lost: true}, 10)
 	require.Equal(t, []int{0, 1}, readersOf(groups, start))
-	tell(groups, start, 1, StoreState{Reads: true}, 9)
-	require.False(t, groups[0].ShouldRead(start, StoreState{Reads: true, Lost: true}), "the others know what the store holds")
+	broadcast(groups, start, 1, StoreState{Reads: true}, 9)
+	require.False(t, groups[0].ShouldRead(start, StoreState{Reads: true, Lost: true}), "the others hold fresh state")
 	require.True(t, groups[3].Fresh(start))
 }
 
-// A reader is killed. It says nothing of it; two missed heartbeats tell, and the next in
-// rank reads, as on any other day.
+// A reader is killed without notice. Two missed heartbeats reveal it, and the next by rank reads.
 func TestAReaderThatDiesIsReplaced(t *testing.T) {
 	groups := zoneGroups(5, func(i int) int { return 10 - i })
 	for at := time.Duration(0); at <= 2*time.Second; at += HeartbeatInterval {
 		if at == 0 {
-			tell(groups, start, 0, StoreState{Reads: true}, 10)
+			broadcast(groups, start, 0, StoreState{Reads: true}, 10)
 		}
 		for i := 1; i < 5; i++ {
-			tell(groups, start.Add(at), i, StoreState{}, 10-i)
+			broadcast(groups, start.Add(at), i, StoreState{}, 10-i)
 		}
 	}
-	require.False(t, groups[1].ShouldRead(start.Add(SilentAfter-time.Millisecond), StoreState{}))
-	require.True(t, groups[1].ShouldRead(start.Add(SilentAfter), StoreState{}))
-	require.False(t, groups[2].ShouldRead(start.Add(SilentAfter), StoreState{}))
+	require.False(t, groups[1].ShouldRead(start.Add(SuspectAfter-time.Millisecond), StoreState{}))
+	require.True(t, groups[1].ShouldRead(start.Add(SuspectAfter), StoreState{}))
+	require.False(t, groups[2].ShouldRead(start.Add(SuspectAfter), StoreState{}))
 }
 
-// Below a bound there is no time to find out that readers are gone.
+// Below a bound there is no time to detect the loss of readers.
 func TestAShortLimitMakesAllRead(t *testing.T) {
 	groups := zoneGroups(4, sameCapacity)
-	tell(groups, start, 0, StoreState{Reads: true}, 1)
+	broadcast(groups, start, 0, StoreState{Reads: true}, 1)
 	for _, g := range groups {
-		g.SetReading(ReadOptions{Capacity: 1, Limit: leastReadLimit - 1})
+		g.SetReadOptions(ReadOptions{Capacity: 1, Limit: minSharedReadLimit - 1})
 	}
 	require.Len(t, readersOf(groups, start), 4)
-	require.Equal(t, 2*time.Second, ReadOptions{Limit: 2 * time.Second}.Wait(2*time.Second))
-	require.Equal(t, time.Second, ReadOptions{Limit: 4 * time.Second}.Wait(2*time.Second))
+	require.Equal(t, 2*time.Second, ReadOptions{Limit: 2 * time.Second}.LongPollTimeout(2*time.Second))
+	require.Equal(t, time.Second, ReadOptions{Limit: 4 * time.Second}.LongPollTimeout(2*time.Second))
 }
 
-// A starting entry takes the list from a reader that is up to date, and from nobody else.
+// A starting entry fetches the list only from a member that is up to date.
 func TestAStartingEntryAsksAReaderThatIsUpToDate(t *testing.T) {
 	groups := zoneGroups(3, sameCapacity)
-	_, known := groups[0].Source(start)
+	_, known := groups[0].ListSource(start)
 	require.False(t, known)
-	tell(groups, start, 1, StoreState{Reads: true, Age: time.Second}, 1)
-	tell(groups, start, 2, StoreState{Reads: true, Age: 2 * time.Second}, 1)
+	broadcast(groups, start, 1, StoreState{Reads: true, Age: time.Second}, 1)
+	broadcast(groups, start, 2, StoreState{Reads: true, Age: 2 * time.Second}, 1)
 	later := start.Add(400 * time.Millisecond)
-	source, known := groups[0].Source(later)
+	source, known := groups[0].ListSource(later)
 	require.True(t, known)
-	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which goes before it by rank")
-	require.Equal(t, []string{entryAt(1)}, groups[0].withList(later))
-	_, known = groups[0].Source(start.Add(time.Second))
+	require.Contains(t, []string{entryAt(1), ""}, source, "it may wait for the other one, which ranks before it")
+	require.Equal(t, []string{entryAt(1)}, groups[0].membersWithList(later))
+	_, known = groups[0].ListSource(start.Add(time.Second))
 	require.False(t, known)
-	groups[0].Awoke()
-	_, known = groups[0].Source(start)
+	groups[0].ResetLiveness()
+	_, known = groups[0].ListSource(start)
 	require.False(t, known, "what was heard before a suspension is not fresh")
 }
 
-// The store holds no configuration yet, so that its readers don't serve. They are readers, and hand on what there is; one
-// that stops does neither, whatever it read.
+// The store holds no configuration yet, so that its readers don't serve. They still count as readers and provide
+// what there is. A stopping reader does neither.
 func TestReadersThatDoNotServeYetAreReaders(t *testing.T) {
 	groups := zoneGroups(6, func(i int) int { return 10 - i })
 	readersThat := func(change func(*Message)) {
 		for reader := range startReaders {
 			for _, g := range groups {
-				m := zoned(entryAt(reader), "here")
+				m := heartbeatFrom(entryAt(reader), "here")
 				m.Capacity = 10 - reader
-				m.SetStore(StoreState{Reads: true})
+				m.SetStoreState(StoreState{Reads: true})
 				change(&m)
-				g.Heard(start, m)
+				g.Observe(start, m)
 			}
 		}
 	}
 	readersThat(func(m *Message) { m.Starting = true })
 	for _, g := range groups[startReaders:] {
 		require.False(t, g.ShouldRead(start, StoreState{}))
-		source, known := g.Source(start)
+		source, known := g.ListSource(start)
 		require.True(t, known)
 		require.NotEmpty(t, source)
 	}
 	readersThat(func(m *Message) { m.Stopping = true })
 	for i, g := range groups[startReaders:] {
 		require.Equal(t, i < readersPerZone, g.ShouldRead(start, StoreState{}))
-		_, known := g.Source(start)
+		_, known := g.ListSource(start)
 		require.False(t, known)
 	}
 }
 
-// Each of 54 entries fetched the whole view from another zone whenever that had heard of a
-// change first. While the own zone's readers are well a view is fetched from there only.
+// Each of 54 entries fetched the whole view from another zone whenever that learned of a change first. While the
+// readers of the own zone are fresh a view is fetched there only.
 func TestAViewIsFetchedWithinTheZone(t *testing.T) {
 	g := zoneGroups(2, sameCapacity)[0]
-	far := zoned("far:1", "there")
-	far.Version, far.Revision = 7, 70
-	g.Heard(start, far)
-	near := zoned(entryAt(1), "here")
-	near.Version, near.Revision = 1, 1
-	near.SetStore(StoreState{Reads: true})
-	g.Heard(start, near)
-	_, ok := g.Newer(start, 1, 1, true)
+	remote := heartbeatFrom("far:1", "there")
+	remote.Version, remote.Revision = 7, 70
+	g.Observe(start, remote)
+	local := heartbeatFrom(entryAt(1), "here")
+	local.Version, local.Revision = 1, 1
+	local.SetStoreState(StoreState{Reads: true})
+	g.Observe(start, local)
+	_, ok := g.NewerPeer(start, 1, 1, true)
 	require.False(t, ok)
-	near.Version = 2
-	g.Heard(start, near)
-	peer, ok := g.Newer(start, 1, 1, true)
+	local.Version = 2
+	g.Observe(start, local)
+	peer, ok := g.NewerPeer(start, 1, 1, true)
 	require.True(t, ok)
 	require.Equal(t, entryAt(1), peer)
-	peer, ok = g.Newer(start.Add(2*time.Second), 2, 1, true)
-	require.True(t, ok, "the own zone knows nothing fresh")
+	peer, ok = g.NewerPeer(start.Add(2*time.Second), 2, 1, true)
+	require.True(t, ok, "the own zone is stale")
 	require.Equal(t, "far:1", peer)
 }
 
-// fault is what happens to one entry.
+// fault is a failure of one entry.
 type fault int
 
 const (
-	well      fault = iota
+	healthy   fault = iota
 	storeless       // its connection to the store is silent
-	killed          // it sends and reads nothing
+	killed          // it neither sends nor reads
 	mute            // nothing that it sends arrives
 	deaf            // nothing arrives at it
-	frozen          // it stands still for two seconds and then goes on
-	faults
+	frozen          // it is suspended for two seconds
+	faultKinds
 )
 
-// Every combination of faults strikes the entries of a zone at every phase of their
-// heartbeats: four entries by all faults, six by those that leave the longest row of readers
-// without the store. An entry that is well has to know of any change of the store within the
-// limit, though its reader, and those that come after it, may be dead, cut off one way or behind: callers would be served
-// by a configuration, or sent to a server, that is gone for seconds.
-func TestEveryEntryThatIsWellKnowsOfChangesInTime(t *testing.T) {
-	strikeAll(t, 4, faults)
-	strikeAll(t, 6, storeless+1)
+// Every combination of faults hits the entries of a zone at every phase of their heartbeats: four entries with
+// all kinds of fault, six with those that cause the longest succession of readers without the store. A healthy
+// entry has to learn of any change of the store within the limit, although its reader and the next ones by rank
+// may be terminated, cut off in one direction or stale. Otherwise callers would be served by a configuration, or
+// sent to a server, that has been gone for seconds.
+func TestEveryHealthyEntryLearnsOfChangesInTime(t *testing.T) {
+	playAllFaults(t, 4, faultKinds)
+	playAllFaults(t, 6, storeless+1)
 }
 
-// strikeAll plays every combination of the first kinds of faults over some entries.
-func strikeAll(t *testing.T, entries int, kinds fault) {
+// playAllFaults plays every combination of the first kinds of faults over some entries.
+func playAllFaults(t *testing.T, entries int, kinds fault) {
 	combinations := 1
 	for range entries {
 		combinations *= int(kinds)
 	}
 	for combination := range combinations {
-		struck := make([]fault, entries)
+		faultOf := make([]fault, entries)
 		for i, rest := 0, combination; i < entries; i++ {
-			struck[i], rest = fault(rest%int(kinds)), rest/int(kinds)
+			faultOf[i], rest = fault(rest%int(kinds)), rest/int(kinds)
 		}
 		for phase := range 5 {
-			z := newReadingZone(struck, time.Duration(phase)*ticks)
+			z := newSimulatedZone(faultOf, time.Duration(phase)*tick)
 			z.play(t, 7*time.Second)
 		}
 	}
 }
 
-// ticks is the step of a readingZone.
-const ticks = 100 * time.Millisecond
-
-// changing are the options of entries that have to know of changes within the limit.
-var changing = ReadOptions{Limit: changeLimit}
-
-// callLength is after how long a call on a silent connection is given up: its wait, and the
-// second that the store's client allows beyond it.
-func callLength() time.Duration { return changing.Wait(2*time.Second) + time.Second }
-
-// readingZone plays the entries of a zone and the store in steps of virtual time. The store
-// changes all the time; knows is up to when an entry has heard of all changes.
-type readingZone struct {
-	groups []*Group
-	struck []fault
-	from   time.Duration // when the faults strike
-	now    time.Duration
-	knows  []time.Duration
-	asked  []time.Duration // when the call under way is sent, if any, after the pause before it
-	asking []bool
-	reads  []bool
-	lost   []time.Duration
-	fine   []time.Duration
+// tick is the step of a simulatedZone.
+const tick = 100 * time.Millisecond
+
+// readOptions make entries learn of changes within the limit.
+var readOptions = ReadOptions{Limit: changeLimit}
+
+// callTimeout is the time after which a call on a silent connection is given up: its long poll, and the second
+// that the store's client allows beyond it.
+func callTimeout() time.Duration { return readOptions.LongPollTimeout(2*time.Second) + time.Second }
+
+// simulatedZone plays the entries of a zone and the store in steps of virtual time. The store changes
+// continuously; knownUpTo is the time up to which an entry has learned of all changes.
+type simulatedZone struct {
+	groups      []*Group
+	struck      []fault
+	faultsAt    time.Duration // when the faults begin
+	now         time.Duration
+	knownUpTo   []time.Duration
+	callAt      []time.Duration // when the call under way is sent, after its poll delay
+	calling     []bool
+	reading     []bool
+	failedAt    []time.Duration
+	succeededAt []time.Duration
 }
 
-func newReadingZone(struck []fault, phase time.Duration) *readingZone {
-	count := len(struck)
-	return &readingZone{groups: zoneGroups(count, sameCapacity), struck: struck, from: 2*time.Second + phase, knows: make([]time.Duration, count),
-		asked: make([]time.Duration, count), asking: make([]bool, count), reads: make([]bool, count), lost: make([]time.Duration, count), fine: make([]time.Duration, count)}
+func newSimulatedZone(faults []fault, phase time.Duration) *simulatedZone {
+	count := len(faults)
+	return &simulatedZone{groups: zoneGroups(count, sameCapacity), struck: faults, faultsAt: 2*time.Second + phase, knownUpTo: make([]time.Duration, count),
+		callAt: make([]time.Duration, count), calling: make([]bool, count), reading: make([]bool, count), failedAt: make([]time.Duration, count), succeededAt: make([]time.Duration, count)}
 }
 
-func (z *readingZone) has(i int, f fault) bool {
-	if f == frozen && z.now > z.from+2*time.Second {
+func (z *simulatedZone) hasFault(i int, f fault) bool {
+	if f == frozen && z.now > z.faultsAt+2*time.Second {
 		return false
 	}
-	return z.now >= z.from && z.struck[i] == f
+	return z.now >= z.faultsAt && z.struck[i] == f
 }
 
-func (z *readingZone) stands(i int) bool { return z.has(i, killed) || z.has(i, frozen) }
+func (z *simulatedZone) isStopped(i int) bool { return z.hasFault(i, killed) || z.hasFault(i, frozen) }
 
-func (z *readingZone) play(t *testing.T, length time.Duration) {
-	for ; z.now < length; z.now += ticks {
+func (z *simulatedZone) play(t *testing.T, length time.Duration) {
+	for ; z.now < length; z.now += tick {
 		for i := range z.groups {
-			if !z.stands(i) {
+			if !z.isStopped(i) {
 				z.step(i)
 			}
 		}
 		for i := range z.groups {
-			if z.struck[i] == well {
-				require.LessOrEqual(t, z.now-z.knows[i], changeLimit, "entry %d at %v, faults %v, from %v", i, z.now, z.struck, z.from)
+			if z.struck[i] == healthy {
+				require.LessOrEqual(t, z.now-z.knownUpTo[i], changeLimit, "entry %d at %v, faults %v, from %v", i, z.now, z.struck, z.faultsAt)
 			}
 		}
 	}
 }
 
-// step lets an entry decide, read and tell.
-func (z *readingZone) step(i int) {
+// step lets an entry decide, read and send.
+func (z *simulatedZone) step(i int) {
 	state := z.state(i)
-	z.reads[i] = z.groups[i].ShouldRead(z.clock(), state)
+	z.reading[i] = z.groups[i].ShouldRead(z.clock(), state)
 	switch {
-	case !z.reads[i]:
-		z.asking[i] = false
-	case !z.asking[i]:
-		z.asking[i], z.asked[i] = true, z.now
-	case z.now < z.asked[i]:
-		// It waits before its next call.
-	case !z.has(i, storeless):
-		// Its waiting call brings every change at once, and the next one comes after a pause.
-		z.knows[i], z.fine[i], z.asked[i], z.lost[i] = z.now, z.now, z.now+changing.Pause(), 0
-		z.tellChanges(i)
-	case z.now-z.asked[i] >= callLength():
-		z.lost[i], z.asking[i] = z.now, false
+	case !z.reading[i]:
+		z.calling[i] = false
+	case !z.calling[i]:
+		z.calling[i], z.callAt[i] = true, z.now
+	case z.now < z.callAt[i]:
+		// The poll delay is not over.
+	case !z.hasFault(i, storeless):
+		// The long poll returns every change at once, and the next one follows after the poll delay.
+		z.knownUpTo[i], z.succeededAt[i], z.callAt[i], z.failedAt[i] = z.now, z.now, z.now+readOptions.PollDelay(), 0
+		z.publish(i)
+	case z.now-z.callAt[i] >= callTimeout():
+		z.failedAt[i], z.calling[i] = z.now, false
 	}
 	if z.now%HeartbeatInterval == 0 {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = sameCapacity(i)
-		m.SetStore(z.state(i))
-		z.send(i, func(j int) { z.groups[j].Heard(z.clock(), m) })
+		m.SetStoreState(z.state(i))
+		z.send(i, func(j int) { z.groups[j].Observe(z.clock(), m) })
 	}
 }
 
-func (z *readingZone) clock() time.Time { return start.Add(z.now) }
+func (z *simulatedZone) clock() time.Time { return start.Add(z.now) }
 
-func (z *readingZone) state(i int) StoreState {
-	return StoreState{Reads: z.reads[i] && z.fine[i] > 0, Lost: z.lost[i] > 0 && z.now-z.lost[i] < 3*time.Second, Age: z.now - z.fine[i]}
+func (z *simulatedZone) state(i int) StoreState {
+	return StoreState{Reads: z.reading[i] && z.succeededAt[i] > 0, Lost: z.failedAt[i] > 0 && z.now-z.failedAt[i] < 3*time.Second, Age: z.now - z.succeededAt[i]}
 }
 
-// tellChanges tells what a reader knows; an entry that is behind fetches it.
-func (z *readingZone) tellChanges(i int) {
-	z.send(i, func(j int) { z.knows[j] = max(z.knows[j], z.knows[i]) })
+// publish passes a reader's changes on; an entry that is behind fetches them.
+func (z *simulatedZone) publish(i int) {
+	z.send(i, func(j int) { z.knownUpTo[j] = max(z.knownUpTo[j], z.knownUpTo[i]) })
 }
 
-func (z *readingZone) send(i int, arrives func(j int)) {
-	if z.has(i, mute) {
+func (z *simulatedZone) send(i int, arrives func(j int)) {
+	if z.hasFault(i, mute) {
 		return
 	}
 	for j := range z.groups {
-		if j != i && !z.stands(j) && !z.has(j, deaf) {
+		if j != i && !z.isStopped(j) && !z.hasFault(j, deaf) {
 			arrives(j)
 		}
 	}
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -8,17 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// starting returns the groups of entries of one zone that all start, and have heard each other at the start.
-func starting(count int) []*Group {
+// startingGroups returns the groups of the entries of one zone that all start, and have heard each other at the
+// start.
+func startingGroups(count int) []*Group {
 	var groups []*Group
 	for i := range count {
 		g := New(entryAt(i), "here", "i", nil)
-		g.SetReading(ReadOptions{Capacity: 100 - i, Limit: changeLimit})
+		g.SetReadOptions(ReadOptions{Capacity: 100 - i, Limit: changeLimit})
 		for j := range count {
 			if j != i {
-				m := zoned(entryAt(j), "here")
+				m := heartbeatFrom(entryAt(j), "here")
 				m.Starting, m.Capacity = true, 100-j
-				g.Heard(start, m)
+				g.Observe(start, m)
 			}
 		}
 		groups = append(groups, g)
@@ -29,71 +30,71 @@
 func firstReaders(groups []*Group, since time.Duration) int {
 	count := 0
 	for _, g := range groups {
-		if g.FirstRead(start.Add(since), since) {
+		if g.ShouldReadAtStart(start.Add(since), since) {
 			count++
 		}
 	}
 	return count
 }
 
-// All entries of a zone start at once. Each of them read the whole list from the store; now two do, and ever more only as
-// long as nobody is up to date: all of a zone of any size read after some turns, which grow with its logarithm.
+// All entries of a zone start at once. Each of them read the whole list from the store. Two do first, and more
+// only while nobody is up to date: the rounds until all of a zone read grow with the logarithm of its size.
 func TestWhereAllStartAtOnceFewReadTheStore(t *testing.T) {
 	for _, count := range []int{2, 10, 80} {
-		groups := starting(count)
+		groups := startingGroups(count)
 		require.Zero(t, firstReaders(groups, startWait-time.Millisecond))
 		require.Equal(t, startReaders, firstReaders(groups, startWait))
-		require.True(t, groups[0].FirstRead(start.Add(startWait), startWait), "the one with the fastest link")
-		require.Equal(t, min(count, 2*startReaders), firstReaders(groups, startWait+readTurn))
-		require.Equal(t, min(count, 8*startReaders), firstReaders(groups, startWait+3*readTurn))
+		require.True(t, groups[0].ShouldReadAtStart(start.Add(startWait), startWait), "the one with the fastest link")
+		require.Equal(t, min(count, 2*startReaders), firstReaders(groups, startWait+readRound))
+		require.Equal(t, min(count, 8*startReaders), firstReaders(groups, startWait+3*readRound))
 	}
-	require.Equal(t, 80, firstReaders(starting(80), startWait+6*readTurn))
+	require.Equal(t, 80, firstReaders(startingGroups(80), startWait+6*readRound))
 }
 
-// While a zone starts its first entries know none of those that start after them. They wait until no more become known,
-// though not for ever.
-func TestTheRanksAreBelievedOnceNoMoreBecomeKnown(t *testing.T) {
-	g := starting(2)[0]
-	for at := 10 * time.Millisecond; at < quietLimit; at += 10 * time.Millisecond {
-		m := zoned(entryAt(100+int(at/time.Millisecond)), "here")
+// While a zone starts, its first entries don't know those that start after them. They wait until no more become
+// known, for a bounded time.
+func TestRanksAreUsedOnceMembershipHasSettled(t *testing.T) {
+	g := startingGroups(2)[0]
+	for at := 10 * time.Millisecond; at < settleLimit; at += 10 * time.Millisecond {
+		m := heartbeatFrom(entryAt(100+int(at/time.Millisecond)), "here")
 		m.Starting = true
-		g.Heard(start.Add(at), m)
-		require.False(t, g.FirstRead(start.Add(at), at))
+		g.Observe(start.Add(at), m)
+		require.False(t, g.ShouldReadAtStart(start.Add(at), at))
 	}
-	require.True(t, g.FirstRead(start.Add(quietLimit), quietLimit))
+	require.True(t, g.ShouldReadAtStart(start.Add(settleLimit), settleLimit))
 }
 
-// An entry is the only one of its zone, or the seeds are down: it waits a little for others, and reads.
+// An entry that is alone in its zone, or whose seeds are down, waits a short time for others and then reads.
 func TestAnEntryThatHearsNoNeighbourReadsSoon(t *testing.T) {
 	g := New("self:1", "here", "i", []string{"seed:1"})
-	g.SetReading(ReadOptions{Limit: changeLimit})
-	require.True(t, g.Lonely())
-	require.False(t, g.FirstRead(start.Add(quietLimit-1), quietLimit-1))
-	require.True(t, g.FirstRead(start.Add(quietLimit), quietLimit), "nobody answers")
-	g.Heard(start, zoned("seed:1", "there"))
-	require.False(t, g.Lonely())
-	require.False(t, g.FirstRead(start.Add(aloneWait-1), aloneWait-1))
-	require.True(t, g.FirstRead(start.Add(aloneWait), aloneWait))
-	g.SetReading(ReadOptions{Limit: leastReadLimit - 1})
-	require.True(t, g.FirstRead(start, 0), "all read where changes have to be in force so soon")
+	g.SetReadOptions(ReadOptions{Limit: changeLimit})
+	require.True(t, g.NoPeerHeard())
+	require.False(t, g.ShouldReadAtStart(start.Add(settleLimit-1), settleLimit-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(settleLimit), settleLimit), "nobody answers")
+	g.Observe(start, heartbeatFrom("seed:1", "there"))
+	require.False(t, g.NoPeerHeard())
+	require.False(t, g.ShouldReadAtStart(start.Add(localPeerWait-1), localPeerWait-1))
+	require.True(t, g.ShouldReadAtStart(start.Add(localPeerWait), localPeerWait))
+	g.SetReadOptions(ReadOptions{Limit: minSharedReadLimit - 1})
+	require.True(t, g.ShouldReadAtStart(start, 0), "all read where the limit on changes is that short")
 }
 
-// Hundreds of entries start together. All of them took the list from the two that had read it, one after the other; now a
-// few do, and hand it on.
-func TestAListIsHandedOnFromFewToAll(t *testing.T) {
+// Hundreds of entries start together. All of them fetched the list from the two that had read it, one after the
+// other. They fetch it from a few that pass it on instead.
+func TestTheListSpreadsFromFewToAll(t *testing.T) {
 	const count = 200
-	groups := starting(count)
+	groups := startingGroups(count)
 	has := make([]bool, count)
 	has[0], has[1] = true, true
 	announce := func(now time.Time, i int) {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i < startReaders {
-			m.SetStore(StoreState{Reads: true})
+			m.SetStoreState(StoreState{Reads: true})
 		}
 		for j, g := range groups {
 			if j != i {
-				g.Heard(now, m)
+				g.Observe(now, m)
 			}
 		}
 	}
@@ -109,7 +110,7 @@
 			if has[i] {
 				continue
 			}
-			source, known := g.Source(now)
+			source, known := g.ListSource(now)
 			require.True(t, known)
 			if source != "" {
 				taken[source]++
@@ -117,7 +118,7 @@
 			}
 		}
 		for source, takers := range taken {
-			require.LessOrEqual(t, takers, takersPerSource, "from %s", source)
+			require.LessOrEqual(t, takers, fetchersPerSource, "from %s", source)
 		}
 		now = now.Add(100 * time.Millisecond)
 		for _, i := range next {
@@ -129,22 +130,22 @@
 	require.Equal(t, 3, rounds)
 }
 
-// The entry from which one is to take the list over is dead, or has an older one. It takes it from another one that has it.
+// The entry to fetch the list from has terminated, or has an older one. Another one that has the list is used.
 func TestAnEntryDoesNotWaitForASourceForEver(t *testing.T) {
-	groups := starting(40)
+	groups := startingGroups(40)
 	g := groups[39]
 	for _, i := range []int{0, 3} {
-		m := zoned(entryAt(i), "here")
+		m := heartbeatFrom(entryAt(i), "here")
 		m.Capacity = 100 - i
 		if i == 0 {
-			m.SetStore(StoreState{Reads: true})
+			m.SetStoreState(StoreState{Reads: true})
 		}
-		g.Heard(start, m)
+		g.Observe(start, m)
 	}
-	source, known := g.Source(start)
+	source, known := g.ListSource(start)
 	require.True(t, known)
 	require.Empty(t, source, "the fifth by rank does not have it yet")
-	_, level := sourcePlace(39)
-	source, _ = g.Source(start.Add(time.Duration(level) * readTurn))
+	_, level := sourceRank(39)
+	source, _ = g.ListSource(start.Add(time.Duration(level) * readRound))
 	require.Contains(t, []string{entryAt(0), entryAt(3)}, source)
 }
--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkFingerprint is the time to name a request by bodies of a short and a long prompt, and
-// of the longest that entries take.
+// BenchmarkFingerprint measures FingerprintOf with bodies of a short and a long prompt, and of the longest that
+// entries accept.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{1200, 38_000, 4 << 20} {
 		body := make([]byte, size)
@@ -19,24 +19,23 @@
 	}
 }
 
-// BenchmarkWatch is the time to take in an end while as many requests as may be are remembered,
-// and to ask whether one is refused.
-func BenchmarkWatch(b *testing.B) {
-	w := NewWatch()
+// BenchmarkTracker measures ServerCrashed and RefusedFor while the tracker is full.
+func BenchmarkTracker(b *testing.B) {
+	tracker := NewTracker()
 	for i := range MaxRecords {
 		for _, server := range []string{"a", "b", "c"} {
-			w.Ended(start, named(fmt.Sprint(i)), fmt.Sprint(server, i))
+			tracker.ServerCrashed(start, request(fmt.Sprint(i)), fmt.Sprint(server, i))
 		}
 	}
-	f := named("0")
+	f := request("0")
 	b.Run("ended", func(b *testing.B) {
 		for i := range b.N {
-			w.Ended(start.Add(time.Duration(i)), named("new"), "a")
+			tracker.ServerCrashed(start.Add(time.Duration(i)), request("new"), "a")
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
 		for range b.N {
-			w.Refused(start, f)
+			tracker.RefusedFor(start, f)
 		}
 	})
 }
--- a/core/routes/table_test.go
+++ b/core/routes/table_test.go
@@ -55,15 +55,15 @@
 	route := Route{Shares: []Share{{"orders", 90}, {"orders-new", 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[route.Choose(float64(i)/1000)]++
+		counts[route.PickService(float64(i)/1000)]++
 	}
 	require.Equal(t, map[string]int{"orders": 900, "orders-new": 100}, counts)
-	require.Equal(t, "orders", (&Route{Shares: []Share{{"orders", 0}}}).Choose(0.5))
+	require.Equal(t, "orders", (&Route{Shares: []Share{{"orders", 0}}}).PickService(0.5))
 }
 
-// A configuration that can't be served is refused as a whole, with the place of
-// its first mistake; the caller of NewTable keeps the last good one.
-func TestMistakesNameTheirPlace(t *testing.T) {
+// An invalid configuration is rejected as a whole, and the error names its first invalid element; the caller of
+// NewTable keeps the last valid one.
+func TestErrorsNameTheInvalidElement(t *testing.T) {
 	for _, c := range []struct {
 		change func(d *Definition)
 		want   string
--- a/entry/gateway/beats.go
+++ b/entry/gateway/beats.go
@@ -31,14 +31,14 @@
 	near := p.s.recordsTold()
 	p.mu.Lock()
 	p.group.Forget(now)
-	beat := p.group.Heartbeat(now, turn)
-	near.Asks, near.Sum, near.Zones = p.group.Asks(now), p.group.Sum(now), p.group.HandOn(now, turn)
-	listed := p.group.Listed(now)
-	silent, _ = p.group.Silent(now)
+	beat := p.group.HeartbeatTargets(now, turn)
+	near.WantsMembers, near.Digest, near.ZoneSummaries = p.group.NeedsMembers(now), p.group.Digest(now), p.group.RemoteSummaries(now, turn)
+	listed := p.group.LocalMembers(now)
+	silent, _ = p.group.Suspects(now)
 	p.mu.Unlock()
-	p.send(beat.Near, near)
-	p.sendMembers(beat.Lists, listed)
-	p.sendFar(now, turn, beat.Far)
+	p.send(beat.Local, near)
+	p.sendMembers(beat.WithMembers, listed)
+	p.sendFar(now, turn, beat.Remote)
 	return silent
 }
 
@@ -48,9 +48,9 @@
 		return
 	}
 	m := p.s.recordsTold()
-	m.SetRoom(p.s.tellRoom(now))
+	m.SetSpareCapacity(p.s.tellRoom(now))
 	p.mu.Lock()
-	p.group.TellFar(now, turn, &m)
+	p.group.FillRemoteHeartbeat(now, turn, &m)
 	p.mu.Unlock()
 	p.send(targets, m)
 }
@@ -60,7 +60,7 @@
 	var m peering.Message
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m.SetRecordsSum(s.watch.Sum())
+	m.SetRecordsDigest(s.watch.Digest())
 	return m
 }
 
--- a/entry/gateway/cold.go
+++ b/entry/gateway/cold.go
@@ -12,7 +12,7 @@
 func (s *Server) noteCold(now time.Time, servers []directory.Server) {
 	for _, server := range servers {
 		if server.WarmupRemaining > 0 {
-			s.cold.Cold(server.IncarnationID(), now.Add(server.WarmupRemaining))
+			s.cold.MarkCold(server.IncarnationID(), now.Add(server.WarmupRemaining))
 		}
 	}
 }
@@ -35,7 +35,7 @@
 // noteChosen notes that a choice is about to be sent; the caller holds the lock.
 func (s *Server) noteChosen(now time.Time, choice placement.Choice, refusal placement.Refusal) {
 	if refusal == "" && choice.Wait == 0 {
-		s.cold.Sent(now, choice.Server.IncarnationID())
+		s.cold.RecordSend(now, choice.Server.IncarnationID())
 	}
 }
 
@@ -43,5 +43,5 @@
 func (p *peerExchange) place(start string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.Place(start)
+	return p.group.Rank(start)
 }
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -40,7 +40,7 @@
 	w.eventually("the servers are divided", func() bool {
 		there.peers.mu.Lock()
 		defer there.peers.mu.Unlock()
-		return there.peers.group.Divided() && len(there.peers.group.In(time.Now(), "here")) == 1
+		return there.peers.group.LocalRouting() && len(there.peers.group.RunningIn(time.Now(), "here")) == 1
 	})
 	return here, there
 }
@@ -77,7 +77,7 @@
 	busy := peering.Message{From: "127.0.0.1:1", Incarnation: "x"}
 	for _, server := range w.available(here, "engines") {
 		if server.Zone == "here" {
-			busy.Begun = append(busy.Begun, placement.Dispatch{ID: server.ID, Server: server.IncarnationID(), PromptTokens: 8000, Lifetime: time.Minute})
+			busy.Dispatches = append(busy.Dispatches, placement.Dispatch{ID: server.ID, Server: server.IncarnationID(), PromptTokens: 8000, Lifetime: time.Minute})
 		}
 	}
 	here.takeNews(time.Now(), busy, false)
@@ -99,7 +99,7 @@
 	divided := func() bool {
 		here.peers.mu.Lock()
 		defer here.peers.mu.Unlock()
-		return here.peers.group.Divided()
+		return here.peers.group.LocalRouting()
 	}
 	w.configure(standin.AddEngineService("small"))
 	w.eventually("the small service keeps the entries from it", func() bool { return w.known(here) && !divided() })
@@ -182,7 +182,7 @@
 			}
 			s.peers.mu.Lock()
 			defer s.peers.mu.Unlock()
-			return s.peers.group.Divided() && len(s.peers.group.Near(time.Now())) == len(entries)-1
+			return s.peers.group.LocalRouting() && len(s.peers.group.Local(time.Now())) == len(entries)-1
 		})
 	}
 	released := make(chan struct{})
@@ -219,7 +219,7 @@
 	w.configure(nil)
 	w.zonesOfServers("here", "there")
 	here, there := w.twoZones()
-	ask := peering.Ask{Service: "engines", Remaining: 10 * time.Second,
+	ask := peering.PlacementRequest{Service: "engines", Remaining: 10 * time.Second,
 		Dispatch: placement.Dispatch{ID: "late", PromptTokens: 2000, AnswerTokens: 500, Gap: time.Second, Target: time.Second, Lifetime: time.Minute}}
 	there.answerAsk(time.Now(), here.settings.PeerAddress, ask)
 	require.True(t, there.booked(1)())
@@ -288,8 +288,8 @@
 	noted := s.takeRows([]directory.Server{{ID: "first", Service: "engines", Address: "127.0.0.1:1", Zone: "there", Slots: 1, Revision: 9}}, nil)
 	s.mu.Unlock()
 	s.noteServers(noted, "platform")
-	require.Empty(t, s.peers.group.NearKnown())
+	require.Empty(t, s.peers.group.KnownLocal())
 	s.grewAt = time.Now().Add(-growTime)
 	s.divide()
-	require.Equal(t, []string{"127.0.0.1:2"}, s.peers.group.NearKnown(), "there are no more: all share all servers")
+	require.Equal(t, []string{"127.0.0.1:2"}, s.peers.group.KnownLocal(), "there are no more: all share all servers")
 }
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -29,7 +29,7 @@
 func (s *Server) avoids(zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.evacuation.Is(zone)
+	return s.evacuation.IsEvacuated(zone)
 }
 
 // Operators evacuate a zone. Requests of every kind went on reaching its servers, since no entry read that they should
@@ -122,7 +122,7 @@
 	require.True(t, s.avoids("there"))
 	s.adoptView(view{Revision: 15, Servers: s.directory.All(), Evacuations: []evacuation.State{}}, "one that has read the store since", true)
 	require.False(t, s.avoids("there"))
-	s.takeUpdate(peering.Update{Base: 15, Upto: 17, Evacuations: []evacuation.State{{Zone: "there", Revision: 16, Evacuated: true}}}, "reader")
+	s.takeUpdate(peering.Update{BaseRevision: 15, UpToRevision: 17, Evacuations: []evacuation.State{{Zone: "there", Revision: 16, Evacuated: true}}}, "reader")
 	require.True(t, s.avoids("there"))
 }
 
@@ -147,10 +147,10 @@
 func TestAPlaceInAnEvacuatedZoneIsNotUsed(t *testing.T) {
 	s := loneEntry(t)
 	s.directory.Upsert(directory.Server{ID: "i-1", Service: "engines", Address: "127.0.0.1:1", Zone: "there", Slots: 1, Revision: 2})
-	_, ok := s.choiceOf(peering.Place{Server: "i-1"})
+	_, ok := s.choiceOf(peering.PlacementReply{Server: "i-1"})
 	require.True(t, ok)
 	s.takeUpdate(peering.Update{Evacuations: []evacuation.State{{Zone: "there", Revision: 3, Evacuated: true}}}, "reader")
-	_, ok = s.choiceOf(peering.Place{Server: "i-1"})
+	_, ok = s.choiceOf(peering.PlacementReply{Server: "i-1"})
 	require.False(t, ok)
 }
 
@@ -174,7 +174,7 @@
 	require.EqualValues(t, 5, here.counters.crossed.Count())
 	for _, s := range []*Server{here, there} {
 		s.peers.mu.Lock()
-		require.True(t, s.peers.group.Divided())
+		require.True(t, s.peers.group.LocalRouting())
 		s.peers.mu.Unlock()
 	}
 }
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -26,14 +26,14 @@
 	d := placement.Dispatch{ID: "d", Server: "i-0", Helpers: []string{"i-1"}, PromptTokens: 200_000, AnswerTokens: 500, Gap: time.Second, Target: time.Second,
 		Lifetime: time.Minute, Reserved: []int64{1, 2}}
 	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
-	told.SetRoom(0.5)
-	told.SetRecordsSum(7)
-	told.SetStore(peering.StoreState{Reads: true, Age: time.Second})
-	return []peering.Message{told, {Begun: []placement.Dispatch{d}, First: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
-		{Ask: &peering.Ask{Service: "engines", Dispatch: d, Remaining: time.Second}}, {Place: &peering.Place{ID: "d", Server: "i-0", Held: []int64{1}}},
-		{Update: &peering.Update{Base: 1, Upto: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
-			Gone: []directory.Tombstone{{ID: "i-1", Revision: 3}}}},
-		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Ended: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
+	told.SetSpareCapacity(0.5)
+	told.SetRecordsDigest(7)
+	told.SetStoreState(peering.StoreState{Reads: true, Age: time.Second})
+	return []peering.Message{told, {Dispatches: []placement.Dispatch{d}, FirstEvents: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
+		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Reserved: []int64{1}}},
+		{Update: &peering.Update{BaseRevision: 1, UpToRevision: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
+			Tombstones: []directory.Tombstone{{ID: "i-1", Revision: 3}}}},
+		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
 
 // FuzzMessagesOfEntries lets an entry take any message. Each one goes to all entries: one that ended
@@ -64,7 +64,7 @@
 
 // keepToLoopback lets a message speak of no entry but those of this host.
 func keepToLoopback(m *peering.Message) {
-	m.From, m.Known = "127.0.0.1:1", nil
+	m.From, m.KnownPeers = "127.0.0.1:1", nil
 	for i := range m.Members {
 		for k := range m.Members[i].Addresses {
 			m.Members[i].Addresses[k] = fmt.Sprintf("127.0.0.1:%d", 2+k%1000)
@@ -113,9 +113,9 @@
 		now := time.Now()
 		for range rapid.IntRange(1, 4).Draw(r, "messages") {
 			d := drawDispatch(r)
-			place := peering.Place{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Held: d.Reserved, Predicted: d.Target}
-			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Begun: []placement.Dispatch{d},
-				First: []string{d.ID}, Ask: &peering.Ask{Service: "engines", Dispatch: d, Remaining: d.Lifetime, Exclude: d.Helpers}, Place: &place}
+			place := peering.PlacementReply{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Reserved: d.Reserved, Predicted: d.Target}
+			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Dispatches: []placement.Dispatch{d},
+				FirstEvents: []string{d.ID}, PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: d.Lifetime, Exclude: d.Helpers}, PlacementReply: &place}
 			if rapid.Bool().Draw(r, "ended") {
 				m.Ended = []string{d.ID}
 			}
@@ -126,7 +126,7 @@
 				continue
 			}
 			s.peers.take(now, read)
-			if choice, ok := s.choiceOf(*read.Place); ok {
+			if choice, ok := s.choiceOf(*read.PlacementReply); ok {
 				held := &reservation{s: s, choice: choice, id: d.ID}
 				held.helpers()
 			}
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -87,9 +87,9 @@
 // nobody has told them yet.
 func (p *peerExchange) greet(now time.Time, found []string) {
 	p.mu.Lock()
-	asked, told := p.group.Greets(now, found)
+	asked, told := p.group.SplitGreetings(now, found)
 	p.mu.Unlock()
-	p.send(asked, peering.Message{Asks: true})
+	p.send(asked, peering.Message{WantsMembers: true})
 	p.send(told, peering.Message{})
 }
 
@@ -97,7 +97,7 @@
 // they tell it, and they tell it what is open.
 func (p *peerExchange) announce() {
 	p.mu.Lock()
-	p.group.Serve(true)
+	p.group.SetServing(true)
 	p.mu.Unlock()
 	p.tellState()
 }
@@ -105,7 +105,7 @@
 // tellState tells all near entries at once what this one is doing, without waiting for its turn to do so.
 func (p *peerExchange) tellState() {
 	p.mu.Lock()
-	near := p.group.NearKnown()
+	near := p.group.KnownLocal()
 	p.mu.Unlock()
 	p.send(near, peering.Message{})
 }
@@ -114,13 +114,13 @@
 func (p *peerExchange) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Serve(false)
+	p.group.SetServing(false)
 }
 
 // answer tells an entry that asks who runs.
 func (p *peerExchange) answer(now time.Time, target, zone string) {
 	p.mu.Lock()
-	told := p.group.Answer(now, zone)
+	told := p.group.MembersFor(now, zone)
 	p.mu.Unlock()
 	p.sendMembers([]string{target}, told)
 }
@@ -129,7 +129,7 @@
 func (p *peerExchange) seed(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Seed(time.Now(), seeds)
+	p.group.SetSeeds(time.Now(), seeds)
 }
 
 // divide sets whether entries keep to the servers of their own zone. While the list of servers still grows, too few of them
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if divided || !grows || p.group.KnowsScope() {
-		p.group.Divide(divided)
+		p.group.SetLocalRouting(divided)
 	}
 }
 
@@ -153,7 +153,7 @@
 func (p *peerExchange) nextServing(now time.Time, limit time.Duration) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.NextServing(now, limit)
+	return p.group.TimeToNextServing(now, limit)
 }
 
 // send sends a message to some entries.
@@ -164,7 +164,7 @@
 	m.From, m.Zone, m.Incarnation = p.s.settings.PeerAddress, p.s.settings.Zone, p.s.incarnation
 	m.Version, m.Revision = p.s.versions()
 	m.Capacity = p.s.readOptions.Load().Capacity
-	m.SetStore(p.s.storeState(time.Now()))
+	m.SetStoreState(p.s.storeState(time.Now()))
 	m.Stopping = p.s.stopping.Load() != nil
 	m.Starting = p.s.manager.State() == lifecycle.Starting
 	data, err := peering.Encode(m)
@@ -208,7 +208,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	for _, part := range peering.InParts(members) {
+	for _, part := range peering.SplitMembers(members) {
 		p.send(targets, peering.Message{Members: part})
 	}
 }
@@ -254,19 +254,19 @@
 
 func (p *peerExchange) take(now time.Time, m peering.Message) {
 	p.mu.Lock()
-	sender := p.group.Heard(now, m)
-	passes, redirects, mistakes := p.group.Passes(m), p.group.Redirects(now, m), p.group.Mistakes(m)
+	sender := p.group.Observe(now, m)
+	passes, redirects, mistakes := p.group.ShouldRelay(m), p.group.ShouldRedirect(now, m), p.group.MistakenForLocal(m)
 	p.mu.Unlock()
 	p.s.takeNews(now, m, sender.Restarted)
 	p.takeRecords(now, m)
 	if m.Update != nil {
 		p.s.takeUpdate(*m.Update, m.From)
 	}
-	if m.Place != nil {
-		p.takePlace(*m.Place)
+	if m.PlacementReply != nil {
+		p.takePlace(*m.PlacementReply)
 	}
-	if m.Ask != nil {
-		p.s.answerAsk(now, m.From, *m.Ask)
+	if m.PlacementRequest != nil {
+		p.s.answerAsk(now, m.From, *m.PlacementRequest)
 	}
 	if passes {
 		p.pass(m)
@@ -276,15 +276,15 @@
 	}
 	// Answers tell who is up to date. Where all start at once, nobody would hear of most others until
 	// the next heartbeat, and all would choose the same servers.
-	p.greet(now, sender.Found)
+	p.greet(now, sender.Discovered)
 	p.catchUpSoon(m)
 	switch {
-	case m.Asks:
+	case m.WantsMembers:
 		p.answer(now, m.From, m.Zone)
-	case sender.Joined && sender.Near, mistakes:
+	case sender.Joined && sender.Local, mistakes:
 		p.send([]string{m.From}, peering.Message{})
 	}
-	if sender.Missed {
+	if sender.NeedsSync {
 		p.tellOpen(now, m.From)
 	}
 }
@@ -293,7 +293,7 @@
 // entries are heard.
 func (p *peerExchange) unheard(now time.Time, servers []directory.Server) map[string]bool {
 	p.mu.Lock()
-	silent, all := p.group.Silent(now)
+	silent, all := p.group.Suspects(now)
 	p.mu.Unlock()
 	if len(silent) == 0 {
 		return nil
@@ -336,7 +336,7 @@
 	version, revision := p.s.versions()
 	servers := p.takesServers()
 	p.mu.Lock()
-	peer, ok := p.group.Newer(now, version, revision, servers)
+	peer, ok := p.group.NewerPeer(now, version, revision, servers)
 	ok = ok && !p.fetching
 	p.fetching = p.fetching || ok
 	p.mu.Unlock()
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -33,7 +33,7 @@
 	s.readOptions.Store(&options)
 	s.peers.mu.Lock()
 	defer s.peers.mu.Unlock()
-	s.peers.group.SetReading(options)
+	s.peers.group.SetReadOptions(options)
 }
 
 // storeState is what this entry tells others of its reading.
@@ -48,14 +48,14 @@
 // entry would otherwise read the whole list from the store, as all others do when all start. One to
 // which the list is not handed in time reads it all the same: the links of those that have it may be full.
 func (s *Server) learnFromPeers(ctx context.Context) {
-	if !s.readOptions.Load().Shares() {
+	if !s.readOptions.Load().AllowsSharedReads() {
 		return
 	}
 	began := time.Now()
 	asked := began
 	for {
 		now := time.Now()
-		if now.Sub(asked) >= peering.AskAgain {
+		if now.Sub(asked) >= peering.SeedRetryInterval {
 			asked = now
 			s.peers.askIfLonely()
 		}
@@ -77,18 +77,18 @@
 func (p *peerExchange) askIfLonely() {
 	p.mu.Lock()
 	var seeds []string
-	if p.group.Lonely() {
-		seeds = p.group.NearKnown()
+	if p.group.NoPeerHeard() {
+		seeds = p.group.KnownLocal()
 	}
 	p.mu.Unlock()
-	p.send(seeds, peering.Message{Asks: true})
+	p.send(seeds, peering.Message{WantsMembers: true})
 }
 
 // readsFirst says whether this entry, which has started a while ago, reads the store itself.
 func (p *peerExchange) readsFirst(now time.Time, since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.FirstRead(now, since)
+	return p.group.ShouldReadAtStart(now, since)
 }
 
 func (p *peerExchange) shouldRead(now time.Time, self peering.StoreState) bool {
@@ -108,14 +108,14 @@
 func (p *peerExchange) awoke() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.group.Awoke()
+	p.group.ResetLiveness()
 }
 
 // source returns an entry of the zone from which this one takes over the list of servers as it starts.
 func (p *peerExchange) source(now time.Time) (address string, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.group.Source(now)
+	return p.group.ListSource(now)
 }
 
 // fetchFrom takes over the view of an entry of the zone; false if that fails.
@@ -131,9 +131,9 @@
 // is fetched by those that see the higher version.
 func (p *peerExchange) tellChanges(base uint64, changes platform.Changes) {
 	p.mu.Lock()
-	targets := p.group.In(time.Now(), p.s.settings.Zone)
+	targets := p.group.RunningIn(time.Now(), p.s.settings.Zone)
 	p.mu.Unlock()
-	if len(targets) == 0 || changes.Revision <= base || !p.s.readOptions.Load().Shares() {
+	if len(targets) == 0 || changes.Revision <= base || !p.s.readOptions.Load().AllowsSharedReads() {
 		return
 	}
 	for _, update := range p.s.updates(base, changes) {
@@ -149,12 +149,12 @@
 	servers, gone := s.directory.Rows(changedServers(changes))
 	s.mu.Unlock()
 	slices.SortFunc(servers, func(a, b directory.Server) int { return cmp.Compare(a.Revision, b.Revision) })
-	updates := []peering.Update{{Base: base, Upto: changes.Revision, Gone: gone, Evacuations: changes.Evacuations}}
+	updates := []peering.Update{{BaseRevision: base, UpToRevision: changes.Revision, Tombstones: gone, Evacuations: changes.Evacuations}}
 	for part := range slices.Chunk(servers, maxRows) {
 		last := &updates[len(updates)-1]
 		if len(last.Servers) > 0 {
-			last.Upto = last.Servers[len(last.Servers)-1].Revision
-			updates = append(updates, peering.Update{Base: last.Upto, Upto: changes.Revision})
+			last.UpToRevision = last.Servers[len(last.Servers)-1].Revision
+			updates = append(updates, peering.Update{BaseRevision: last.UpToRevision, UpToRevision: changes.Revision})
 			last = &updates[len(updates)-1]
 		}
 		last.Servers = part
@@ -184,10 +184,10 @@
 // if the entry that told of it dies, nobody would learn of that configuration.
 func (s *Server) takeUpdate(update peering.Update, from string) {
 	s.mu.Lock()
-	noted := s.takeRows(update.Servers, update.Gone)
+	noted := s.takeRows(update.Servers, update.Tombstones)
 	evacuations := s.takeEvacuations(update.Evacuations)
-	if !s.reading && s.revision != 0 && update.Base <= s.revision {
-		s.advance(update.Upto)
+	if !s.reading && s.revision != 0 && update.BaseRevision <= s.revision {
+		s.advance(update.UpToRevision)
 	}
 	s.mu.Unlock()
 	s.noteServers(noted, "peer "+from)
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -102,9 +102,9 @@
 	divisions map[string]zonerouting.LocalRouting
 	budgets   map[string]*execution.RetryBudget
 	// watch remembers requests under which servers have ended.
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	// apart keeps those of them that come through this entry on different servers.
-	apart  *quarantine.Apart
+	apart  *quarantine.Separator
 	random *rand.Rand
 	pause  *membership.PauseDetector
 }
@@ -121,7 +121,7 @@
 		options: options, settings: settings, loaded: settings, log: options.Log, incarnation: uuid.NewString()[:incarnationLength], registry: metrics.NewRegistry(),
 		directory: directory.New(directory.Options{}), book: placement.NewLoadTable(placement.DefaultOptions(settings.Zone)),
 		cold: coldstart.NewLimiter(), divisions: map[string]zonerouting.LocalRouting{}, started: make(chan struct{}),
-		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewWatch(), apart: quarantine.NewApart(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		budgets: map[string]*execution.RetryBudget{}, watch: quarantine.NewTracker(), apart: quarantine.NewSeparator(), random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pause: membership.NewPauseDetector(pauseLimit),
 	}
 	s.counters = newCounters(s.registry)
@@ -311,7 +311,7 @@
 	gap := s.pause.Tick(boottime(now))
 	if gap > 0 {
 		s.book.Reset()
-		s.cold.Awoke()
+		s.cold.ResetRanks()
 	}
 	s.mu.Unlock()
 	if gap > 0 {
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -72,7 +72,7 @@
 	core  *frontend.Core
 	pause *membership.PauseDetector
 	// watch remembers requests under which servers have ended.
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	// met says that this entry has asked the others what they remember.
 	met atomic.Bool
 }
@@ -91,7 +91,7 @@
 		routes:  &routeLog{},
 		core:    frontend.New(options.Frontend),
 		pause:   membership.NewPauseDetector(pauseLimit),
-		watch:   quarantine.NewWatch(),
+		watch:   quarantine.NewTracker(),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
@@ -222,9 +222,9 @@
 
 // readHosts takes in the platform's list.
 func (s *Server) readHosts(hosts []platform.Host) {
-	var rows []membership.Listed
+	var rows []membership.ListedServer
 	for _, host := range hosts {
-		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Leaving})
+		rows = append(rows, membership.ListedServer{Server: host.Server, Draining: host.Leaving})
 	}
 	s.mu.Lock()
 	changes, believed := s.core.ReadList(time.Now(), rows)
@@ -238,6 +238,6 @@
 func (s *Server) auditMembers(changes []membership.Change, source string) {
 	for _, change := range changes {
 		s.Audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: string(change.From), To: string(change.To),
-			Why: change.Why, Source: source})
+			Why: change.Reason, Source: source})
 	}
 }
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -71,7 +71,7 @@
 	e.runs, e.serving, e.reads, e.behind, e.revision, e.turn = true, false, false, false, 0, 0
 	e.fine, e.began, e.asked = time.Time{}, e.now(), e.now()
 	e.group = peering.New(e.name, e.zone, strconv.Itoa(e.life), e.seeds)
-	e.group.SetReading(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.Limit})
+	e.group.SetReadOptions(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.Limit})
 	e.heartbeat()
 	e.learn()
 }
@@ -84,18 +84,18 @@
 // learn takes over what another entry knows, or reads the store.
 func (e *entry) learn() {
 	now := e.now()
-	source, known := e.group.Source(now)
+	source, known := e.group.ListSource(now)
 	switch {
 	case source != "":
 		e.fetch(source)
 		return
-	case !known && e.group.FirstRead(now, now.Sub(e.began)):
+	case !known && e.group.ShouldReadAtStart(now, now.Sub(e.began)):
 		e.fleet.result.FirstReads++
 		e.readAll()
 		return
-	case e.group.Lonely() && now.Sub(e.asked) >= peering.AskAgain:
+	case e.group.NoPeerHeard() && now.Sub(e.asked) >= peering.SeedRetryInterval:
 		e.asked = now
-		e.send(e.group.NearKnown(), peering.Message{Asks: true}, Asking)
+		e.send(e.group.KnownLocal(), peering.Message{WantsMembers: true}, Asking)
 	}
 	e.later(startPoll, e.learn)
 }
@@ -115,7 +115,7 @@
 // catchUp takes over the view of an entry that knows more, unless this one reads the store.
 func (e *entry) catchUp() {
 	e.behind = false
-	source, ok := e.group.Newer(e.now(), version, e.revision, true)
+	source, ok := e.group.NewerPeer(e.now(), version, e.revision, true)
 	if e.reads || !ok {
 		return
 	}
@@ -165,7 +165,7 @@
 		}
 		e.know(e.fleet.store.revision)
 		if e.serve(); !e.serving {
-			e.send(e.group.NearKnown(), peering.Message{}, Announcement)
+			e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 		}
 		e.follow()
 	})
@@ -191,9 +191,9 @@
 	}
 	e.serving = true
 	e.fleet.result.served(e)
-	e.group.Divide(e.fleet.options.Divided)
-	e.group.Serve(true)
-	e.send(e.group.NearKnown(), peering.Message{}, Announcement)
+	e.group.SetLocalRouting(e.fleet.options.Divided)
+	e.group.SetServing(true)
+	e.send(e.group.KnownLocal(), peering.Message{}, Announcement)
 }
 
 // look looks whether the entry has to read the store.
@@ -215,7 +215,7 @@
 		return
 	}
 	options := peering.ReadOptions{Limit: e.fleet.options.Limit}
-	wait, pause := options.Wait(2*time.Second), options.Pause()
+	wait, pause := options.LongPollTimeout(2*time.Second), options.PollDelay()
 	e.fleet.store.watch(e, wait, func(ok bool) {
 		if !ok {
 			e.reads = false
@@ -233,8 +233,8 @@
 
 // tellChange tells the zone of a change of one row.
 func (e *entry) tellChange() {
-	update := &peering.Update{Base: e.revision - 1, Upto: e.revision}
-	e.send(e.group.In(e.now(), e.zone), peering.Message{Update: update}, Updating)
+	update := &peering.Update{BaseRevision: e.revision - 1, UpToRevision: e.revision}
+	e.send(e.group.RunningIn(e.now(), e.zone), peering.Message{Update: update}, Updating)
 }
 
 func (e *entry) state() peering.StoreState {
@@ -247,7 +247,7 @@
 	}
 	m.From, m.Zone, m.Incarnation = e.name, e.zone, "5f1c07a"+strconv.Itoa(e.life%10)
 	m.Version, m.Revision, m.Capacity = version, e.revision, e.linkMbps
-	m.SetStore(e.state())
+	m.SetStoreState(e.state())
 	m.Starting = !e.serving
 	data, err := peering.Encode(m)
 	if err != nil {
@@ -262,25 +262,25 @@
 	}
 	now := e.now()
 	e.fleet.result.received(e)
-	sender := e.group.Heard(now, m)
-	if m.Update != nil && m.Update.Upto > e.revision && e.revision > 0 {
-		e.revision = m.Update.Upto
+	sender := e.group.Observe(now, m)
+	if m.Update != nil && m.Update.UpToRevision > e.revision && e.revision > 0 {
+		e.revision = m.Update.UpToRevision
 		e.fleet.result.learned(e, e.revision)
 	}
 	if m.Revision > e.revision && e.serving && !e.behind {
 		e.behind = true
 		e.later(catchUpDelay, e.catchUp)
 	}
-	if e.group.Redirects(now, m) {
+	if e.group.ShouldRedirect(now, m) {
 		e.sendFar([]string{m.From}, 0, Redirection)
 	}
-	asked, told := e.group.Greets(now, sender.Found)
-	e.send(asked, peering.Message{Asks: true}, Asking)
+	asked, told := e.group.SplitGreetings(now, sender.Discovered)
+	e.send(asked, peering.Message{WantsMembers: true}, Asking)
 	e.send(told, peering.Message{}, Greeting)
 	switch {
-	case m.Asks:
-		e.sendMembers([]string{m.From}, e.group.Answer(now, m.Zone), Answer)
-	case sender.Joined && sender.Near, e.group.Mistakes(m):
+	case m.WantsMembers:
+		e.sendMembers([]string{m.From}, e.group.MembersFor(now, m.Zone), Answer)
+	case sender.Joined && sender.Local, e.group.MistakenForLocal(m):
 		e.send([]string{m.From}, peering.Message{}, Greeting)
 	}
 }
@@ -289,7 +289,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	for _, part := range peering.InParts(members) {
+	for _, part := range peering.SplitMembers(members) {
 		e.send(targets, peering.Message{Members: part}, kind)
 	}
 }
@@ -299,23 +299,23 @@
 		return
 	}
 	var m peering.Message
-	m.SetRoom(0.5)
-	m.SetRecordsSum(0)
-	e.group.TellFar(e.now(), turn, &m)
+	m.SetSpareCapacity(0.5)
+	m.SetRecordsDigest(0)
+	e.group.FillRemoteHeartbeat(e.now(), turn, &m)
 	e.send(targets, m, kind)
 }
 
 func (e *entry) heartbeat() {
 	now := e.now()
 	e.group.Forget(now)
-	beat := e.group.Heartbeat(now, e.turn)
-	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.HandOn(now, e.turn)}
-	m.SetRecordsSum(0)
-	e.send(beat.Near, m, Heartbeat)
-	if len(beat.Lists) > 0 {
-		e.sendMembers(beat.Lists, e.group.Listed(now), List)
+	beat := e.group.HeartbeatTargets(now, e.turn)
+	m := peering.Message{WantsMembers: e.group.NeedsMembers(now), Digest: e.group.Digest(now), ZoneSummaries: e.group.RemoteSummaries(now, e.turn)}
+	m.SetRecordsDigest(0)
+	e.send(beat.Local, m, Heartbeat)
+	if len(beat.WithMembers) > 0 {
+		e.sendMembers(beat.WithMembers, e.group.LocalMembers(now), List)
 	}
-	e.sendFar(beat.Far, e.turn, FarHeartbeat)
+	e.sendFar(beat.Remote, e.turn, FarHeartbeat)
 	e.turn++
 	e.later(peering.HeartbeatInterval, e.heartbeat)
 }
