--- a/core/execution/events.go
+++ b/core/execution/events.go
@@ -7,7 +7,7 @@
 // CancelAnswered, CancelLost, DeadlinePassed, EntryEnds and CallerGone.
 type Event interface{ event() }
 
-func (Begun) event()          {}
+func (RequestStarted) event()          {}
 func (Picked) event()         {}
 func (NoTarget) event()       {}
 func (OfferAnswered) event()  {}
@@ -21,8 +21,8 @@
 func (CallerGone) event()     {}
 
 type (
-	// Begun starts the request.
-	Begun struct{}
+	// RequestStarted starts the request.
+	RequestStarted struct{}
 	// Picked is routing's choice.
 	Picked struct{ Target Target }
 	// NoTarget says that routing has no server left.
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -93,7 +93,7 @@
 		return nil
 	}
 	switch e := event.(type) {
-	case Begun:
+	case RequestStarted:
 		return []Action{Pick{}}
 	case Picked:
 		return r.offer(now, e.Target)
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -15,7 +15,7 @@
 	waiting := func() *Request {
 		r := NewRequest(RequestOptions{ID: "r", Repeatable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
 			TakeRetry: func(time.Time) bool { return true }})
-		r.Step(now, Begun{})
+		r.Step(now, RequestStarted{})
 		r.Step(now, Picked{Target{Server: "s"}})
 		require.IsType(t, OpenStream{}, r.Step(now, OfferAnswered{Attempt: "a", Result: OfferResult{Verdict: Accepted}})[0])
 		require.IsType(t, SendCancel{}, r.Step(now, ends)[0])
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -338,7 +338,7 @@
 func (w *world) submit(i int) {
 	s := w.submissions[i]
 	s.started = true
-	w.feed(i, Begun{})
+	w.feed(i, RequestStarted{})
 }
 
 // feed gives an event to a submission's core and carries out its actions.
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -71,7 +71,7 @@
 	s.mu.Lock()
 	s.core.Began()
 	s.mu.Unlock()
-	event := execution.Event(execution.Begun{})
+	event := execution.Event(execution.RequestStarted{})
 	gone, ending := ctx.Done(), s.Manager().Ending().Done()
 	var ends <-chan time.Time
 	for {
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -242,7 +242,7 @@
 	e.open[s] = true
 	e.Core.Began()
 	l.After(request.Deadline, func() { e.reach(func() { e.feed(s, execution.DeadlinePassed{}) }) })
-	e.feed(s, execution.Begun{})
+	e.feed(s, execution.RequestStarted{})
 	return s
 }
 
