--- a/core/execution/events.go
+++ b/core/execution/events.go
@@ -17,7 +17,7 @@
 func (CancelAnswered) event() {}
 func (CancelLost) event()     {}
 func (DeadlinePassed) event() {}
-func (EntryEnds) event()      {}
+func (EntryStopping) event()      {}
 func (CallerGone) event()     {}
 
 type (
@@ -52,8 +52,8 @@
 	CancelLost struct{ Attempt AttemptID }
 	// DeadlinePassed ends the request's time.
 	DeadlinePassed struct{}
-	// EntryEnds says that this entry ends soon. The second one says that it ends now.
-	EntryEnds struct{ Refusal Refusal }
+	// EntryStopping says that this entry ends soon. The second one says that it ends now.
+	EntryStopping struct{ Refusal Refusal }
 	// CallerGone says that nobody waits for the answer any more.
 	CallerGone struct{}
 )
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -113,7 +113,7 @@
 		return r.onCancelled(now, e.Attempt, Unknown)
 	case DeadlinePassed:
 		return r.giveUp(Refusal{Code: CodeDeadline, Detail: "the request's deadline has passed"})
-	case EntryEnds:
+	case EntryStopping:
 		return r.end(now, e.Refusal)
 	case CallerGone:
 		return r.giveUp(Refusal{Code: CodeCallerGone})
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -11,7 +11,7 @@
 // is tried again; where the host doesn't answer in time the caller is told that nobody knows.
 func TestAnEntryThatEndsAsksWhetherARequestHasRun(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ends := EntryEnds{Refusal{Code: CodeDraining}}
+	ends := EntryStopping{Refusal{Code: CodeDraining}}
 	waiting := func() *Request {
 		r := NewRequest(RequestOptions{ID: "r", Repeatable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
 			TakeRetry: func(time.Time) bool { return true }})
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -269,7 +269,7 @@
 		if s.started && s.concluded == nil && w.budget.Ends > 0 {
 			all = append(all, move{fmt.Sprintf("the entry of %d ends", i), func(w *world) {
 				w.budget.Ends--
-				w.feed(i, EntryEnds{Refusal{Code: CodeDraining}})
+				w.feed(i, EntryStopping{Refusal{Code: CodeDraining}})
 			}})
 		}
 	}
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -85,9 +85,9 @@
 		case <-gone:
 			event, gone = execution.CallerGone{}, nil
 		case <-ending:
-			event, ending, ends = execution.EntryEnds{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
+			event, ending, ends = execution.EntryStopping{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
 		case <-ends:
-			event = execution.EntryEnds{Refusal: entryEnds}
+			event = execution.EntryStopping{Refusal: entryEnds}
 		}
 	}
 }
