--- a/core/execution/events.go
+++ b/core/execution/events.go
@@ -18,7 +18,7 @@
 func (CancelLost) event()     {}
 func (DeadlinePassed) event() {}
 func (EntryStopping) event()      {}
-func (CallerGone) event()     {}
+func (CallerDisconnected) event()     {}
 
 type (
 	// RequestStarted starts the request.
@@ -54,8 +54,8 @@
 	DeadlinePassed struct{}
 	// EntryStopping says that this entry ends soon. The second one says that it ends now.
 	EntryStopping struct{ Refusal Refusal }
-	// CallerGone says that nobody waits for the answer any more.
-	CallerGone struct{}
+	// CallerDisconnected says that nobody waits for the answer any more.
+	CallerDisconnected struct{}
 )
 
 // Action is something the adapter has to do. The Action types are Pick,
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -115,7 +115,7 @@
 		return r.giveUp(Refusal{Code: CodeDeadline, Detail: "the request's deadline has passed"})
 	case EntryStopping:
 		return r.end(now, e.Refusal)
-	case CallerGone:
+	case CallerDisconnected:
 		return r.giveUp(Refusal{Code: CodeCallerGone})
 	}
 	return nil
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -83,7 +83,7 @@
 		case <-deadline.C:
 			event = execution.DeadlinePassed{}
 		case <-gone:
-			event, gone = execution.CallerGone{}, nil
+			event, gone = execution.CallerDisconnected{}, nil
 		case <-ending:
 			event, ending, ends = execution.EntryStopping{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
 		case <-ends:
@@ -113,7 +113,7 @@
 				d.t.sink.discard()
 			case execution.Deliver:
 				if err := d.deliver(a.Frame); err != nil {
-					pending = append(pending, execution.CallerGone{})
+					pending = append(pending, execution.CallerDisconnected{})
 				}
 			case execution.Conclude:
 				return a.Conclusion, true
