--- a/core/execution/events.go
+++ b/core/execution/events.go
@@ -13,7 +13,7 @@
 func (OfferAnswered) event()  {}
 func (OfferLost) event()      {}
 func (FrameArrived) event()   {}
-func (StreamEnded) event()    {}
+func (StreamBroken) event()    {}
 func (CancelAnswered) event() {}
 func (CancelLost) event()     {}
 func (DeadlinePassed) event() {}
@@ -37,9 +37,9 @@
 	OfferLost struct{ Attempt AttemptID }
 	// FrameArrived brings one frame of the answer.
 	FrameArrived struct{ Frame Frame }
-	// StreamEnded says that the stream broke before its last frame. Sent is
+	// StreamBroken says that the stream broke before its last frame. Sent is
 	// false if no byte of the run message left this entry.
-	StreamEnded struct {
+	StreamBroken struct {
 		Attempt AttemptID
 		Sent    bool
 	}
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -105,7 +105,7 @@
 		return r.onOfferLost(now, e)
 	case FrameArrived:
 		return r.onFrame(now, e.Frame)
-	case StreamEnded:
+	case StreamBroken:
 		return r.onStreamEnded(now, e)
 	case CancelAnswered:
 		return r.onCancelled(now, e.Attempt, e.Outcome)
@@ -269,7 +269,7 @@
 }
 
 // onStreamEnded handles a stream that broke before its last frame.
-func (r *Request) onStreamEnded(now time.Time, e StreamEnded) []Action {
+func (r *Request) onStreamEnded(now time.Time, e StreamBroken) []Action {
 	if r.stage != stageStreaming || e.Attempt != r.attempt {
 		return nil
 	}
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -408,7 +408,7 @@
 func (w *world) resume(i int, a OpenStream) {
 	h := w.servers[w.find(a.Target)]
 	if h.target() != a.Target.Incarnation || !h.ledger.Attach(a.Attempt) {
-		w.feed(i, StreamEnded{Attempt: a.Attempt, Sent: true})
+		w.feed(i, StreamBroken{Attempt: a.Attempt, Sent: true})
 		return
 	}
 	if known := h.ledger.attempts[a.Attempt]; known.phase == Done {
@@ -456,7 +456,7 @@
 	case offerPacket, offerReply:
 		w.feed(p.Submission, OfferLost{Attempt: p.Attempt})
 	case openPacket, framePacket:
-		w.feed(p.Submission, StreamEnded{Attempt: p.Attempt, Sent: true})
+		w.feed(p.Submission, StreamBroken{Attempt: p.Attempt, Sent: true})
 	case cancelPacket, cancelReply:
 		w.feed(p.Submission, CancelLost{Attempt: p.Attempt})
 	}
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -226,7 +226,7 @@
 
 // stream opens an attempt's stream, or opens it again, and hands on its frames.
 func (d *driver) stream(ctx context.Context, action execution.OpenStream, body []byte) {
-	ended := execution.StreamEnded{Attempt: action.Attempt, Sent: true}
+	ended := execution.StreamBroken{Attempt: action.Attempt, Sent: true}
 	request, err := d.streamRequest(ctx, action, body)
 	if err != nil {
 		ended.Sent = false
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -337,7 +337,7 @@
 	e.lab.send(Message{kind, e.Name, h.Name}, serve, func() {
 		e.reach(func() {
 			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
-			e.feed(s, execution.StreamEnded{Attempt: a.Attempt, Sent: a.Resume})
+			e.feed(s, execution.StreamBroken{Attempt: a.Attempt, Sent: a.Resume})
 		})
 	})
 }
@@ -372,7 +372,7 @@
 	}
 	s.heard = e.lab.Now
 	e.Core.Failed(e.lab.Now, s.core.Target().Server, s.query.Pool)
-	e.feed(s, execution.StreamEnded{Attempt: id, Sent: true})
+	e.feed(s, execution.StreamBroken{Attempt: id, Sent: true})
 }
 
 func (e *Entry) deliver(s *Submission, frame execution.Frame) {
