--- a/core/execution/frame.go
+++ b/core/execution/frame.go
@@ -33,8 +33,8 @@
 	FrameNext FrameVerdict = iota + 1
 	// FrameForeign belongs to another request or attempt: drop it.
 	FrameForeign
-	// FrameRepeated was seen before: drop it.
-	FrameRepeated
+	// FrameDuplicate was seen before: drop it.
+	FrameDuplicate
 	// FrameCorrupt shows that a part of the answer is missing or altered.
 	FrameCorrupt
 )
@@ -63,7 +63,7 @@
 	case frame.Request != c.request || frame.Attempt != c.attempt:
 		return FrameForeign
 	case frame.Sequence < c.next:
-		return FrameRepeated
+		return FrameDuplicate
 	case frame.Sequence > c.next:
 		return FrameCorrupt
 	}
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -155,11 +155,11 @@
 		{"whole", frames, FrameNext},
 		{"another attempt", []Frame{changed(frames[0], func(f *Frame) { f.Attempt = "b" })}, FrameForeign},
 		{"another request", []Frame{changed(frames[0], func(f *Frame) { f.Request = "s" })}, FrameForeign},
-		{"repeated", []Frame{frames[0], frames[0]}, FrameRepeated},
+		{"repeated", []Frame{frames[0], frames[0]}, FrameDuplicate},
 		{"gap", []Frame{frames[0], frames[2]}, FrameCorrupt},
 		{"cut short", []Frame{frames[0], changed(frames[3], func(f *Frame) { f.Sequence = 2 })}, FrameCorrupt},
 		{"altered", []Frame{frames[0], changed(frames[1], func(f *Frame) { f.Payload = []byte("TWO") }), frames[2], frames[3]}, FrameCorrupt},
-		{"heartbeat", []Frame{frames[0], {Request: "r", Attempt: "a"}}, FrameRepeated},
+		{"heartbeat", []Frame{frames[0], {Request: "r", Attempt: "a"}}, FrameDuplicate},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -246,7 +246,7 @@
 		return nil
 	}
 	switch r.check.Check(frame) {
-	case FrameForeign, FrameRepeated:
+	case FrameForeign, FrameDuplicate:
 		return nil
 	case FrameCorrupt:
 		return r.cancel(now)
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -62,7 +62,7 @@
 	{"key from the future", "core/execution/record.go", "	if made.Sub(now) > allowance {", "	if false {", execution, "TestLedger"},
 	{"key with another body", "core/execution/record.go", "	if record.Fingerprint != offer.Key.Fingerprint {", "	if false {", execution, "TestLedger"},
 	{"frames of another attempt", "core/execution/frame.go", "	case frame.Request != c.request || frame.Attempt != c.attempt:", "	case false:", execution, "TestFrames"},
-	{"repeated frames", "core/execution/frame.go", "	case frame.Sequence < c.next:\n		return FrameRepeated", "	case frame.Sequence < c.next:\n		return FrameNext", execution, "TestFrames"},
+	{"repeated frames", "core/execution/frame.go", "	case frame.Sequence < c.next:\n		return FrameDuplicate", "	case frame.Sequence < c.next:\n		return FrameNext", execution, "TestFrames"},
 	{"gaps between frames", "core/execution/frame.go", "	case frame.Sequence > c.next:", "	case false:", execution, "TestFrames"},
 	{"checksum and count", "core/execution/frame.go", "	if len(frame.Payload) > 0 || frame.Count != c.next-1 || frame.Checksum != c.sum.Sum64() {", "	if false {", execution, "TestFrames"},
 	{"no mixing of two runs", "core/execution/request.go", "	mixed := r.delivered && !r.options.Buffered", "	mixed := false", matrixPkg, matrix},
