--- a/core/execution/key.go
+++ b/core/execution/key.go
@@ -15,8 +15,8 @@
 
 const issuedPrefix = "ark1."
 
-// ErrBadKey is wrapped by every error of ParseKey.
-var ErrBadKey = errors.New("not a usable Idempotency-Key")
+// ErrInvalidKey is wrapped by every error of ParseKey.
+var ErrInvalidKey = errors.New("not a usable Idempotency-Key")
 
 // IssuedKey is a key that an entry gave out. It names its home, so that every
 // entry sends it to the same daemon whatever its view of the fleet.
@@ -68,7 +68,7 @@
 	}
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
-		return ParsedKey{}, fmt.Errorf("%w: give a key from POST /v1/idempotency-keys or a UUID of version 7", ErrBadKey)
+		return ParsedKey{}, fmt.Errorf("%w: give a key from POST /v1/idempotency-keys or a UUID of version 7", ErrInvalidKey)
 	}
 	seconds, nanos := id.Time().UnixTime()
 	return ParsedKey{Text: id.String(), Made: time.Unix(seconds, nanos)}, nil
@@ -77,19 +77,19 @@
 func (k *Keys) parseIssued(text string) (ParsedKey, error) {
 	encoded, mac, ok := strings.Cut(strings.TrimPrefix(text, issuedPrefix), ".")
 	if !ok {
-		return ParsedKey{}, fmt.Errorf("%w: it has been cut short", ErrBadKey)
+		return ParsedKey{}, fmt.Errorf("%w: it has been cut short", ErrInvalidKey)
 	}
 	sum, err := base64.RawURLEncoding.DecodeString(mac)
 	if err != nil || !hmac.Equal(sum, k.sign(encoded)) {
-		return ParsedKey{}, fmt.Errorf("%w: it was not issued here", ErrBadKey)
+		return ParsedKey{}, fmt.Errorf("%w: it was not issued here", ErrInvalidKey)
 	}
 	body, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err != nil {
-		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrBadKey)
+		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrInvalidKey)
 	}
 	var key IssuedKey
 	if err := json.Unmarshal(body, &key); err != nil {
-		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrBadKey)
+		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrInvalidKey)
 	}
 	return ParsedKey{Text: text, Made: key.Made(), Issued: &key}, nil
 }
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -213,7 +213,7 @@
 	for name, bad := range map[string]string{"another secret's": NewKeys([]byte("other")).Issue(IssuedKey{}), "cut": text[:len(text)-3],
 		"no mac": "ark1.abc", "random": "hello", "old UUID": "4b5e1c1e-3a66-4e39-8b7c-1f4c8ed3c9a1", "altered": "ark1.A" + text[6:]} {
 		_, err := keys.Parse(bad)
-		require.ErrorIs(t, err, ErrBadKey, name)
+		require.ErrorIs(t, err, ErrInvalidKey, name)
 	}
 	made, err := keys.Parse("01a237e5-d293-7eab-8636-93ac79049b86")
 	require.NoError(t, err)
