--- a/core/execution/key.go
+++ b/core/execution/key.go
@@ -24,12 +24,12 @@
 	Service     string      `json:"s"`
 	Server      string      `json:"h"`
 	Incarnation Incarnation `json:"i"`
-	MadeUnixMS  int64       `json:"t"`
+	CreatedUnixMS  int64       `json:"t"`
 	Nonce       string      `json:"n"`
 }
 
 // Made returns when the key was made.
-func (k IssuedKey) Made() time.Time { return time.UnixMilli(k.MadeUnixMS) }
+func (k IssuedKey) Made() time.Time { return time.UnixMilli(k.CreatedUnixMS) }
 
 // Keys issues and reads keys with the secret that the daemons share.
 type Keys struct{ secret []byte }
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -206,7 +206,7 @@
 
 func TestKeys(t *testing.T) {
 	keys := NewKeys([]byte("secret"))
-	text := keys.Issue(IssuedKey{Service: "s", Server: "a", Incarnation: "a#1", MadeUnixMS: 1234, Nonce: "n"})
+	text := keys.Issue(IssuedKey{Service: "s", Server: "a", Incarnation: "a#1", CreatedUnixMS: 1234, Nonce: "n"})
 	parsed, err := keys.Parse(text)
 	require.NoError(t, err)
 	require.Equal(t, "a", parsed.Issued.Server)
--- a/entry/server/keys.go
+++ b/entry/server/keys.go
@@ -46,7 +46,7 @@
 		return &refusedError{execution.Refusal{Code: execution.CodeNoServer, Detail: "no backend server can be the key's home now", RetryAfter: time.Second}}
 	}
 	now := time.Now()
-	key := s.keys.Issue(execution.IssuedKey{Service: pool, Server: target.Server, Incarnation: target.Incarnation, MadeUnixMS: now.UnixMilli(), Nonce: newID()})
+	key := s.keys.Issue(execution.IssuedKey{Service: pool, Server: target.Server, Incarnation: target.Incarnation, CreatedUnixMS: now.UnixMilli(), Nonce: newID()})
 	c.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(c.w).Encode(keyReply{Key: key, ExpiresAt: now.Add(execution.DefaultLedgerOptions().Retention).UTC()})
 }
