--- a/core/execution/key.go
+++ b/core/execution/key.go
@@ -28,8 +28,8 @@
 	Nonce       string      `json:"n"`
 }
 
-// Made returns when the key was made.
-func (k IssuedKey) Made() time.Time { return time.UnixMilli(k.CreatedUnixMS) }
+// CreatedAt returns when the key was made.
+func (k IssuedKey) CreatedAt() time.Time { return time.UnixMilli(k.CreatedUnixMS) }
 
 // Keys issues and reads keys with the secret that the daemons share.
 type Keys struct{ secret []byte }
@@ -91,5 +91,5 @@
 	if err := json.Unmarshal(body, &key); err != nil {
 		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrInvalidKey)
 	}
-	return ParsedKey{Text: text, Made: key.Made(), Issued: &key}, nil
+	return ParsedKey{Text: text, Made: key.CreatedAt(), Issued: &key}, nil
 }
