--- a/core/execution/key.go
+++ b/core/execution/key.go
@@ -56,7 +56,7 @@
 // ParsedKey is a key as read from a request.
 type ParsedKey struct {
 	Text   string
-	Made   time.Time
+	CreatedAt   time.Time
 	Issued *IssuedKey
 }
 
@@ -71,7 +71,7 @@
 		return ParsedKey{}, fmt.Errorf("%w: give a key from POST /v1/idempotency-keys or a UUID of version 7", ErrInvalidKey)
 	}
 	seconds, nanos := id.Time().UnixTime()
-	return ParsedKey{Text: id.String(), Made: time.Unix(seconds, nanos)}, nil
+	return ParsedKey{Text: id.String(), CreatedAt: time.Unix(seconds, nanos)}, nil
 }
 
 func (k *Keys) parseIssued(text string) (ParsedKey, error) {
@@ -91,5 +91,5 @@
 	if err := json.Unmarshal(body, &key); err != nil {
 		return ParsedKey{}, fmt.Errorf("%w: it can't be read", ErrInvalidKey)
 	}
-	return ParsedKey{Text: text, Made: key.CreatedAt(), Issued: &key}, nil
+	return ParsedKey{Text: text, CreatedAt: key.CreatedAt(), Issued: &key}, nil
 }
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -218,7 +218,7 @@
 	made, err := keys.Parse("01a237e5-d293-7eab-8636-93ac79049b86")
 	require.NoError(t, err)
 	require.Nil(t, made.Issued)
-	require.Equal(t, 2026, made.Made.UTC().Year())
+	require.Equal(t, 2026, made.CreatedAt.UTC().Year())
 }
 
 func TestRetryBudget(t *testing.T) {
