--- a/core/config/homes_test.go
+++ b/core/config/homes_test.go
@@ -139,7 +139,7 @@
 			case 3:
 				w.start(server.Draw(t, "restarts"), uint64(rapid.IntRange(1, len(w.revisions)).Draw(t, "stale revision")))
 			case 4:
-				w.keys = append(w.keys, execution.Key{ID: fmt.Sprint("k", len(w.keys)), Fingerprint: 1, Made: w.now})
+				w.keys = append(w.keys, execution.Key{ID: fmt.Sprint("k", len(w.keys)), Fingerprint: 1, CreatedAt: w.now})
 			default:
 				if len(w.keys) > 0 {
 					w.offer(server.Draw(t, "asked"), rapid.SampledFrom(w.keys).Draw(t, "key"))
--- a/core/execution/bench_test.go
+++ b/core/execution/bench_test.go
@@ -14,7 +14,7 @@
 	now := ledgerStart.Add(time.Hour)
 	for i := range keys {
 		id := fmt.Sprintf("01a237e5-d293-7eab-8636-%012d", i)
-		l.Offer(now, offerAt(now, id, Key{ID: "ark1." + id + id, Issued: true, Fingerprint: 1, Made: now}), free)
+		l.Offer(now, offerAt(now, id, Key{ID: "ark1." + id + id, Issued: true, Fingerprint: 1, CreatedAt: now}), free)
 		l.OpenStream(now, AttemptID(id), "a#1")
 		l.Start(AttemptID(id))
 		l.Finish(now, AttemptID(id), Finished, Answer{Kept: true, Status: 200, Body: make([]byte, 200)})
--- a/core/execution/explore_test.go
+++ b/core/execution/explore_test.go
@@ -69,11 +69,11 @@
 }
 
 func madeKey(_ *ledgerHost) Key {
-	return Key{ID: "k", Fingerprint: 1, Made: exploreStart.Add(50 * time.Second)}
+	return Key{ID: "k", Fingerprint: 1, CreatedAt: exploreStart.Add(50 * time.Second)}
 }
 
 func issuedKey(_ *ledgerHost) Key {
-	return Key{ID: "k", Issued: true, Fingerprint: 1, Made: exploreStart.Add(50 * time.Second)}
+	return Key{ID: "k", Issued: true, Fingerprint: 1, CreatedAt: exploreStart.Add(50 * time.Second)}
 }
 
 // scenarios pair the kinds of requests with sets of faults.
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -26,7 +26,7 @@
 // A key is refused with the code that says what its caller may still hope for.
 func TestLedgerRules(t *testing.T) {
 	now := ledgerStart.Add(time.Hour)
-	made := func(at time.Time) Key { return Key{ID: "k", Fingerprint: 1, Made: at} }
+	made := func(at time.Time) Key { return Key{ID: "k", Fingerprint: 1, CreatedAt: at} }
 	issued := made(now)
 	issued.Issued = true
 	cases := []struct {
@@ -103,7 +103,7 @@
 // the second is told that it was not run.
 func TestLedgerRefusesAnotherBody(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
-	key := Key{ID: "k", Fingerprint: 1, Made: now}
+	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
 	require.Equal(t, Accepted, l.Offer(now, offerAt(now, "x", key), free).Verdict)
 	key.Fingerprint = 2
 	result := l.Offer(now, offerAt(now, "y", key), free)
@@ -115,7 +115,7 @@
 // and is forgotten after it.
 func TestLedgerAnswersResends(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
-	key := Key{ID: "k", Fingerprint: 1, Made: now}
+	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
 	l.Offer(now, offerAt(now, "x", key), free)
 	_, refusal := l.OpenStream(now, "x", "a#1")
 	require.Nil(t, refusal)
--- a/core/execution/outcome.go
+++ b/core/execution/outcome.go
@@ -105,8 +105,8 @@
 	Issued bool
 	// Fingerprint is the hash of the request's body: one key, one body.
 	Fingerprint uint64
-	// Made is when the key was made, in the maker's clock.
-	Made time.Time
+	// CreatedAt is when the key was made, in the maker's clock.
+	CreatedAt time.Time
 }
 
 // None says that the request carries no key.
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -85,7 +85,7 @@
 	if len(l.records) >= l.options.MaxKeys {
 		return &Refusal{Code: CodeLedgerFull, Detail: "too many keys in use", RetryAfter: time.Second}
 	}
-	made := offer.Key.Made
+	made := offer.Key.CreatedAt
 	allowance := l.options.ClockAllowance
 	if now.Sub(made) > l.options.Retention-allowance {
 		return &Refusal{Code: CodeKeyTooOld, Detail: "the key is older than the ledger keeps records"}
--- a/core/wire/convert.go
+++ b/core/wire/convert.go
@@ -46,7 +46,7 @@
 		Service:   m.Service,
 		Expires:   time.UnixMilli(m.ExpiresUnixMs),
 		Key: execution.Key{ID: m.Key, Issued: m.IssuedKey, Fingerprint: m.Fingerprint,
-			Made: time.UnixMilli(m.KeyMadeUnixMs)},
+			CreatedAt: time.UnixMilli(m.KeyMadeUnixMs)},
 	}
 }
 
--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -220,7 +220,7 @@
 			return s.core.TakeRetry(now)
 		}}
 	t.offer = &wire.OfferRequest{Request: string(c.id), Workspace: c.workspace, Key: key.ID, IssuedKey: key.Issued,
-		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.Made.UnixMilli()}
+		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.CreatedAt.UnixMilli()}
 	t.route = &Route{Request: c.id, Time: time.Now(), Workspace: c.workspace}
 	return t
 }
--- a/entry/server/keys.go
+++ b/entry/server/keys.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return execution.Key{}, nil, refuse(codeBadRequest, "%s: %v", headerKey, err)
 	}
-	key := execution.Key{ID: parsed.Text, Made: parsed.CreatedAt, Fingerprint: fingerprint}
+	key := execution.Key{ID: parsed.Text, CreatedAt: parsed.CreatedAt, Fingerprint: fingerprint}
 	if issued := parsed.Issued; issued != nil {
 		if issued.Service != pool {
 			return key, nil, refuse(codeBadRequest, "%s: the key was issued for %q", headerKey, issued.Service)
--- a/proof/matrix/matrix_test.go
+++ b/proof/matrix/matrix_test.go
@@ -195,7 +195,7 @@
 	if c.kind.keyed {
 		host := c.lab.Hosts[0]
 		request.Home = execution.Target{Server: host.Name, Incarnation: host.Core.Incarnation()}
-		request.Key = execution.Key{ID: "key", Issued: true, Fingerprint: 1, Made: c.lab.Now}
+		request.Key = execution.Key{ID: "key", Issued: true, Fingerprint: 1, CreatedAt: c.lab.Now}
 	}
 	c.arm(strikes...)
 	c.sent = append(c.sent, c.lab.Entries[0].Submit(request))
