--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -64,7 +64,7 @@
 
 // New returns the core of a daemon that starts now, without a configuration.
 func New(now time.Time, options Options) *Core {
-	options.Ledger.Server, options.Ledger.Incarnation, options.Ledger.Began = options.Server, options.Incarnation, now
+	options.Ledger.Server, options.Ledger.Incarnation, options.Ledger.StartedAt = options.Server, options.Incarnation, now
 	options.Orders.Server = options.Server
 	c := &Core{
 		options:   options,
--- a/core/config/homes_test.go
+++ b/core/config/homes_test.go
@@ -71,7 +71,7 @@
 		return
 	}
 	options := execution.DefaultLedgerOptions()
-	options.Server, options.Incarnation, options.Began = server, execution.Incarnation(server), w.now
+	options.Server, options.Incarnation, options.StartedAt = server, execution.Incarnation(server), w.now
 	d := &homeDaemon{homes: NewHomes(server)}
 	d.ledger = execution.NewLedger(options, d.homes)
 	w.daemons[server] = d
--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -24,8 +24,8 @@
 type LedgerOptions struct {
 	Server      string
 	Incarnation Incarnation
-	// Began is when this daemon's ledger began; older keys are not run.
-	Began time.Time
+	// StartedAt is when this daemon's ledger began; older keys are not run.
+	StartedAt time.Time
 	// Retention is how long records and tombstones are kept. It must exceed
 	// the longest life of an offer.
 	Retention time.Duration
@@ -360,4 +360,4 @@
 }
 
 // Began returns when this ledger began.
-func (l *Ledger) Began() time.Time { return l.options.Began }
+func (l *Ledger) Began() time.Time { return l.options.StartedAt }
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -11,7 +11,7 @@
 
 func testLedger() *Ledger {
 	options := DefaultLedgerOptions()
-	options.Server, options.Incarnation, options.Began = "a", "a#1", ledgerStart
+	options.Server, options.Incarnation, options.StartedAt = "a", "a#1", ledgerStart
 	return NewLedger(options, fixedHomes{home: true})
 }
 
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -96,7 +96,7 @@
 	if made.Sub(now) > allowance {
 		return &Refusal{Code: CodeKeyFromFuture, Detail: "the key's time is ahead of this host's clock", RetryAfter: made.Sub(now)}
 	}
-	if made.Before(l.options.Began.Add(allowance)) {
+	if made.Before(l.options.StartedAt.Add(allowance)) {
 		return &Refusal{Code: CodeKeyHomeLost, Detail: "the key was made before this home's ledger began"}
 	}
 	if l.homes == nil {
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -57,7 +57,7 @@
 	{"offer expiry", "core/execution/ledger.go", "	case !now.Before(offer.Expires):", "	case false:", execution, explorer},
 	{"a request that may not be repeated is not", "core/execution/request.go", "	again := r.options.Repeatable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
 	{"an earlier run is remembered", "core/execution/request.go", "	if outcome == NotRun && r.ran != 0 {", "	if false {", execution, explorer},
-	{"key older than the ledger", "core/execution/record.go", "	if made.Before(l.options.Began.Add(allowance)) {", "	if false {", execution, "TestLedger"},
+	{"key older than the ledger", "core/execution/record.go", "	if made.Before(l.options.StartedAt.Add(allowance)) {", "	if false {", execution, "TestLedger"},
 	{"key older than its retention", "core/execution/record.go", "	if now.Sub(made) > l.options.Retention-allowance {", "	if false {", execution, "TestLedger"},
 	{"key from the future", "core/execution/record.go", "	if made.Sub(now) > allowance {", "	if false {", execution, "TestLedger"},
 	{"key with another body", "core/execution/record.go", "	if record.Fingerprint != offer.Key.Fingerprint {", "	if false {", execution, "TestLedger"},
