--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -111,7 +111,7 @@
 func (c *Core) Draining() bool { return c.ledger.Draining() }
 
 // Began returns when this daemon started.
-func (c *Core) Began() time.Time { return c.ledger.Began() }
+func (c *Core) Began() time.Time { return c.ledger.StartedAt() }
 
 // Incarnation returns this start's name.
 func (c *Core) Incarnation() execution.Incarnation { return c.options.Incarnation }
--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -359,5 +359,5 @@
 	return 0
 }
 
-// Began returns when this ledger began.
-func (l *Ledger) Began() time.Time { return l.options.StartedAt }
+// StartedAt returns when this ledger began.
+func (l *Ledger) StartedAt() time.Time { return l.options.StartedAt }
