--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -29,9 +29,9 @@
 	// Retention is how long records and tombstones are kept. It must exceed
 	// the longest life of an offer.
 	Retention time.Duration
-	// ClockAllowance bounds the difference between the clocks of key makers
+	// MaxClockSkew bounds the difference between the clocks of key makers
 	// and this host.
-	ClockAllowance time.Duration
+	MaxClockSkew time.Duration
 	// OfferLease is how long an accepted offer waits for its stream.
 	OfferLease time.Duration
 	// OfferLife is the longest life of an offer that is accepted.
@@ -48,7 +48,7 @@
 func DefaultLedgerOptions() LedgerOptions {
 	return LedgerOptions{
 		Retention:      10 * time.Minute,
-		ClockAllowance: 2 * time.Second,
+		MaxClockSkew: 2 * time.Second,
 		OfferLease:     5 * time.Second,
 		OfferLife:      DefaultOfferLife,
 		StreamLease:    5 * time.Second,
@@ -194,7 +194,7 @@
 	switch {
 	case !now.Before(offer.Expires):
 		return &Refusal{Code: CodeExpired, Detail: "the offer arrived after its expiry"}
-	case offer.Expires.Sub(now) > l.options.OfferLife+l.options.ClockAllowance:
+	case offer.Expires.Sub(now) > l.options.OfferLife+l.options.MaxClockSkew:
 		return &Refusal{Code: CodeExpired, Detail: "the offer's expiry is too far ahead: a clock is off"}
 	case offer.Target != l.options.Incarnation:
 		return &Refusal{Code: CodeWrongIncarnation, Detail: "the daemon has restarted"}
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -30,7 +30,7 @@
 // most, so the sum is enough.
 func (l *Ledger) raiseBarrier(now time.Time, key string) { l.barriers[key] = now.Add(l.barrierTime()) }
 
-func (l *Ledger) barrierTime() time.Duration { return l.options.OfferLife + l.options.ClockAllowance }
+func (l *Ledger) barrierTime() time.Duration { return l.options.OfferLife + l.options.MaxClockSkew }
 
 // unknownForKey says whether a refusal leaves open what an earlier submission
 // of the key did. A restarted daemon has lost its ledger, so a key that was sent
@@ -86,7 +86,7 @@
 		return &Refusal{Code: CodeLedgerFull, Detail: "too many keys in use", RetryAfter: time.Second}
 	}
 	made := offer.Key.CreatedAt
-	allowance := l.options.ClockAllowance
+	allowance := l.options.MaxClockSkew
 	if now.Sub(made) > l.options.Retention-allowance {
 		return &Refusal{Code: CodeKeyTooOld, Detail: "the key is older than the ledger keeps records"}
 	}
