--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -34,8 +34,8 @@
 	MaxClockSkew time.Duration
 	// OfferLease is how long an accepted offer waits for its stream.
 	OfferLease time.Duration
-	// OfferLife is the longest life of an offer that is accepted.
-	OfferLife time.Duration
+	// OfferTTL is the longest life of an offer that is accepted.
+	OfferTTL time.Duration
 	// StreamLease is how long an attempt goes on without a connected stream.
 	StreamLease time.Duration
 	// MaxKeys bounds the number of ledger records.
@@ -50,7 +50,7 @@
 		Retention:      10 * time.Minute,
 		MaxClockSkew: 2 * time.Second,
 		OfferLease:     5 * time.Second,
-		OfferLife:      DefaultOfferLife,
+		OfferTTL:      DefaultOfferLife,
 		StreamLease:    5 * time.Second,
 		MaxKeys:        100_000,
 		MaxAnswer:      16 << 10,
@@ -194,7 +194,7 @@
 	switch {
 	case !now.Before(offer.Expires):
 		return &Refusal{Code: CodeExpired, Detail: "the offer arrived after its expiry"}
-	case offer.Expires.Sub(now) > l.options.OfferLife+l.options.MaxClockSkew:
+	case offer.Expires.Sub(now) > l.options.OfferTTL+l.options.MaxClockSkew:
 		return &Refusal{Code: CodeExpired, Detail: "the offer's expiry is too far ahead: a clock is off"}
 	case offer.Target != l.options.Incarnation:
 		return &Refusal{Code: CodeWrongIncarnation, Detail: "the daemon has restarted"}
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -30,7 +30,7 @@
 // most, so the sum is enough.
 func (l *Ledger) raiseBarrier(now time.Time, key string) { l.barriers[key] = now.Add(l.barrierTime()) }
 
-func (l *Ledger) barrierTime() time.Duration { return l.options.OfferLife + l.options.MaxClockSkew }
+func (l *Ledger) barrierTime() time.Duration { return l.options.OfferTTL + l.options.MaxClockSkew }
 
 // unknownForKey says whether a refusal leaves open what an earlier submission
 // of the key did. A restarted daemon has lost its ledger, so a key that was sent
