--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -13,8 +13,8 @@
 	// same key, here or at another entry; such a request stays at its home.
 	KeyFromCaller bool
 	Deadline      time.Time
-	// OfferLife bounds how long an offer may be under way.
-	OfferLife time.Duration
+	// OfferTTL bounds how long an offer may be under way.
+	OfferTTL time.Duration
 	// MaxAttempts bounds the attempts of the request.
 	MaxAttempts int
 	// MaxResumes bounds how often a lost stream is opened again.
@@ -71,8 +71,8 @@
 
 // NewRequest returns a request that waits for Begun.
 func NewRequest(options RequestOptions) *Request {
-	if options.OfferLife == 0 {
-		options.OfferLife = DefaultOfferLife
+	if options.OfferTTL == 0 {
+		options.OfferTTL = DefaultOfferLife
 	}
 	if options.MaxAttempts == 0 {
 		options.MaxAttempts = DefaultMaxAttempts
@@ -133,7 +133,7 @@
 	r.target = target
 	r.check = NewFrameChecker(r.options.ID, r.attempt)
 	r.asked = now
-	r.expires = now.Add(r.options.OfferLife)
+	r.expires = now.Add(r.options.OfferTTL)
 	if r.options.Deadline.Before(r.expires) {
 		r.expires = r.options.Deadline
 	}
@@ -180,7 +180,7 @@
 // its word; an answer that was under way for longer may have been overtaken by
 // a run of a later submission.
 func (r *Request) vouched(now time.Time) evidence {
-	if now.Sub(r.asked) > r.options.OfferLife {
+	if now.Sub(r.asked) > r.options.OfferTTL {
 		return deduced
 	}
 	return vouched
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -53,7 +53,7 @@
 	{"key barrier after a refusal or cancel", "core/execution/record.go", "now.Before(until) {\n		return &Refusal{Code: CodeKeyBarred", "false {\n		return &Refusal{Code: CodeKeyBarred", execution, explorer},
 	{"unknown for a restarted home", "core/execution/record.go", "	case CodeWrongIncarnation, CodeKeyTooOld", "	case CodeKeyTooOld", execution, explorer},
 	{"a copy is answered no better", "core/execution/ledger.go", "	case known.phase == Tombstoned && !known.unsure:", "	case known.phase == Tombstoned:", execution, explorer},
-	{"old answers are not believed", "core/execution/request.go", "	if now.Sub(r.asked) > r.options.OfferLife {", "	if false {", execution, explorer},
+	{"old answers are not believed", "core/execution/request.go", "	if now.Sub(r.asked) > r.options.OfferTTL {", "	if false {", execution, explorer},
 	{"offer expiry", "core/execution/ledger.go", "	case !now.Before(offer.Expires):", "	case false:", execution, explorer},
 	{"a request that may not be repeated is not", "core/execution/request.go", "	again := r.options.Repeatable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
 	{"an earlier run is remembered", "core/execution/request.go", "	if outcome == NotRun && r.ran != 0 {", "	if false {", execution, explorer},
