--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -50,7 +50,7 @@
 		Retention:      10 * time.Minute,
 		MaxClockSkew: 2 * time.Second,
 		OfferLease:     5 * time.Second,
-		OfferTTL:      DefaultOfferLife,
+		OfferTTL:      DefaultOfferTTL,
 		StreamLease:    5 * time.Second,
 		MaxKeys:        100_000,
 		MaxAnswer:      16 << 10,
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -20,7 +20,7 @@
 func full() *Refusal { return &Refusal{Code: CodeQueueFull, RetryAfter: time.Second} }
 
 func offerAt(now time.Time, attempt string, key Key) Offer {
-	return Offer{Attempt: AttemptID(attempt), Request: "r", Target: "a#1", Workspace: "w", Key: key, Expires: now.Add(DefaultOfferLife)}
+	return Offer{Attempt: AttemptID(attempt), Request: "r", Target: "a#1", Workspace: "w", Key: key, Expires: now.Add(DefaultOfferTTL)}
 }
 
 // A key is refused with the code that says what its caller may still hope for.
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -30,7 +30,7 @@
 
 // Defaults of RequestOptions.
 const (
-	DefaultOfferLife   = 3 * time.Second
+	DefaultOfferTTL   = 3 * time.Second
 	DefaultMaxAttempts = 4
 	DefaultMaxResumes  = 2
 )
@@ -72,7 +72,7 @@
 // NewRequest returns a request that waits for Begun.
 func NewRequest(options RequestOptions) *Request {
 	if options.OfferTTL == 0 {
-		options.OfferTTL = DefaultOfferLife
+		options.OfferTTL = DefaultOfferTTL
 	}
 	if options.MaxAttempts == 0 {
 		options.MaxAttempts = DefaultMaxAttempts
