--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -40,8 +40,8 @@
 	StreamLease time.Duration
 	// MaxKeys bounds the number of ledger records.
 	MaxKeys int
-	// MaxAnswer is the longest answer that is kept for resends, in bytes.
-	MaxAnswer int
+	// MaxAnswerBytes is the longest answer that is kept for resends, in bytes.
+	MaxAnswerBytes int
 }
 
 // DefaultLedgerOptions returns the bounds used when the settings name none.
@@ -53,7 +53,7 @@
 		OfferTTL:      DefaultOfferTTL,
 		StreamLease:    5 * time.Second,
 		MaxKeys:        100_000,
-		MaxAnswer:      16 << 10,
+		MaxAnswerBytes:      16 << 10,
 	}
 }
 
@@ -278,7 +278,7 @@
 		return
 	}
 	record.Outcome = outcome
-	if len(answer.Body) <= l.options.MaxAnswer {
+	if len(answer.Body) <= l.options.MaxAnswerBytes {
 		record.Answer = answer
 		record.Answer.Kept = outcome == Finished
 	}
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -92,7 +92,7 @@
 	h.incarnation++
 	h.running = nil
 	options := LedgerOptions{Server: h.name, Incarnation: h.target(), StartedAt: now, Retention: exploreRetention, MaxClockSkew: exploreAllowance,
-		OfferLease: 5 * time.Second, OfferTTL: exploreLife, StreamLease: 5 * time.Second, MaxKeys: 10, MaxAnswer: 10}
+		OfferLease: 5 * time.Second, OfferTTL: exploreLife, StreamLease: 5 * time.Second, MaxKeys: 10, MaxAnswerBytes: 10}
 	h.ledger = NewLedger(options, h.homes)
 }
 
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -131,7 +131,7 @@
 	}
 	r.writer.Write(data, head.ContentType, head.Status)
 	if !r.offer.Key.None() {
-		r.keep.add(head, data, s.options.Backend.Ledger.MaxAnswer)
+		r.keep.add(head, data, s.options.Backend.Ledger.MaxAnswerBytes)
 	}
 	r.signal()
 	s.mu.Unlock()
