--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -118,11 +118,11 @@
 	// barriers hold, for keys that were refused as not run, until when no
 	// offer of the key is accepted.
 	barriers map[string]time.Time
-	homes    Homes
+	homes    HomeChecker
 }
 
-// Homes says whether this server may run a key made by a caller.
-type Homes interface {
+// HomeChecker says whether this server may run a key made by a caller.
+type HomeChecker interface {
 	// Check returns nil if it may, and the refusal otherwise. made is the
 	// key's time, allowance the bound on clock differences.
 	Check(service, key string, made time.Time, allowance time.Duration) *Refusal
@@ -130,7 +130,7 @@
 
 // NewLedger returns an empty ledger. homes may be nil where no caller-made
 // keys are taken.
-func NewLedger(options LedgerOptions, homes Homes) *Ledger {
+func NewLedger(options LedgerOptions, homes HomeChecker) *Ledger {
 	return &Ledger{options: options, homes: homes, attempts: map[AttemptID]*attempt{}, open: map[AttemptID]*attempt{},
 		records: map[string]*Record{}, barriers: map[string]time.Time{}}
 }
