--- a/core/execution/leases.go
+++ b/core/execution/leases.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Lapsed is an attempt whose lease has run out.
-type Lapsed struct {
+// ExpiredLease is an attempt whose lease has run out.
+type ExpiredLease struct {
 	Attempt AttemptID
 	// StopRun is set when the attempt was running: its run is to be stopped
 	// and reported by Finish. Otherwise it did not run; its place is free.
@@ -35,26 +35,26 @@
 // Tick ends what has outlived its lease and forgets what is past its retention.
 // A run that lost its caller would otherwise hold an engine's memory until its
 // natural end.
-func (l *Ledger) Tick(now time.Time) []Lapsed {
-	var lapsed []Lapsed
+func (l *Ledger) Tick(now time.Time) []ExpiredLease {
+	var lapsed []ExpiredLease
 	for id, a := range l.open {
 		switch {
 		case a.lease.IsZero() || !now.After(a.lease):
 		case a.phase == Running:
 			if !a.stopping {
 				a.stopping = true
-				lapsed = append(lapsed, Lapsed{Attempt: id, StopRun: true})
+				lapsed = append(lapsed, ExpiredLease{Attempt: id, StopRun: true})
 			}
 		default:
 			l.bury(now, id, a)
-			lapsed = append(lapsed, Lapsed{Attempt: id})
+			lapsed = append(lapsed, ExpiredLease{Attempt: id})
 		}
 	}
 	if !now.Before(l.sweepAt) {
 		l.sweepAt = now.Add(sweepInterval)
 		l.forget(now)
 	}
-	slices.SortFunc(lapsed, func(a, b Lapsed) int { return cmp.Compare(a.Attempt, b.Attempt) })
+	slices.SortFunc(lapsed, func(a, b ExpiredLease) int { return cmp.Compare(a.Attempt, b.Attempt) })
 	return lapsed
 }
 
