--- a/core/execution/leases.go
+++ b/core/execution/leases.go
@@ -17,7 +17,7 @@
 // if the attempt has no answer to give here.
 func (l *Ledger) Attach(id AttemptID) bool {
 	a, ok := l.attempts[id]
-	if !ok || a.phase == Offered || a.phase == Tombstoned {
+	if !ok || a.phase == Reserved || a.phase == Tombstoned {
 		return false
 	}
 	a.lease = time.Time{}
--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -8,8 +8,8 @@
 type Phase uint8
 
 const (
-	// Offered: a place is reserved, nothing runs.
-	Offered Phase = iota + 1
+	// Reserved: a place is reserved, nothing runs.
+	Reserved Phase = iota + 1
 	// Queued: the stream is open, the attempt waits for dispatch.
 	Queued
 	// Running: the engine or service has been asked.
@@ -170,7 +170,7 @@
 	if refusal := capacity(); refusal != nil {
 		return l.tombstone(now, offer, refusal)
 	}
-	a := &attempt{phase: Offered, key: l.recordKey(offer), lease: now.Add(l.options.OfferLease)}
+	a := &attempt{phase: Reserved, key: l.recordKey(offer), lease: now.Add(l.options.OfferLease)}
 	l.attempts[offer.Attempt], l.open[offer.Attempt] = a, a
 	if !offer.Key.None() {
 		l.records[l.recordKey(offer)] = &Record{Attempt: offer.Attempt, Fingerprint: offer.Key.Fingerprint, created: now}
@@ -236,7 +236,7 @@
 		l.attempts[id] = a
 	}
 	switch a.phase {
-	case Offered:
+	case Reserved:
 		a.phase = Queued
 		a.lease = time.Time{}
 		return 0, nil
@@ -316,7 +316,7 @@
 		l.attempts[request.Attempt] = a
 	}
 	switch a.phase {
-	case Offered, Queued:
+	case Reserved, Queued:
 		l.bury(now, request.Attempt, a)
 		return CancelResult{Outcome: NotRun}
 	case Running:
