--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -7,7 +7,7 @@
 // RequestOptions describe one request at an entry.
 type RequestOptions struct {
 	ID         RequestID
-	Repeatable bool
+	Retryable bool
 	Key        Key
 	// KeyFromCaller says that the caller may resend the request under the
 	// same key, here or at another entry; such a request stays at its home.
@@ -316,7 +316,7 @@
 		return r.retryNotRun(now, cause, r.vouched(now))
 	}
 	mixed := r.delivered && !r.options.Buffered
-	again := r.options.Repeatable && !r.ending && !mixed && r.options.Key.None() &&
+	again := r.options.Retryable && !r.ending && !mixed && r.options.Key.None() &&
 		r.attempts < r.options.MaxAttempts && now.Before(r.options.Deadline)
 	r.ran = max(r.ran, outcome)
 	if !again || !r.options.TakeRetry(now) {
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(1000, 0)
 	ends := EntryStopping{Refusal{Code: CodeDraining}}
 	waiting := func() *Request {
-		r := NewRequest(RequestOptions{ID: "r", Repeatable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
+		r := NewRequest(RequestOptions{ID: "r", Retryable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
 			TakeRetry: func(time.Time) bool { return true }})
 		r.Step(now, RequestStarted{})
 		r.Step(now, Picked{Target{Server: "s"}})
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -122,7 +122,7 @@
 		}
 		w.submissions = append(w.submissions, s)
 		s.request = NewRequest(RequestOptions{ID: RequestID(fmt.Sprintf("r%d", i)), Key: s.key, KeyFromCaller: sc.key != nil,
-			Repeatable: sc.repeatable, Deadline: w.now.Add(time.Hour), OfferTTL: exploreLife, MaxAttempts: 2, MaxResumes: 1,
+			Retryable: sc.repeatable, Deadline: w.now.Add(time.Hour), OfferTTL: exploreLife, MaxAttempts: 2, MaxResumes: 1,
 			TakeRetry: func(time.Time) bool { return true }})
 	}
 	return w
--- a/entry/server/completions.go
+++ b/entry/server/completions.go
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	t := s.newTask(c, key, home)
-	t.options.Repeatable = kind.Repeatable
+	t.options.Retryable = kind.Repeatable
 	t.path, t.content, t.method = c.r.URL.Path, "application/json", http.MethodPost
 	t.offer.Kind, t.offer.Hall, t.offer.LengthClass = name, kind.Hall, class
 	t.offer.PromptTokens, t.offer.AnswerTokens, t.offer.Prefix = tokens, answer, prompt.prefix
--- a/entry/server/services.go
+++ b/entry/server/services.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	t := s.newTask(c, key, home)
-	t.options.Repeatable, t.options.Deadline = service.Repeatable, deadline
+	t.options.Retryable, t.options.Deadline = service.Repeatable, deadline
 	t.offer.Service, t.offer.DeadlineUnixMs, t.offer.PromptTokens = name, deadline.UnixMilli(), 1
 	t.query.Pool, t.query.PromptTokens = config.ServicePool(name), 1
 	t.path, t.method, t.content = path, http.MethodPost, c.r.Header.Get("Content-Type")
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -226,7 +226,7 @@
 		s.query = routing.Query{Pool: config.ServicePool(request.Service), PromptTokens: 1}
 	}
 	s.core = execution.NewRequest(execution.RequestOptions{
-		ID: s.id, Repeatable: request.Repeatable, Buffered: request.Buffered, Key: request.Key, KeyFromCaller: !request.Key.None(),
+		ID: s.id, Retryable: request.Repeatable, Buffered: request.Buffered, Key: request.Key, KeyFromCaller: !request.Key.None(),
 		Deadline: l.Now.Add(request.Deadline), MaxResumes: execution.DefaultMaxResumes,
 		NewAttempt: func() execution.AttemptID {
 			id := execution.AttemptID(fmt.Sprintf("%s/a%d", s.id, len(s.Attempts)+1))
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -55,7 +55,7 @@
 	{"a copy is answered no better", "core/execution/ledger.go", "	case known.phase == Tombstoned && !known.unsure:", "	case known.phase == Tombstoned:", execution, explorer},
 	{"old answers are not believed", "core/execution/request.go", "	if now.Sub(r.asked) > r.options.OfferTTL {", "	if false {", execution, explorer},
 	{"offer expiry", "core/execution/ledger.go", "	case !now.Before(offer.Expires):", "	case false:", execution, explorer},
-	{"a request that may not be repeated is not", "core/execution/request.go", "	again := r.options.Repeatable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
+	{"a request that may not be repeated is not", "core/execution/request.go", "	again := r.options.Retryable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
 	{"an earlier run is remembered", "core/execution/request.go", "	if outcome == NotRun && r.ran != 0 {", "	if false {", execution, explorer},
 	{"key older than the ledger", "core/execution/record.go", "	if made.Before(l.options.StartedAt.Add(allowance)) {", "	if false {", execution, "TestLedger"},
 	{"key older than its retention", "core/execution/record.go", "	if now.Sub(made) > l.options.Retention-allowance {", "	if false {", execution, "TestLedger"},
