--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Repeat says what may be done with a request that may already have run.
-type Repeat string
+// RetryPolicy says what may be done with a request that may already have run.
+type RetryPolicy string
 
 // What may be repeated.
 const (
 	// Never: at most one run.
-	Never Repeat = "never"
+	Never RetryPolicy = "never"
 	// Always: idempotent; any number of runs.
-	Always Repeat = "always"
+	Always RetryPolicy = "always"
 	// Resumable: a run may be continued on another server after the last event
 	// that was delivered.
-	Resumable Repeat = "resumable"
+	Resumable RetryPolicy = "resumable"
 )
 
 // ForwardOptions describe a request that goes straight to a backend server, in
 // one step and without a host daemon that could vouch for anything.
 type ForwardOptions struct {
-	Repeat Repeat
+	Repeat RetryPolicy
 	// MaxAttempts is how many servers the request may be sent to.
 	MaxAttempts int
 	// MaxUnsent is how many tries may fail before anything was sent.
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -10,7 +10,7 @@
 
 var forwardStart = time.Unix(1000, 0)
 
-func forward(repeat Repeat, attempts int, retries *int) *Forward {
+func forward(repeat RetryPolicy, attempts int, retries *int) *Forward {
 	return NewForward(ForwardOptions{Repeat: repeat, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
 		TakeRetry: func(time.Time) bool {
 			*retries--
@@ -79,7 +79,7 @@
 // that is only idempotent must not be begun anew, because its caller would get the
 // pieces of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[Repeat]bool{Resumable: true, Always: false, Never: false} {
+	for repeat, again := range map[RetryPolicy]bool{Resumable: true, Always: false, Never: false} {
 		retries := 5
 		f := forward(repeat, 2, &retries)
 		f.Sending()
@@ -100,7 +100,7 @@
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
-		repeat := rapid.SampledFrom([]Repeat{Never, Always, Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]RetryPolicy{Never, Always, Resumable}).Draw(t, "repeat")
 		f := forward(repeat, rapid.IntRange(1, 4).Draw(t, "attempts"), &retries)
 		mayHaveRun := 0
 		for {
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -19,7 +19,7 @@
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 	// Repeat is what may be done with a request that may already have run.
-	Repeat execution.Repeat `json:"repeat"`
+	Repeat execution.RetryPolicy `json:"repeat"`
 	// Streaming says that answers are series of events.
 	Streaming bool `json:"streaming,omitempty"`
 	// Timeout bounds a request from its arrival to the end of its answer.
