--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -19,7 +19,7 @@
 // ForwardOptions describe a request that goes straight to a backend server, in
 // one step and without a host daemon that could vouch for anything.
 type ForwardOptions struct {
-	Repeat RetryPolicy
+	RetryPolicy RetryPolicy
 	// MaxAttempts is how many servers the request may be sent to.
 	MaxAttempts int
 	// MaxUnsent is how many tries may fail before anything was sent.
@@ -105,7 +105,7 @@
 // MayMove says whether the try under way may be broken off for one on another server,
 // though it may have run: the request has to bear another run and another server.
 func (f *Forward) MayMove() bool {
-	return f.options.Repeat != Never && f.sent+1 < f.options.MaxAttempts
+	return f.options.RetryPolicy != Never && f.sent+1 < f.options.MaxAttempts
 }
 
 // Sending notes that the request is about to be sent. From here on it may have
@@ -125,7 +125,7 @@
 		return f.again(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
 	case ForwardFailed:
 		f.maybeRan = true
-		may := f.options.Repeat == Always
+		may := f.options.RetryPolicy == Always
 		return f.again(now, may && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.Answer)
 	}
 	f.maybeRan = true
@@ -136,7 +136,7 @@
 // An idempotent answer that has begun to go out can't be begun anew, because two
 // runs would be joined; a resumable one goes on after its last event.
 func (f *Forward) mayRepeat(result ForwardResult) bool {
-	switch f.options.Repeat {
+	switch f.options.RetryPolicy {
 	case Always:
 		return !result.Delivered
 	case Resumable:
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -11,7 +11,7 @@
 var forwardStart = time.Unix(1000, 0)
 
 func forward(repeat RetryPolicy, attempts int, retries *int) *Forward {
-	return NewForward(ForwardOptions{Repeat: repeat, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
+	return NewForward(ForwardOptions{RetryPolicy: repeat, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
 		TakeRetry: func(time.Time) bool {
 			*retries--
 			return *retries >= 0
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -16,7 +16,7 @@
 func (e *exchange) run() {
 	e.draw = e.s.random01()
 	e.service = e.table.Service(e.route.Choose(e.draw))
-	e.core = execution.NewForward(execution.ForwardOptions{Repeat: e.route.Repeat, MaxAttempts: e.route.MaxAttempts, Deadline: e.deadline,
+	e.core = execution.NewForward(execution.ForwardOptions{RetryPolicy: e.route.Repeat, MaxAttempts: e.route.MaxAttempts, Deadline: e.deadline,
 		TakeRetry: func(now time.Time) bool { return e.paid.Swap(false) || e.s.takeRetry(now, e.service.Name) }})
 	e.s.countRequest(e.service.Name)
 	ctx, cancel := e.context()
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -14,7 +14,7 @@
 var forwardingMutations = []mutation{
 	{"what may have run is never called not run", "core/execution/forward.go", "	f.maybeRan = true\n	return f.again(now, f.mayRepeat(result)", "	return f.again(now, f.mayRepeat(result)", execution, "TestNotRunIsAlwaysTrue|TestAnOrder"},
 	{"a failed run is never called not run", "core/execution/forward.go", "		f.maybeRan = true\n		may := ", "		may := ", execution, "TestNotRunIsAlwaysTrue"},
-	{"only an idempotent failure is repeated", "core/execution/forward.go", "		may := f.options.Repeat == Always", "		may := true", execution, "TestNotRunIsAlwaysTrue"},
+	{"only an idempotent failure is repeated", "core/execution/forward.go", "		may := f.options.RetryPolicy == Always", "		may := true", execution, "TestNotRunIsAlwaysTrue"},
 	{"a non-idempotent request is not repeated", "core/execution/forward.go", "		return true\n	}\n	return false\n", "		return true\n	}\n	return true\n", gatewayPkg, "TestAnOrderWhose"},
 	{"two runs are not joined", "core/execution/forward.go", "		return !result.Delivered", "		return true", execution, "TestADeliveredPart"},
 	{"the route's attempts bound the servers", "core/execution/forward.go", "		return f.again(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)\n	case ForwardFailed", "		return f.again(now, f.options.TakeRetry(now), false)\n	case ForwardFailed", execution, "TestWhatAServerSays"},
