--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -7,8 +7,8 @@
 
 // What may be repeated.
 const (
-	// Never: at most one run.
-	Never RetryPolicy = "never"
+	// RetryNever: at most one run.
+	RetryNever RetryPolicy = "never"
 	// Always: idempotent; any number of runs.
 	Always RetryPolicy = "always"
 	// Resumable: a run may be continued on another server after the last event
@@ -105,7 +105,7 @@
 // MayMove says whether the try under way may be broken off for one on another server,
 // though it may have run: the request has to bear another run and another server.
 func (f *Forward) MayMove() bool {
-	return f.options.RetryPolicy != Never && f.sent+1 < f.options.MaxAttempts
+	return f.options.RetryPolicy != RetryNever && f.sent+1 < f.options.MaxAttempts
 }
 
 // Sending notes that the request is about to be sent. From here on it may have
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -27,7 +27,7 @@
 // pensioner twice, and "not run" could be false.
 func TestAnOrderThatMayHaveRunIsNeitherRepeatedNorCalledNotRun(t *testing.T) {
 	retries := 5
-	f := forward(Never, 3, &retries)
+	f := forward(RetryNever, 3, &retries)
 	f.Sending()
 	step := f.Ended(forwardStart, broken("a"))
 	require.False(t, step.Again)
@@ -37,7 +37,7 @@
 
 func TestWhatAServerSaysItDidNotRunMayGoElsewhere(t *testing.T) {
 	retries := 5
-	f := forward(Never, 2, &retries)
+	f := forward(RetryNever, 2, &retries)
 	f.Sending()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Again)
 	require.Equal(t, []string{"a"}, f.Excluded())
@@ -59,7 +59,7 @@
 
 func TestAServerThatCanNotBeReachedCostsNoAttempt(t *testing.T) {
 	retries := 0
-	f := forward(Never, 1, &retries)
+	f := forward(RetryNever, 1, &retries)
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Again)
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Again)
 	step := f.Ended(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
@@ -79,7 +79,7 @@
 // that is only idempotent must not be begun anew, because its caller would get the
 // pieces of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[RetryPolicy]bool{Resumable: true, Always: false, Never: false} {
+	for repeat, again := range map[RetryPolicy]bool{Resumable: true, Always: false, RetryNever: false} {
 		retries := 5
 		f := forward(repeat, 2, &retries)
 		f.Sending()
@@ -100,7 +100,7 @@
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
-		repeat := rapid.SampledFrom([]RetryPolicy{Never, Always, Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, Always, Resumable}).Draw(t, "repeat")
 		f := forward(repeat, rapid.IntRange(1, 4).Draw(t, "attempts"), &retries)
 		mayHaveRun := 0
 		for {
@@ -118,7 +118,7 @@
 			if step.Conclusion != nil && step.Conclusion.Outcome == NotRun && mayHaveRun > 0 {
 				t.Fatal("called not run although a try may have run")
 			}
-			if repeat == Never && mayHaveRun > 1 {
+			if repeat == RetryNever && mayHaveRun > 1 {
 				t.Fatal("ran twice")
 			}
 			return
--- a/core/routes/table_test.go
+++ b/core/routes/table_test.go
@@ -11,7 +11,7 @@
 
 func definition() Definition {
 	route := func(name, host, prefix string) Route {
-		return Route{Name: name, Host: host, Prefix: prefix, Repeat: execution.Never, Timeout: time.Second, MaxAttempts: 1,
+		return Route{Name: name, Host: host, Prefix: prefix, Repeat: execution.RetryNever, Timeout: time.Second, MaxAttempts: 1,
 			Shares: []Share{{Service: "orders", Weight: 1}}}
 	}
 	return Definition{
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -169,5 +169,5 @@
 	{"a bare 503 promises nothing", "platform/messages.go", "answer.Misdirected || h.Get(headerNotRun) != \"\"", "true", platformPkg, "TestAnswersAreJudged"},
 	{"all pages are read", "platform/store.go", "		if !page.HasMore || last == \"\" || last == after {", "		if true {", platformPkg, "TestAllPages"},
 	{"a bad row does not hide the others", "platform/store.go", "			c.Rejected = append(c.Rejected, Rejection{Server: id, Revision: row.Revision, Err: err})\n			return\n		}\n		c.Servers", "			panic(err)\n		}\n		c.Servers", platformPkg, "TestABadRow"},
-	{"a kind that is not known is not repeated", "platform/configuration.go", "	return execution.Never\n", "	return execution.Always\n", platformPkg, "TestConfigurationIsDecoded"},
+	{"a kind that is not known is not repeated", "platform/configuration.go", "	return execution.RetryNever\n", "	return execution.Always\n", platformPkg, "TestConfigurationIsDecoded"},
 }
