--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -9,8 +9,8 @@
 const (
 	// RetryNever: at most one run.
 	RetryNever RetryPolicy = "never"
-	// Always: idempotent; any number of runs.
-	Always RetryPolicy = "always"
+	// RetryAlways: idempotent; any number of runs.
+	RetryAlways RetryPolicy = "always"
 	// Resumable: a run may be continued on another server after the last event
 	// that was delivered.
 	Resumable RetryPolicy = "resumable"
@@ -125,7 +125,7 @@
 		return f.again(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
 	case ForwardFailed:
 		f.maybeRan = true
-		may := f.options.RetryPolicy == Always
+		may := f.options.RetryPolicy == RetryAlways
 		return f.again(now, may && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.Answer)
 	}
 	f.maybeRan = true
@@ -137,7 +137,7 @@
 // runs would be joined; a resumable one goes on after its last event.
 func (f *Forward) mayRepeat(result ForwardResult) bool {
 	switch f.options.RetryPolicy {
-	case Always:
+	case RetryAlways:
 		return !result.Delivered
 	case Resumable:
 		return true
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -51,7 +51,7 @@
 // caller is told at once that nothing ran.
 func TestAnEmptyBudgetEndsTheRequest(t *testing.T) {
 	retries := 0
-	f := forward(Always, 5, &retries)
+	f := forward(RetryAlways, 5, &retries)
 	f.Sending()
 	step := f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
@@ -68,7 +68,7 @@
 
 func TestAnIdempotentFailureIsRepeatedAndThenHandedOn(t *testing.T) {
 	retries := 5
-	f := forward(Always, 2, &retries)
+	f := forward(RetryAlways, 2, &retries)
 	f.Sending()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, Answer: true}).Again)
 	f.Sending()
@@ -79,7 +79,7 @@
 // that is only idempotent must not be begun anew, because its caller would get the
 // pieces of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[RetryPolicy]bool{Resumable: true, Always: false, RetryNever: false} {
+	for repeat, again := range map[RetryPolicy]bool{Resumable: true, RetryAlways: false, RetryNever: false} {
 		retries := 5
 		f := forward(repeat, 2, &retries)
 		f.Sending()
@@ -91,7 +91,7 @@
 
 func TestNothingIsTriedPastTheDeadline(t *testing.T) {
 	retries := 5
-	f := forward(Always, 5, &retries)
+	f := forward(RetryAlways, 5, &retries)
 	require.NotNil(t, f.Ended(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
 }
 
@@ -100,7 +100,7 @@
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
-		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, Always, Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, RetryAlways, Resumable}).Draw(t, "repeat")
 		f := forward(repeat, rapid.IntRange(1, 4).Draw(t, "attempts"), &retries)
 		mayHaveRun := 0
 		for {
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -14,7 +14,7 @@
 var forwardingMutations = []mutation{
 	{"what may have run is never called not run", "core/execution/forward.go", "	f.maybeRan = true\n	return f.again(now, f.mayRepeat(result)", "	return f.again(now, f.mayRepeat(result)", execution, "TestNotRunIsAlwaysTrue|TestAnOrder"},
 	{"a failed run is never called not run", "core/execution/forward.go", "		f.maybeRan = true\n		may := ", "		may := ", execution, "TestNotRunIsAlwaysTrue"},
-	{"only an idempotent failure is repeated", "core/execution/forward.go", "		may := f.options.RetryPolicy == Always", "		may := true", execution, "TestNotRunIsAlwaysTrue"},
+	{"only an idempotent failure is repeated", "core/execution/forward.go", "		may := f.options.RetryPolicy == RetryAlways", "		may := true", execution, "TestNotRunIsAlwaysTrue"},
 	{"a non-idempotent request is not repeated", "core/execution/forward.go", "		return true\n	}\n	return false\n", "		return true\n	}\n	return true\n", gatewayPkg, "TestAnOrderWhose"},
 	{"two runs are not joined", "core/execution/forward.go", "		return !result.Delivered", "		return true", execution, "TestADeliveredPart"},
 	{"the route's attempts bound the servers", "core/execution/forward.go", "		return f.again(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)\n	case ForwardFailed", "		return f.again(now, f.options.TakeRetry(now), false)\n	case ForwardFailed", execution, "TestWhatAServerSays"},
@@ -169,5 +169,5 @@
 	{"a bare 503 promises nothing", "platform/messages.go", "answer.Misdirected || h.Get(headerNotRun) != \"\"", "true", platformPkg, "TestAnswersAreJudged"},
 	{"all pages are read", "platform/store.go", "		if !page.HasMore || last == \"\" || last == after {", "		if true {", platformPkg, "TestAllPages"},
 	{"a bad row does not hide the others", "platform/store.go", "			c.Rejected = append(c.Rejected, Rejection{Server: id, Revision: row.Revision, Err: err})\n			return\n		}\n		c.Servers", "			panic(err)\n		}\n		c.Servers", platformPkg, "TestABadRow"},
-	{"a kind that is not known is not repeated", "platform/configuration.go", "	return execution.RetryNever\n", "	return execution.Always\n", platformPkg, "TestConfigurationIsDecoded"},
+	{"a kind that is not known is not repeated", "platform/configuration.go", "	return execution.RetryNever\n", "	return execution.RetryAlways\n", platformPkg, "TestConfigurationIsDecoded"},
 }
