--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -11,9 +11,9 @@
 	RetryNever RetryPolicy = "never"
 	// RetryAlways: idempotent; any number of runs.
 	RetryAlways RetryPolicy = "always"
-	// Resumable: a run may be continued on another server after the last event
+	// RetryResumable: a run may be continued on another server after the last event
 	// that was delivered.
-	Resumable RetryPolicy = "resumable"
+	RetryResumable RetryPolicy = "resumable"
 )
 
 // ForwardOptions describe a request that goes straight to a backend server, in
@@ -139,7 +139,7 @@
 	switch f.options.RetryPolicy {
 	case RetryAlways:
 		return !result.Delivered
-	case Resumable:
+	case RetryResumable:
 		return true
 	}
 	return false
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -79,7 +79,7 @@
 // that is only idempotent must not be begun anew, because its caller would get the
 // pieces of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[RetryPolicy]bool{Resumable: true, RetryAlways: false, RetryNever: false} {
+	for repeat, again := range map[RetryPolicy]bool{RetryResumable: true, RetryAlways: false, RetryNever: false} {
 		retries := 5
 		f := forward(repeat, 2, &retries)
 		f.Sending()
@@ -100,7 +100,7 @@
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
-		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, RetryAlways, Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, RetryAlways, RetryResumable}).Draw(t, "repeat")
 		f := forward(repeat, rapid.IntRange(1, 4).Draw(t, "attempts"), &retries)
 		mayHaveRun := 0
 		for {
