--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -67,8 +67,8 @@
 
 func (k ForwardKind) String() string { return forwardNames[k] }
 
-// ForwardStep is what to do next.
-type ForwardStep struct {
+// ForwardDecision is what to do next.
+type ForwardDecision struct {
 	// Again asks for a try on a server other than those excluded.
 	Again bool
 	// UseAnswer asks to give the caller the server's own failure.
@@ -114,7 +114,7 @@
 
 // Ended takes in how a try ended. Sending must have been called before unless the
 // try was unsent.
-func (f *Forward) Ended(now time.Time, result ForwardResult) ForwardStep {
+func (f *Forward) Ended(now time.Time, result ForwardResult) ForwardDecision {
 	f.last = result.Refusal
 	f.excluded = append(f.excluded, result.Server)
 	switch result.Kind {
@@ -145,14 +145,14 @@
 	return false
 }
 
-func (f *Forward) again(now time.Time, may, answer bool) ForwardStep {
+func (f *Forward) again(now time.Time, may, answer bool) ForwardDecision {
 	if may && now.Before(f.options.Deadline) {
-		return ForwardStep{Again: true}
+		return ForwardDecision{Again: true}
 	}
 	if answer {
-		return ForwardStep{UseAnswer: true}
+		return ForwardDecision{UseAnswer: true}
 	}
-	return ForwardStep{Conclusion: f.Conclude(f.last)}
+	return ForwardDecision{Conclusion: f.Conclude(f.last)}
 }
 
 // NoServer ends the request because no server is left to try.
