--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -69,8 +69,8 @@
 
 // ForwardDecision is what to do next.
 type ForwardDecision struct {
-	// Again asks for a try on a server other than those excluded.
-	Again bool
+	// Retry asks for a try on a server other than those excluded.
+	Retry bool
 	// UseAnswer asks to give the caller the server's own failure.
 	UseAnswer bool
 	// Conclusion is set where the request is over without an answer.
@@ -147,7 +147,7 @@
 
 func (f *Forward) again(now time.Time, may, answer bool) ForwardDecision {
 	if may && now.Before(f.options.Deadline) {
-		return ForwardDecision{Again: true}
+		return ForwardDecision{Retry: true}
 	}
 	if answer {
 		return ForwardDecision{UseAnswer: true}
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -30,7 +30,7 @@
 	f := forward(RetryNever, 3, &retries)
 	f.Sending()
 	step := f.Ended(forwardStart, broken("a"))
-	require.False(t, step.Again)
+	require.False(t, step.Retry)
 	require.Equal(t, Unknown, step.Conclusion.Outcome)
 	require.Equal(t, 5, retries, "no retry was taken from the budget")
 }
@@ -39,11 +39,11 @@
 	retries := 5
 	f := forward(RetryNever, 2, &retries)
 	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Again)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Retry)
 	require.Equal(t, []string{"a"}, f.Excluded())
 	f.Sending()
 	step := f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
-	require.False(t, step.Again, "it was sent to as many servers as its route allows")
+	require.False(t, step.Retry, "it was sent to as many servers as its route allows")
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
@@ -60,8 +60,8 @@
 func TestAServerThatCanNotBeReachedCostsNoAttempt(t *testing.T) {
 	retries := 0
 	f := forward(RetryNever, 1, &retries)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Again)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Again)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Retry)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Retry)
 	step := f.Ended(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
@@ -70,7 +70,7 @@
 	retries := 5
 	f := forward(RetryAlways, 2, &retries)
 	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, Answer: true}).Again)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, Answer: true}).Retry)
 	f.Sending()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, Answer: true}).UseAnswer)
 }
@@ -85,7 +85,7 @@
 		f.Sending()
 		result := broken("a")
 		result.Delivered = true
-		require.Equal(t, again, f.Ended(forwardStart, result).Again, repeat)
+		require.Equal(t, again, f.Ended(forwardStart, result).Retry, repeat)
 	}
 }
 
@@ -112,7 +112,7 @@
 				mayHaveRun++
 			}
 			step := f.Ended(forwardStart, ForwardResult{Server: "s", Kind: kind})
-			if step.Again {
+			if step.Retry {
 				continue
 			}
 			if step.Conclusion != nil && step.Conclusion.Outcome == NotRun && mayHaveRun > 0 {
