--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -41,9 +41,9 @@
 	Refusal Refusal
 	// Delivered says that a part of the answer has gone out to the caller.
 	Delivered bool
-	// Answer says that a whole answer of the server is at hand, though one that
+	// HasAnswer says that a whole answer of the server is at hand, though one that
 	// tells of a failure; it may be given to the caller.
-	Answer bool
+	HasAnswer bool
 }
 
 // ForwardKind is what is known of a try.
@@ -126,7 +126,7 @@
 	case ForwardFailed:
 		f.maybeRan = true
 		may := f.options.RetryPolicy == RetryAlways
-		return f.again(now, may && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.Answer)
+		return f.again(now, may && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.HasAnswer)
 	}
 	f.maybeRan = true
 	return f.again(now, f.mayRepeat(result) && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -70,9 +70,9 @@
 	retries := 5
 	f := forward(RetryAlways, 2, &retries)
 	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, Answer: true}).Retry)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, HasAnswer: true}).Retry)
 	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, Answer: true}).UseAnswer)
+	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
 }
 
 // A stream breaks after its third event. A resumable one goes on elsewhere; one
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -291,7 +291,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		e.s.serverFailed(server)
 		result := e.ended(ctx, server, execution.ForwardFailed, execution.Refusal{Code: execution.CodeEngineFailed, Detail: response.Status})
-		result.Answer, result.answer = true, held
+		result.HasAnswer, result.answer = true, held
 		return result
 	}
 	held.deliver(e)
