--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -102,9 +102,9 @@
 // Sent returns how many servers the request was sent to.
 func (f *Forward) Sent() int { return f.sent }
 
-// MayMove says whether the try under way may be broken off for one on another server,
+// MayFailOver says whether the try under way may be broken off for one on another server,
 // though it may have run: the request has to bear another run and another server.
-func (f *Forward) MayMove() bool {
+func (f *Forward) MayFailOver() bool {
 	return f.options.RetryPolicy != RetryNever && f.sent+1 < f.options.MaxAttempts
 }
 
