--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -108,9 +108,9 @@
 	return f.options.RetryPolicy != RetryNever && f.sent+1 < f.options.MaxAttempts
 }
 
-// Sending notes that the request is about to be sent. From here on it may have
+// RecordSend notes that the request is about to be sent. From here on it may have
 // run until the server states that it has not.
-func (f *Forward) Sending() { f.sent++ }
+func (f *Forward) RecordSend() { f.sent++ }
 
 // Ended takes in how a try ended. Sending must have been called before unless the
 // try was unsent.
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -28,7 +28,7 @@
 func TestAnOrderThatMayHaveRunIsNeitherRepeatedNorCalledNotRun(t *testing.T) {
 	retries := 5
 	f := forward(RetryNever, 3, &retries)
-	f.Sending()
+	f.RecordSend()
 	step := f.Ended(forwardStart, broken("a"))
 	require.False(t, step.Retry)
 	require.Equal(t, Unknown, step.Conclusion.Outcome)
@@ -38,10 +38,10 @@
 func TestWhatAServerSaysItDidNotRunMayGoElsewhere(t *testing.T) {
 	retries := 5
 	f := forward(RetryNever, 2, &retries)
-	f.Sending()
+	f.RecordSend()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Retry)
 	require.Equal(t, []string{"a"}, f.Excluded())
-	f.Sending()
+	f.RecordSend()
 	step := f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
 	require.False(t, step.Retry, "it was sent to as many servers as its route allows")
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
@@ -52,7 +52,7 @@
 func TestAnEmptyBudgetEndsTheRequest(t *testing.T) {
 	retries := 0
 	f := forward(RetryAlways, 5, &retries)
-	f.Sending()
+	f.RecordSend()
 	step := f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
@@ -69,9 +69,9 @@
 func TestAnIdempotentFailureIsRepeatedAndThenHandedOn(t *testing.T) {
 	retries := 5
 	f := forward(RetryAlways, 2, &retries)
-	f.Sending()
+	f.RecordSend()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, HasAnswer: true}).Retry)
-	f.Sending()
+	f.RecordSend()
 	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
 }
 
@@ -82,7 +82,7 @@
 	for repeat, again := range map[RetryPolicy]bool{RetryResumable: true, RetryAlways: false, RetryNever: false} {
 		retries := 5
 		f := forward(repeat, 2, &retries)
-		f.Sending()
+		f.RecordSend()
 		result := broken("a")
 		result.Delivered = true
 		require.Equal(t, again, f.Ended(forwardStart, result).Retry, repeat)
@@ -106,7 +106,7 @@
 		for {
 			kind := rapid.SampledFrom([]ForwardKind{ForwardUnsent, ForwardNotExecuted, ForwardFailed, ForwardBroken}).Draw(t, "kind")
 			if kind != ForwardUnsent {
-				f.Sending()
+				f.RecordSend()
 			}
 			if kind == ForwardFailed || kind == ForwardBroken {
 				mayHaveRun++
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -128,7 +128,7 @@
 		}
 		return e.ended(ctx, server, execution.ForwardUnsent, lostConnection(err.Error()))
 	}
-	e.core.Sending()
+	e.core.RecordSend()
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, context.Canceled):
@@ -246,7 +246,7 @@
 // readAnswer judges the headers of an answer and passes it on.
 func (e *exchange) readAnswer(ctx context.Context, choice placement.Choice, progress *progress, response *http.Response) tryResult {
 	server := choice.Server.Start()
-	e.core.Sending()
+	e.core.RecordSend()
 	answer := platform.ParseAnswer(response.StatusCode, response.Header)
 	if answer.ID != "" && answer.ID != e.info.ID {
 		e.s.serverFailed(server)
