--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -112,9 +112,9 @@
 // run until the server states that it has not.
 func (f *Forward) RecordSend() { f.sent++ }
 
-// Ended takes in how a try ended. Sending must have been called before unless the
+// AttemptEnded takes in how a try ended. Sending must have been called before unless the
 // try was unsent.
-func (f *Forward) Ended(now time.Time, result ForwardResult) ForwardDecision {
+func (f *Forward) AttemptEnded(now time.Time, result ForwardResult) ForwardDecision {
 	f.last = result.Refusal
 	f.excluded = append(f.excluded, result.Server)
 	switch result.Kind {
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -29,7 +29,7 @@
 	retries := 5
 	f := forward(RetryNever, 3, &retries)
 	f.RecordSend()
-	step := f.Ended(forwardStart, broken("a"))
+	step := f.AttemptEnded(forwardStart, broken("a"))
 	require.False(t, step.Retry)
 	require.Equal(t, Unknown, step.Conclusion.Outcome)
 	require.Equal(t, 5, retries, "no retry was taken from the budget")
@@ -39,10 +39,10 @@
 	retries := 5
 	f := forward(RetryNever, 2, &retries)
 	f.RecordSend()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Retry)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Retry)
 	require.Equal(t, []string{"a"}, f.Excluded())
 	f.RecordSend()
-	step := f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
 	require.False(t, step.Retry, "it was sent to as many servers as its route allows")
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
@@ -53,16 +53,16 @@
 	retries := 0
 	f := forward(RetryAlways, 5, &retries)
 	f.RecordSend()
-	step := f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
 func TestAServerThatCanNotBeReachedCostsNoAttempt(t *testing.T) {
 	retries := 0
 	f := forward(RetryNever, 1, &retries)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Retry)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Retry)
-	step := f.Ended(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Retry)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Retry)
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
@@ -70,9 +70,9 @@
 	retries := 5
 	f := forward(RetryAlways, 2, &retries)
 	f.RecordSend()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, HasAnswer: true}).Retry)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, HasAnswer: true}).Retry)
 	f.RecordSend()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
 }
 
 // A stream breaks after its third event. A resumable one goes on elsewhere; one
@@ -85,14 +85,14 @@
 		f.RecordSend()
 		result := broken("a")
 		result.Delivered = true
-		require.Equal(t, again, f.Ended(forwardStart, result).Retry, repeat)
+		require.Equal(t, again, f.AttemptEnded(forwardStart, result).Retry, repeat)
 	}
 }
 
 func TestNothingIsTriedPastTheDeadline(t *testing.T) {
 	retries := 5
 	f := forward(RetryAlways, 5, &retries)
-	require.NotNil(t, f.Ended(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
+	require.NotNil(t, f.AttemptEnded(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
 }
 
 // Whatever the order of results: "not run" is said only if no try that was sent
@@ -111,7 +111,7 @@
 			if kind == ForwardFailed || kind == ForwardBroken {
 				mayHaveRun++
 			}
-			step := f.Ended(forwardStart, ForwardResult{Server: "s", Kind: kind})
+			step := f.AttemptEnded(forwardStart, ForwardResult{Server: "s", Kind: kind})
 			if step.Retry {
 				continue
 			}
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -60,7 +60,7 @@
 			e.conclude(result.conclusion)
 			return
 		}
-		step := e.core.Ended(time.Now(), result.ForwardResult)
+		step := e.core.AttemptEnded(time.Now(), result.ForwardResult)
 		switch {
 		case step.UseAnswer:
 			e.deliverFailure()
