--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -163,9 +163,9 @@
 	return f.Conclude(refusal)
 }
 
-// GiveUp ends the request in the midst of a try; sent says that the try under way
+// Abort ends the request in the midst of a try; sent says that the try under way
 // has been sent, so that it may have run.
-func (f *Forward) GiveUp(refusal Refusal, sent bool) *Conclusion {
+func (f *Forward) Abort(refusal Refusal, sent bool) *Conclusion {
 	f.maybeRan = f.maybeRan || sent
 	return f.Conclude(refusal)
 }
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -38,7 +38,7 @@
 			if ctx.Err() == nil {
 				continue
 			}
-			e.conclude(e.core.GiveUp(e.endedRefusal(ctx), false))
+			e.conclude(e.core.Abort(e.endedRefusal(ctx), false))
 			return
 		}
 		e.keepApart(now, choice)
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -166,7 +166,7 @@
 		return result
 	}
 	result.Refusal = e.endedRefusal(ctx)
-	result.conclusion = e.core.GiveUp(result.Refusal, kind != execution.ForwardUnsent && kind != execution.ForwardNotExecuted)
+	result.conclusion = e.core.Abort(result.Refusal, kind != execution.ForwardUnsent && kind != execution.ForwardNotExecuted)
 	return result
 }
 
