--- a/core/execution/budget.go
+++ b/core/execution/budget.go
@@ -45,8 +45,8 @@
 	return b
 }
 
-// Share sets how many sharers a shared budget is divided among.
-func (b *RetryBudget) Share(sharers int) {
+// SetSharers sets how many sharers a shared budget is divided among.
+func (b *RetryBudget) SetSharers(sharers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.divide(sharers)
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -165,7 +165,7 @@
 // when it hears of them.
 func TestAPartShrinksWithTheSharersThatBecomeKnown(t *testing.T) {
 	b := NewSharedRetryBudget(0, 100, 10*time.Second, 1)
-	b.Share(50)
+	b.SetSharers(50)
 	taken := 0
 	for b.Take(forwardStart) {
 		taken++
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -210,7 +210,7 @@
 func (s *Server) shareBudgets() {
 	size := s.peers.size()
 	for _, budget := range s.budgets {
-		budget.Share(size)
+		budget.SetSharers(size)
 	}
 }
 
