--- a/core/execution/bench_test.go
+++ b/core/execution/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// filledLedger holds ended attempts with keys and short kept answers.
+// filledLedger returns a ledger with that many ended attempts, each with a key and a short kept answer.
 func filledLedger(keys int) (*Ledger, time.Time) {
 	l := testLedger()
 	l.options.MaxKeys = keys * 2
@@ -22,8 +22,8 @@
 	return l, now
 }
 
-// BenchmarkLedger: the whole life of one attempt beside many kept ones, and the
-// bytes that a kept key with an answer of 200 bytes takes.
+// BenchmarkLedger measures one attempt from offer to end in a ledger with many
+// records, and the bytes per record of a key with an answer of 200 bytes.
 func BenchmarkLedger(b *testing.B) {
 	for _, keys := range []int{0, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkLedgerTick: a tick, most of which look at open attempts only, beside
-// many kept ones.
+// BenchmarkLedgerTick measures a tick of a ledger with many records. Most ticks
+// visit open attempts only.
 func BenchmarkLedgerTick(b *testing.B) {
 	for _, keys := range []int{2_000, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
--- a/core/execution/events.go
+++ b/core/execution/events.go
@@ -2,64 +2,65 @@
 
 import "time"
 
-// Event is something that happened to a request. The Event types are Begun,
-// Picked, NoTarget, OfferAnswered, OfferLost, FrameArrived, StreamEnded,
-// CancelAnswered, CancelLost, DeadlinePassed, EntryEnds and CallerGone.
+// Event is an input of Request.Step. The Event types are RequestStarted, Picked,
+// NoTarget, OfferAnswered, OfferLost, FrameArrived, StreamBroken, CancelAnswered,
+// CancelLost, DeadlinePassed, EntryStopping and CallerDisconnected.
 type Event interface{ event() }
 
-func (RequestStarted) event()          {}
-func (Picked) event()         {}
-func (NoTarget) event()       {}
-func (OfferAnswered) event()  {}
-func (OfferLost) event()      {}
-func (FrameArrived) event()   {}
-func (StreamBroken) event()    {}
-func (CancelAnswered) event() {}
-func (CancelLost) event()     {}
-func (DeadlinePassed) event() {}
+func (RequestStarted) event()     {}
+func (Picked) event()             {}
+func (NoTarget) event()           {}
+func (OfferAnswered) event()      {}
+func (OfferLost) event()          {}
+func (FrameArrived) event()       {}
+func (StreamBroken) event()       {}
+func (CancelAnswered) event()     {}
+func (CancelLost) event()         {}
+func (DeadlinePassed) event()     {}
 func (EntryStopping) event()      {}
-func (CallerDisconnected) event()     {}
+func (CallerDisconnected) event() {}
 
 type (
 	// RequestStarted starts the request.
 	RequestStarted struct{}
-	// Picked is routing's choice.
+	// Picked carries the server that routing chose.
 	Picked struct{ Target Target }
-	// NoTarget says that routing has no server left.
+	// NoTarget reports that routing has no server left.
 	NoTarget struct{ Refusal Refusal }
-	// OfferAnswered brings the host's verdict.
+	// OfferAnswered carries the host's verdict.
 	OfferAnswered struct {
 		Attempt AttemptID
 		Result  OfferResult
 	}
-	// OfferLost says that no verdict came. Since an offer runs nothing, the
-	// attempt has not run.
+	// OfferLost reports that no verdict was received. An offer runs nothing, so
+	// the attempt has not run.
 	OfferLost struct{ Attempt AttemptID }
-	// FrameArrived brings one frame of the answer.
+	// FrameArrived carries one frame of the answer.
 	FrameArrived struct{ Frame Frame }
-	// StreamBroken says that the stream broke before its last frame. Sent is
+	// StreamBroken reports that the stream broke before its last frame. Sent is
 	// false if no byte of the run message left this entry.
 	StreamBroken struct {
 		Attempt AttemptID
 		Sent    bool
 	}
-	// CancelAnswered brings the outcome that the host vouches for.
+	// CancelAnswered carries the outcome that the host confirms.
 	CancelAnswered struct {
 		Attempt AttemptID
 		Outcome Outcome
 	}
-	// CancelLost says that no answer to the cancel came.
+	// CancelLost reports that no reply to the cancel was received.
 	CancelLost struct{ Attempt AttemptID }
-	// DeadlinePassed ends the request's time.
+	// DeadlinePassed reports that the request's deadline has passed.
 	DeadlinePassed struct{}
-	// EntryStopping says that this entry ends soon. The second one says that it ends now.
+	// EntryStopping reports that this entry stops soon; the second one, that it
+	// stops now.
 	EntryStopping struct{ Refusal Refusal }
-	// CallerDisconnected says that nobody waits for the answer any more.
+	// CallerDisconnected reports that nobody waits for the answer any more.
 	CallerDisconnected struct{}
 )
 
-// Action is something the adapter has to do. The Action types are Pick,
-// SendOffer, OpenStream, SendCancel, Discard, Deliver and Conclude.
+// Action is an output of Request.Step that the adapter carries out. The Action
+// types are Pick, SendOffer, OpenStream, SendCancel, Discard, Deliver and Conclude.
 type Action interface{ action() }
 
 func (Pick) action()       {}
@@ -79,33 +80,33 @@
 		Target  Target
 		Expires time.Time
 	}
-	// OpenStream opens the attempt's stream, or opens it again at a sequence.
+	// OpenStream opens the attempt's stream, or resumes it from a sequence number.
 	OpenStream struct {
 		Attempt AttemptID
 		Target  Target
 		From    uint64
-		// Resume is set for every opening but the first.
+		// Resume is set for every OpenStream of an attempt but the first.
 		Resume bool
 	}
-	// SendCancel cancels the attempt and waits for the outcome.
+	// SendCancel cancels the attempt and asks for its outcome.
 	SendCancel struct {
 		Attempt AttemptID
 		Target  Target
 		Expires time.Time
 	}
-	// Discard drops what was delivered of a buffered answer.
+	// Discard drops the delivered part of a buffered answer.
 	Discard struct{}
-	// Deliver hands a piece of the answer to the caller.
+	// Deliver passes a frame of the answer to the caller.
 	Deliver struct{ Frame Frame }
-	// Conclude is the one final answer of the request.
+	// Conclude ends the request. It is emitted exactly once.
 	Conclude struct{ Conclusion Conclusion }
 )
 
-// Conclusion is what the caller is told at the end.
+// Conclusion is the final result of a request, as reported to its caller.
 type Conclusion struct {
 	Outcome Outcome
 	Refusal *Refusal
-	// Record is set when the ledger answered in place of a run.
+	// Record is set if the result comes from the ledger's record of an earlier run.
 	Record   *Record
 	Attempts int
 }
--- a/core/execution/explore_test.go
+++ b/core/execution/explore_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The explorer walks every order in which messages are delivered, repeated, lost
-// and overtaken, daemons restart, callers resend and time passes, breadth first,
-// over the real Request and Ledger cores. After each step it checks the
-// specification:
+// The explorer is a breadth-first model checker over the real Request and Ledger
+// state machines. It enumerates the orders in which messages are delivered,
+// duplicated, lost and reordered, daemons restart, callers resend and time passes,
+// and checks the specification after each step:
 //
-//	once      a key, or a request that may not be repeated, runs at most once
-//	truth     what a caller was told is notRun has not run and never does
-//	answered  finished is told only of a run that has ended
+//	once      a key, or a request that is not retryable, runs at most once
+//	truth     a request that was reported as notRun has not run and never does
+//	answered  only a run that has ended is reported as finished
 //
-// A state is the cores, the messages under way and the bounded counters of
-// faults; equal states are visited once.
+// A state consists of the state machines, the messages in flight and the remaining
+// budget of faults; equal states are visited once.
 
 const (
 	exploreAllowance = 2 * time.Second
@@ -29,7 +29,7 @@
 
 var exploreStart = time.Unix(1_000_000, 0)
 
-// exploration is what a walk found.
+// exploration is the result of explore.
 type exploration struct {
 	states, depth int
 	exhausted     bool
@@ -37,7 +37,7 @@
 	trace         []string
 }
 
-// explore walks breadth first up to a number of states.
+// explore searches breadth first up to a number of states.
 func explore(sc scenario, maxStates int) exploration {
 	first := sc.start()
 	frontier := []*world{first}
@@ -76,7 +76,7 @@
 	return Key{ID: "k", Issued: true, Fingerprint: 1, CreatedAt: exploreStart.Add(50 * time.Second)}
 }
 
-// scenarios pair the kinds of requests with sets of faults.
+// scenarios returns all combinations of request kinds and fault budgets.
 func scenarios() []scenario {
 	kinds := []scenario{
 		{name: "no key", servers: 2, submissions: 1},
@@ -110,7 +110,7 @@
 	return all
 }
 
-// maxExploredStates keeps CI short. The variable ARBUTUS_EXPLORE raises it.
+// maxExploredStates bounds the time in CI. The environment variable ARBUTUS_EXPLORE overrides it.
 const maxExploredStates = 8_000
 
 func exploreLimit() int {
@@ -120,9 +120,8 @@
 	return maxExploredStates
 }
 
-// Callers resend, messages are lost, doubled and overtaken, a daemon restarts
-// and time passes, in every order. No caller may ever see a second run or a
-// notRun that is not true.
+// Callers resend, messages are lost, duplicated and reordered, a daemon restarts
+// and time passes, in any order. No caller may see a second run or a false notRun.
 func TestExploreExecution(t *testing.T) {
 	for _, sc := range scenarios() {
 		t.Run(sc.name, func(t *testing.T) {
--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// RetryPolicy says what may be done with a request that may already have run.
+// RetryPolicy selects how a request that may already have run can be retried.
 type RetryPolicy string
 
-// What may be repeated.
+// Retry policies.
 const (
-	// RetryNever: at most one run.
+	// RetryNever: the request may run at most once.
 	RetryNever RetryPolicy = "never"
-	// RetryAlways: idempotent; any number of runs.
+	// RetryAlways: the request is idempotent and may run any number of times.
 	RetryAlways RetryPolicy = "always"
-	// RetryResumable: a run may be continued on another server after the last event
+	// RetryResumable: another server may continue the run after the last event
 	// that was delivered.
 	RetryResumable RetryPolicy = "resumable"
 )
 
-// ForwardOptions describe a request that goes straight to a backend server, in
-// one step and without a host daemon that could vouch for anything.
+// ForwardOptions describes a request that is sent to a backend server directly, in
+// one step and without a host daemon that keeps evidence of its runs.
 type ForwardOptions struct {
 	RetryPolicy RetryPolicy
-	// MaxAttempts is how many servers the request may be sent to.
+	// MaxAttempts bounds the number of servers to which the request is sent.
 	MaxAttempts int
-	// MaxUnsent is how many tries may fail before anything was sent.
+	// MaxUnsent bounds the attempts that fail before anything was sent.
 	MaxUnsent int
 	Deadline  time.Time
-	// TakeRetry takes a token of the budget for sending to a further server.
+	// TakeRetry takes a token of the retry budget and reports whether there was one.
 	TakeRetry func(now time.Time) bool
 }
 
-// DefaultMaxUnsent lets a request pass over three servers that cannot be reached;
-// more would spend its time on a fleet that is gone.
+// DefaultMaxUnsent allows three attempts at servers that cannot be reached; more
+// would spend the request's time on a fleet that is down.
 const DefaultMaxUnsent = 3
 
-// ForwardResult is how one try ended.
+// ForwardResult describes how one attempt ended.
 type ForwardResult struct {
 	Server string
 	Kind   ForwardKind
 	// Refusal is the cause, for logs and for the caller.
 	Refusal Refusal
-	// Delivered says that a part of the answer has gone out to the caller.
+	// Delivered reports that a part of the answer was sent to the caller.
 	Delivered bool
-	// HasAnswer says that a whole answer of the server is at hand, though one that
-	// tells of a failure; it may be given to the caller.
+	// HasAnswer reports that the server's complete answer is available, though it
+	// is an error response; it may be relayed to the caller.
 	HasAnswer bool
 }
 
-// ForwardKind is what is known of a try.
+// ForwardKind classifies the end of an attempt.
 type ForwardKind uint8
 
 const (
@@ -56,9 +56,9 @@
 	ForwardUnsent
 	// ForwardNotExecuted: the server states that it did not and will not run it.
 	ForwardNotExecuted
-	// ForwardFailed: the server ran it and answered with a failure.
+	// ForwardFailed: the server ran it and answered with an error.
 	ForwardFailed
-	// ForwardBroken: it was sent and no whole answer came; it may have run.
+	// ForwardBroken: it was sent and no complete answer was received; it may have run.
 	ForwardBroken
 )
 
@@ -67,28 +67,28 @@
 
 func (k ForwardKind) String() string { return forwardNames[k] }
 
-// ForwardDecision is what to do next.
+// ForwardDecision is the next step after an attempt.
 type ForwardDecision struct {
-	// Retry asks for a try on a server other than those excluded.
+	// Retry asks for an attempt on a server other than those excluded.
 	Retry bool
-	// UseAnswer asks to give the caller the server's own failure.
+	// UseAnswer asks to relay the server's error response to the caller.
 	UseAnswer bool
-	// Conclusion is set where the request is over without an answer.
+	// Conclusion is set if the request ends without an answer.
 	Conclusion *Conclusion
 }
 
-// Forward decides what becomes of a forwarded request. It is pure. Its outcome is
-// NotRun only while no try was sent that could have run.
+// Forward is the state machine of a forwarded request; it does no I/O. Its outcome
+// is NotRun only while no attempt was sent that may have run.
 type Forward struct {
-	options  ForwardOptions
-	sent     int
-	unsent   int
-	maybeRan bool
-	excluded []string
-	last     Refusal
+	options    ForwardOptions
+	sent       int
+	unsent     int
+	mayHaveRun bool
+	excluded   []string
+	last       Refusal
 }
 
-// NewForward returns a request that has not been tried yet.
+// NewForward returns a request without attempts. A MaxUnsent of 0 means DefaultMaxUnsent.
 func NewForward(options ForwardOptions) *Forward {
 	if options.MaxUnsent == 0 {
 		options.MaxUnsent = DefaultMaxUnsent
@@ -96,46 +96,47 @@
 	return &Forward{options: options}
 }
 
-// Excluded returns the servers that were tried in vain.
+// Excluded returns the servers on which an attempt has failed.
 func (f *Forward) Excluded() []string { return f.excluded }
 
-// Sent returns how many servers the request was sent to.
+// Sent returns the number of servers to which the request was sent.
 func (f *Forward) Sent() int { return f.sent }
 
-// MayFailOver says whether the try under way may be broken off for one on another server,
-// though it may have run: the request has to bear another run and another server.
+// MayFailOver reports whether the attempt in progress, which may have run, can be abandoned
+// for one on another server: the policy has to allow another run, and MaxAttempts another server.
 func (f *Forward) MayFailOver() bool {
 	return f.options.RetryPolicy != RetryNever && f.sent+1 < f.options.MaxAttempts
 }
 
-// RecordSend notes that the request is about to be sent. From here on it may have
-// run until the server states that it has not.
+// RecordSend records that the request is about to be sent. From then on it may have
+// run, unless the server states that it has not.
 func (f *Forward) RecordSend() { f.sent++ }
 
-// AttemptEnded takes in how a try ended. Sending must have been called before unless the
-// try was unsent.
+// AttemptEnded records the end of an attempt and returns the next step. RecordSend
+// must have been called before, unless nothing was sent.
 func (f *Forward) AttemptEnded(now time.Time, result ForwardResult) ForwardDecision {
 	f.last = result.Refusal
 	f.excluded = append(f.excluded, result.Server)
 	switch result.Kind {
 	case ForwardUnsent:
 		f.unsent++
-		return f.again(now, f.unsent < f.options.MaxUnsent, false)
+		return f.decide(now, f.unsent < f.options.MaxUnsent, false)
 	case ForwardNotExecuted:
-		return f.again(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
+		return f.decide(now, f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
 	case ForwardFailed:
-		f.maybeRan = true
-		may := f.options.RetryPolicy == RetryAlways
-		return f.again(now, may && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.HasAnswer)
+		f.mayHaveRun = true
+		retry := f.options.RetryPolicy == RetryAlways
+		return f.decide(now, retry && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), result.HasAnswer)
 	}
-	f.maybeRan = true
-	return f.again(now, f.mayRepeat(result) && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
+	f.mayHaveRun = true
+	return f.decide(now, f.mayRetry(result) && f.sent < f.options.MaxAttempts && f.options.TakeRetry(now), false)
 }
 
-// mayRepeat says whether a try that may have run may be followed by another one.
-// An idempotent answer that has begun to go out can't be begun anew, because two
-// runs would be joined; a resumable one goes on after its last event.
-func (f *Forward) mayRepeat(result ForwardResult) bool {
+// mayRetry reports whether an attempt that may have run may be followed by another.
+// An idempotent request can't be retried once a part of its answer was delivered,
+// because the answers of two runs would be joined; a resumable one continues after
+// its last event.
+func (f *Forward) mayRetry(result ForwardResult) bool {
 	switch f.options.RetryPolicy {
 	case RetryAlways:
 		return !result.Delivered
@@ -145,35 +146,35 @@
 	return false
 }
 
-func (f *Forward) again(now time.Time, may, answer bool) ForwardDecision {
-	if may && now.Before(f.options.Deadline) {
+func (f *Forward) decide(now time.Time, retry, hasAnswer bool) ForwardDecision {
+	if retry && now.Before(f.options.Deadline) {
 		return ForwardDecision{Retry: true}
 	}
-	if answer {
+	if hasAnswer {
 		return ForwardDecision{UseAnswer: true}
 	}
 	return ForwardDecision{Conclusion: f.Conclude(f.last)}
 }
 
-// NoServer ends the request because no server is left to try.
+// NoServer ends the request because no server is left for another attempt.
 func (f *Forward) NoServer(refusal Refusal) *Conclusion {
-	if f.last.Code != "" && f.maybeRan {
+	if f.last.Code != "" && f.mayHaveRun {
 		refusal = f.last
 	}
 	return f.Conclude(refusal)
 }
 
-// Abort ends the request in the midst of a try; sent says that the try under way
-// has been sent, so that it may have run.
+// Abort ends the request during an attempt; sent reports that the attempt was sent
+// and may have run.
 func (f *Forward) Abort(refusal Refusal, sent bool) *Conclusion {
-	f.maybeRan = f.maybeRan || sent
+	f.mayHaveRun = f.mayHaveRun || sent
 	return f.Conclude(refusal)
 }
 
-// Conclude gives the final outcome.
+// Conclude returns the final result of the request.
 func (f *Forward) Conclude(refusal Refusal) *Conclusion {
 	outcome := NotRun
-	if f.maybeRan {
+	if f.mayHaveRun {
 		outcome = Unknown
 	}
 	return &Conclusion{Outcome: outcome, Refusal: &refusal, Attempts: f.sent}
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -10,8 +10,8 @@
 
 var forwardStart = time.Unix(1000, 0)
 
-func forward(repeat RetryPolicy, attempts int, retries *int) *Forward {
-	return NewForward(ForwardOptions{RetryPolicy: repeat, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
+func forward(policy RetryPolicy, attempts int, retries *int) *Forward {
+	return NewForward(ForwardOptions{RetryPolicy: policy, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
 		TakeRetry: func(time.Time) bool {
 			*retries--
 			return *retries >= 0
@@ -22,10 +22,10 @@
 	return ForwardResult{Server: server, Kind: ForwardBroken, Refusal: Refusal{Code: CodeConnectionLost}}
 }
 
-// The caller of an order gets an error that promises nothing, at once. Its one try
-// was sent and the connection broke before an answer; a second one could charge a
-// pensioner twice, and "not run" could be false.
-func TestAnOrderThatMayHaveRunIsNeitherRepeatedNorCalledNotRun(t *testing.T) {
+// The only attempt of a non-idempotent request was sent and the connection broke
+// before an answer. A retry could run it twice and NotRun could be false, so the
+// outcome is Unknown at once.
+func TestANonIdempotentRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	retries := 5
 	f := forward(RetryNever, 3, &retries)
 	f.RecordSend()
@@ -47,9 +47,9 @@
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-// Two workers refuse, one after the other, and the budget of retries is empty: the
-// caller is told at once that nothing ran.
-func TestAnEmptyBudgetEndsTheRequest(t *testing.T) {
+// A server refuses the request and the retry budget is empty: the outcome is NotRun
+// without a further attempt.
+func TestAnEmptyRetryBudgetEndsTheRequest(t *testing.T) {
 	retries := 0
 	f := forward(RetryAlways, 5, &retries)
 	f.RecordSend()
@@ -57,7 +57,7 @@
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-func TestAServerThatCanNotBeReachedCostsNoAttempt(t *testing.T) {
+func TestAnUnreachableServerCostsNoAttempt(t *testing.T) {
 	retries := 0
 	f := forward(RetryNever, 1, &retries)
 	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Retry)
@@ -66,7 +66,7 @@
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-func TestAnIdempotentFailureIsRepeatedAndThenHandedOn(t *testing.T) {
+func TestAnIdempotentFailureIsRetriedAndThenRelayed(t *testing.T) {
 	retries := 5
 	f := forward(RetryAlways, 2, &retries)
 	f.RecordSend()
@@ -75,28 +75,28 @@
 	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
 }
 
-// A stream breaks after its third event. A resumable one goes on elsewhere; one
-// that is only idempotent must not be begun anew, because its caller would get the
-// pieces of two runs.
+// A stream breaks after a part of its answer was delivered. A resumable request
+// continues on another server. One that is only idempotent must not be retried,
+// because its caller would get parts of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[RetryPolicy]bool{RetryResumable: true, RetryAlways: false, RetryNever: false} {
+	for policy, retry := range map[RetryPolicy]bool{RetryResumable: true, RetryAlways: false, RetryNever: false} {
 		retries := 5
-		f := forward(repeat, 2, &retries)
+		f := forward(policy, 2, &retries)
 		f.RecordSend()
 		result := broken("a")
 		result.Delivered = true
-		require.Equal(t, again, f.AttemptEnded(forwardStart, result).Retry, repeat)
+		require.Equal(t, retry, f.AttemptEnded(forwardStart, result).Retry, policy)
 	}
 }
 
-func TestNothingIsTriedPastTheDeadline(t *testing.T) {
+func TestNoAttemptAfterTheDeadline(t *testing.T) {
 	retries := 5
 	f := forward(RetryAlways, 5, &retries)
 	require.NotNil(t, f.AttemptEnded(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
 }
 
-// Whatever the order of results: "not run" is said only if no try that was sent
-// ended without the server's word that it did not run it.
+// For any sequence of results the outcome is NotRun only if the servers state of
+// every attempt that was sent that they did not run it.
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
@@ -138,8 +138,8 @@
 	require.LessOrEqual(t, taken, 10, "the burst and ten seconds of refill")
 }
 
-// Hundreds of entries share a budget, and each one's part of what may be spent at once was less than one retry: none of
-// them ever made any. Callers got servers' own failures, and waited for servers that had gone dark, with the budget unspent.
+// With hundreds of sharers the burst of a share would be less than one retry, so that no entry could ever retry:
+// callers got the servers' errors, or waited for unreachable servers, with the budget unspent.
 func TestASmallPartOfABudgetSufficesForARetry(t *testing.T) {
 	const extra, window = 728, 10 * time.Second
 	for _, sharers := range []int{1, 100, 424, 700} {
@@ -161,9 +161,9 @@
 	}
 }
 
-// An entry that has just started knows few others, and takes more of the shared budget than is its part. It gives it up
-// when it hears of them.
-func TestAPartShrinksWithTheSharersThatBecomeKnown(t *testing.T) {
+// An entry that has just started knows few others and takes more than its share of the budget. The share has to shrink
+// once the others are discovered.
+func TestABudgetShareShrinksWhenSharersAreDiscovered(t *testing.T) {
 	b := NewSharedRetryBudget(0, 100, 10*time.Second, 1)
 	b.SetSharers(50)
 	taken := 0
--- a/core/execution/frame.go
+++ b/core/execution/frame.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Frame is one piece of an attempt's answer. Sequence starts at 1. The last
+// Frame carries one piece of an attempt's answer. Sequence starts at 1. The last
 // frame has no payload; it carries the count of payload frames and the checksum
 // of all payloads in order.
 type Frame struct {
@@ -25,23 +25,23 @@
 	RetryAfter  time.Duration
 }
 
-// FrameVerdict is what a FrameChecker found.
+// FrameVerdict is the result of checking one frame.
 type FrameVerdict uint8
 
 const (
-	// FrameNext is the next frame of this answer.
+	// FrameNext: the next frame of this answer.
 	FrameNext FrameVerdict = iota + 1
-	// FrameForeign belongs to another request or attempt: drop it.
+	// FrameForeign: a frame of another request or attempt, to be dropped.
 	FrameForeign
-	// FrameDuplicate was seen before: drop it.
+	// FrameDuplicate: a frame that was received before, to be dropped.
 	FrameDuplicate
-	// FrameCorrupt shows that a part of the answer is missing or altered.
+	// FrameCorrupt: a part of the answer is missing or altered.
 	FrameCorrupt
 )
 
-// FrameChecker lets only the whole, ordered answer of one attempt through. A
-// caller would otherwise see another request's tokens after a crossed stream, or
-// a shortened answer that looks complete after a cut one.
+// FrameChecker accepts only the complete, ordered answer of one attempt. Without
+// it a mixed-up stream would hand a caller another request's tokens, and a
+// truncated one would pass for a complete answer.
 type FrameChecker struct {
 	request RequestID
 	attempt AttemptID
@@ -54,10 +54,10 @@
 	return &FrameChecker{request: request, attempt: attempt, next: 1, sum: xxhash.New()}
 }
 
-// Next returns the sequence of the next frame.
+// Next returns the sequence number of the next expected frame.
 func (c *FrameChecker) Next() uint64 { return c.next }
 
-// Check judges one frame and, if it is the next one, takes it in.
+// Check classifies a frame and, if it is the next one, advances past it.
 func (c *FrameChecker) Check(frame Frame) FrameVerdict {
 	switch {
 	case frame.Request != c.request || frame.Attempt != c.attempt:
@@ -86,7 +86,7 @@
 }
 
 // FrameWriter numbers the frames of one attempt at its host and keeps them, so
-// that a broken stream can go on where it broke.
+// that a broken stream can be resumed where it broke.
 type FrameWriter struct {
 	request RequestID
 	attempt AttemptID
@@ -110,7 +110,7 @@
 		Payload: payload, ContentType: contentType, Status: status})
 }
 
-// End appends the last frame. A second End does nothing.
+// End appends the last frame. Further calls do nothing.
 func (w *FrameWriter) End(outcome Outcome, refusal Refusal) {
 	if w.ended {
 		return
@@ -121,7 +121,8 @@
 		Code: refusal.Code, Detail: refusal.Detail, RetryAfter: refusal.RetryAfter})
 }
 
-// From returns the frames from a sequence on and whether the last is among them.
+// From returns the frames from a sequence number on and reports whether the
+// answer has ended, so that the last frame is among them.
 func (w *FrameWriter) From(sequence uint64) ([]Frame, bool) {
 	if sequence == 0 {
 		sequence = 1
--- a/core/execution/key.go
+++ b/core/execution/key.go
@@ -15,29 +15,29 @@
 
 const issuedPrefix = "ark1."
 
-// ErrInvalidKey is wrapped by every error of ParseKey.
+// ErrInvalidKey is wrapped by every error of Keys.Parse.
 var ErrInvalidKey = errors.New("not a usable Idempotency-Key")
 
-// IssuedKey is a key that an entry gave out. It names its home, so that every
-// entry sends it to the same daemon whatever its view of the fleet.
+// IssuedKey is a key issued by an entry. It names its home server, so that every
+// entry routes it to the same daemon whatever its view of the fleet.
 type IssuedKey struct {
-	Service     string      `json:"s"`
-	Server      string      `json:"h"`
-	Incarnation Incarnation `json:"i"`
-	CreatedUnixMS  int64       `json:"t"`
-	Nonce       string      `json:"n"`
+	Service       string      `json:"s"`
+	Server        string      `json:"h"`
+	Incarnation   Incarnation `json:"i"`
+	CreatedUnixMS int64       `json:"t"`
+	Nonce         string      `json:"n"`
 }
 
-// CreatedAt returns when the key was made.
+// CreatedAt returns the key's creation time.
 func (k IssuedKey) CreatedAt() time.Time { return time.UnixMilli(k.CreatedUnixMS) }
 
-// Keys issues and reads keys with the secret that the daemons share.
+// Keys issues and parses keys that are authenticated with the secret that the daemons share.
 type Keys struct{ secret []byte }
 
-// NewKeys returns the issuer for a secret.
+// NewKeys returns an issuer and parser for a secret.
 func NewKeys(secret []byte) *Keys { return &Keys{secret: secret} }
 
-// Issue writes the key as text, authenticated by the secret.
+// Issue encodes the key as text with a MAC.
 func (k *Keys) Issue(key IssuedKey) string {
 	body, err := json.Marshal(key)
 	if err != nil {
@@ -53,15 +53,15 @@
 	return mac.Sum(nil)[:16]
 }
 
-// ParsedKey is a key as read from a request.
+// ParsedKey is a key parsed from a request; Issued is nil for a key created by the caller.
 type ParsedKey struct {
-	Text   string
-	CreatedAt   time.Time
-	Issued *IssuedKey
+	Text      string
+	CreatedAt time.Time
+	Issued    *IssuedKey
 }
 
-// Parse reads an Idempotency-Key: an issued key, or a UUID of version 7 made by
-// the caller. Errors wrap ErrBadKey.
+// Parse parses an Idempotency-Key: an issued key, or a version 7 UUID created by
+// the caller. Errors wrap ErrInvalidKey.
 func (k *Keys) Parse(text string) (ParsedKey, error) {
 	if strings.HasPrefix(text, issuedPrefix) {
 		return k.parseIssued(text)
--- a/core/execution/leases.go
+++ b/core/execution/leases.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Detach says that the attempt's stream was lost: it goes on for StreamLease.
+// Detach records that the attempt's stream was lost; the attempt continues for StreamLease.
 func (l *Ledger) Detach(now time.Time, id AttemptID) {
 	if a, ok := l.attempts[id]; ok && (a.phase == Queued || a.phase == Running) {
 		a.lease = now.Add(l.options.StreamLease)
 	}
 }
 
-// Attach says that the attempt's stream is connected again. It reports false
-// if the attempt has no answer to give here.
+// Attach records that the attempt's stream is connected again. It reports false
+// if there is no answer of the attempt to resume.
 func (l *Ledger) Attach(id AttemptID) bool {
 	a, ok := l.attempts[id]
 	if !ok || a.phase == Reserved || a.phase == Tombstoned {
@@ -24,49 +24,50 @@
 	return true
 }
 
-// ExpiredLease is an attempt whose lease has run out.
+// ExpiredLease names an attempt whose lease has expired.
 type ExpiredLease struct {
 	Attempt AttemptID
-	// StopRun is set when the attempt was running: its run is to be stopped
-	// and reported by Finish. Otherwise it did not run; its place is free.
+	// StopRun is set if the attempt was running: the caller has to stop the run
+	// and report it to Finish. Otherwise the attempt did not run and its
+	// reservation is released.
 	StopRun bool
 }
 
-// Tick ends what has outlived its lease and forgets what is past its retention.
-// A run that lost its caller would otherwise hold an engine's memory until its
-// natural end.
+// Tick ends attempts whose leases have expired and drops what is past its
+// retention. Without the lease a run whose caller is gone would hold an engine's
+// memory until it completes.
 func (l *Ledger) Tick(now time.Time) []ExpiredLease {
-	var lapsed []ExpiredLease
+	var expired []ExpiredLease
 	for id, a := range l.open {
 		switch {
 		case a.lease.IsZero() || !now.After(a.lease):
 		case a.phase == Running:
 			if !a.stopping {
 				a.stopping = true
-				lapsed = append(lapsed, ExpiredLease{Attempt: id, StopRun: true})
+				expired = append(expired, ExpiredLease{Attempt: id, StopRun: true})
 			}
 		default:
-			l.bury(now, id, a)
-			lapsed = append(lapsed, ExpiredLease{Attempt: id})
+			l.cancelUnstarted(now, id, a)
+			expired = append(expired, ExpiredLease{Attempt: id})
 		}
 	}
 	if !now.Before(l.sweepAt) {
 		l.sweepAt = now.Add(sweepInterval)
-		l.forget(now)
+		l.expire(now)
 	}
-	slices.SortFunc(lapsed, func(a, b ExpiredLease) int { return cmp.Compare(a.Attempt, b.Attempt) })
-	return lapsed
+	slices.SortFunc(expired, func(a, b ExpiredLease) int { return cmp.Compare(a.Attempt, b.Attempt) })
+	return expired
 }
 
-// sweepInterval is the time between two looks for what may be forgotten: a look
-// goes over everything that is kept.
+// sweepInterval is the interval between sweeps for expired entries; a sweep visits
+// every entry.
 const sweepInterval = 5 * time.Second
 
-func (l *Ledger) forget(now time.Time) {
+func (l *Ledger) expire(now time.Time) {
 	for id, a := range l.attempts {
-		if a.phase >= Done && now.After(a.forgetAt) {
+		if a.phase >= Done && now.After(a.expiresAt) {
 			delete(l.attempts, id)
 		}
 	}
-	l.forgetKeys(now)
+	l.expireKeys(now)
 }
--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -4,60 +4,60 @@
 	"time"
 )
 
-// Phase is how far an attempt has come at its host.
+// Phase is the progress of an attempt at its host.
 type Phase uint8
 
 const (
-	// Reserved: a place is reserved, nothing runs.
+	// Reserved: capacity is reserved, nothing runs.
 	Reserved Phase = iota + 1
 	// Queued: the stream is open, the attempt waits for dispatch.
 	Queued
-	// Running: the engine or service has been asked.
+	// Running: the attempt was handed to the engine or service.
 	Running
 	// Done: the outcome is known.
 	Done
-	// Tombstoned: it did not run and never will.
+	// Tombstoned: the attempt did not run and never will.
 	Tombstoned
 )
 
-// LedgerOptions are the bounds of a Ledger.
+// LedgerOptions bounds the memory and the lease times of a Ledger.
 type LedgerOptions struct {
 	Server      string
 	Incarnation Incarnation
-	// StartedAt is when this daemon's ledger began; older keys are not run.
+	// StartedAt is the creation time of this daemon's ledger; older keys are not run.
 	StartedAt time.Time
-	// Retention is how long records and tombstones are kept. It must exceed
-	// the longest life of an offer.
+	// Retention bounds how long records and tombstones are kept. It must exceed
+	// OfferTTL.
 	Retention time.Duration
-	// MaxClockSkew bounds the difference between the clocks of key makers
-	// and this host.
+	// MaxClockSkew bounds the difference between this host's clock and the
+	// clocks of those who create keys.
 	MaxClockSkew time.Duration
-	// OfferLease is how long an accepted offer waits for its stream.
+	// OfferLease bounds the time that an accepted offer waits for its stream.
 	OfferLease time.Duration
-	// OfferTTL is the longest life of an offer that is accepted.
+	// OfferTTL bounds the remaining validity of an offer that is accepted.
 	OfferTTL time.Duration
-	// StreamLease is how long an attempt goes on without a connected stream.
+	// StreamLease bounds the time that an attempt continues without a connected stream.
 	StreamLease time.Duration
-	// MaxKeys bounds the number of ledger records.
+	// MaxKeys bounds the number of records.
 	MaxKeys int
-	// MaxAnswerBytes is the longest answer that is kept for resends, in bytes.
+	// MaxAnswerBytes bounds the size of an answer that is kept for resends.
 	MaxAnswerBytes int
 }
 
-// DefaultLedgerOptions returns the bounds used when the settings name none.
+// DefaultLedgerOptions returns the options used where the settings give none.
 func DefaultLedgerOptions() LedgerOptions {
 	return LedgerOptions{
 		Retention:      10 * time.Minute,
-		MaxClockSkew: 2 * time.Second,
+		MaxClockSkew:   2 * time.Second,
 		OfferLease:     5 * time.Second,
-		OfferTTL:      DefaultOfferTTL,
+		OfferTTL:       DefaultOfferTTL,
 		StreamLease:    5 * time.Second,
 		MaxKeys:        100_000,
-		MaxAnswerBytes:      16 << 10,
+		MaxAnswerBytes: 16 << 10,
 	}
 }
 
-// Offer asks a host to reserve a place for an attempt.
+// Offer asks a host to reserve capacity for an attempt.
 type Offer struct {
 	Attempt   AttemptID
 	Request   RequestID
@@ -65,26 +65,26 @@
 	Workspace string
 	Service   string
 	Key       Key
-	// Expires ends the life of the message: a later copy is refused.
+	// Expires is the end of the message's validity: a later copy is refused.
 	Expires time.Time
 }
 
-// Verdict is the host's answer to an offer.
+// Verdict is the host's reply to an offer.
 type Verdict uint8
 
 const (
-	// Accepted: the place is reserved.
+	// Accepted: the capacity is reserved.
 	Accepted Verdict = iota + 1
-	// Refused: not run, with a tombstone as evidence.
+	// Refused: the attempt did not run; a tombstone is kept as evidence.
 	Refused
 	// RefusedUnknown: this attempt did not run, but an earlier submission of
 	// the same key may have.
 	RefusedUnknown
-	// Recorded: the key has run; the record says how it ended.
+	// Recorded: the key has run; the record holds its outcome.
 	Recorded
 )
 
-// OfferResult is the verdict with its reason or record.
+// OfferResult is a verdict with the refusal or record that explains it.
 type OfferResult struct {
 	Verdict Verdict
 	Refusal *Refusal
@@ -92,53 +92,52 @@
 }
 
 type attempt struct {
-	phase    Phase
-	key      string
-	outcome  Outcome
-	forgetAt time.Time
-	// lease ends an offer without a stream, or a run whose stream was lost;
-	// zero while a stream is connected.
+	phase     Phase
+	key       string
+	outcome   Outcome
+	expiresAt time.Time
+	// lease is the time at which an offer without a stream, or a run whose
+	// stream was lost, is ended; zero while a stream is connected.
 	lease    time.Time
 	stopping bool
-	// unsure marks a tombstone whose key may have run in another attempt.
-	unsure bool
+	// keyMayHaveRun marks a tombstone whose key may have run in another attempt.
+	keyMayHaveRun bool
 }
 
-// Ledger decides, for one host daemon, which attempts run. It is the single
-// writer for them: whatever it has not let start has not run.
+// Ledger decides, for one host daemon, which attempts run. An attempt runs only
+// after Start has admitted it, so any other attempt has not run.
 type Ledger struct {
 	options  LedgerOptions
 	draining bool
 	attempts map[AttemptID]*attempt
-	// open holds the attempts that have not ended, the only ones whose leases
-	// can run out.
+	// open holds the attempts that have not ended; only their leases can expire.
 	open    map[AttemptID]*attempt
 	sweepAt time.Time
 	records map[string]*Record
-	// barriers hold, for keys that were refused as not run, until when no
-	// offer of the key is accepted.
+	// barriers maps a key that was refused as not run to the time until which
+	// no offer with this key is accepted.
 	barriers map[string]time.Time
 	homes    HomeChecker
 }
 
-// HomeChecker says whether this server may run a key made by a caller.
+// HomeChecker decides whether this server is the home of a key created by a caller.
 type HomeChecker interface {
-	// Check returns nil if it may, and the refusal otherwise. made is the
-	// key's time, allowance the bound on clock differences.
-	Check(service, key string, made time.Time, allowance time.Duration) *Refusal
+	// Check returns nil if this server may run the key, and a refusal otherwise.
+	// createdAt is the key's creation time, skew the bound on clock differences.
+	Check(service, key string, createdAt time.Time, skew time.Duration) *Refusal
 }
 
-// NewLedger returns an empty ledger. homes may be nil where no caller-made
-// keys are taken.
+// NewLedger returns an empty ledger. With nil homes it refuses all keys created
+// by callers.
 func NewLedger(options LedgerOptions, homes HomeChecker) *Ledger {
 	return &Ledger{options: options, homes: homes, attempts: map[AttemptID]*attempt{}, open: map[AttemptID]*attempt{},
 		records: map[string]*Record{}, barriers: map[string]time.Time{}}
 }
 
-// Drain makes the ledger refuse all offers from now on. It is never undone.
+// Drain makes the ledger refuse all further offers. It can't be undone.
 func (l *Ledger) Drain() { l.draining = true }
 
-// Draining says whether Drain was called.
+// Draining reports whether Drain was called.
 func (l *Ledger) Draining() bool { return l.draining }
 
 // Keys returns the number of records held.
@@ -150,21 +149,21 @@
 // Open returns the number of attempts that have not ended.
 func (l *Ledger) Open() int { return len(l.open) }
 
-// Offer decides on an offer. Capacity is the caller's admission check; it runs
-// only if the ledger itself would accept, and a refusal by it is tombstoned
-// like any other.
+// Offer accepts or refuses an offer. capacity is the caller's admission check; it
+// is called only if the ledger itself would accept, and a refusal by it leaves a
+// tombstone like any other.
 func (l *Ledger) Offer(now time.Time, offer Offer, capacity func() *Refusal) OfferResult {
 	record, ran := l.records[l.recordKey(offer)]
 	if ran && !offer.Key.None() && record.Attempt != offer.Attempt {
-		return l.resend(now, offer, record)
+		return l.replyToResend(now, offer, record)
 	}
 	if known, ok := l.attempts[offer.Attempt]; ok {
-		return l.repeated(known)
+		return l.replyToDuplicate(known)
 	}
-	if refusal := l.refuse(now, offer); refusal != nil {
+	if refusal := l.checkOffer(now, offer); refusal != nil {
 		return l.tombstone(now, offer, refusal)
 	}
-	if refusal := l.refuseKey(now, offer); refusal != nil {
+	if refusal := l.checkKey(now, offer); refusal != nil {
 		return l.tombstone(now, offer, refusal)
 	}
 	if refusal := capacity(); refusal != nil {
@@ -178,11 +177,12 @@
 	return OfferResult{Verdict: Accepted}
 }
 
-// repeated answers a second copy of an offer no better than the first: a copy
-// that was told notRun although the first was told unknown would be believed.
-func (l *Ledger) repeated(known *attempt) OfferResult {
+// replyToDuplicate replies to a further copy of an offer. The reply never claims
+// more than the first one did: the sender would believe a notRun although the
+// first copy was answered with unknown.
+func (l *Ledger) replyToDuplicate(known *attempt) OfferResult {
 	switch {
-	case known.phase == Tombstoned && !known.unsure:
+	case known.phase == Tombstoned && !known.keyMayHaveRun:
 		return OfferResult{Verdict: Refused, Refusal: &Refusal{Code: CodeTombstone}}
 	case known.phase >= Done:
 		return OfferResult{Verdict: RefusedUnknown, Refusal: &Refusal{Code: CodeTombstone}}
@@ -190,7 +190,7 @@
 	return OfferResult{Verdict: Accepted}
 }
 
-func (l *Ledger) refuse(now time.Time, offer Offer) *Refusal {
+func (l *Ledger) checkOffer(now time.Time, offer Offer) *Refusal {
 	switch {
 	case !now.Before(offer.Expires):
 		return &Refusal{Code: CodeExpired, Detail: "the offer arrived after its expiry"}
@@ -204,35 +204,35 @@
 	return nil
 }
 
-// tombstone writes the evidence that the attempt will never run: a delayed
-// copy of its offer would otherwise be accepted after the caller has been told
-// notRun. It outlives the message because retention exceeds an offer's life.
+// tombstone refuses an offer and records that the attempt never runs. Otherwise a
+// delayed copy of the offer could be accepted after the caller was told notRun.
+// The tombstone outlives the message because Retention exceeds OfferTTL.
 func (l *Ledger) tombstone(now time.Time, offer Offer, refusal *Refusal) OfferResult {
-	a := &attempt{phase: Tombstoned, key: l.recordKey(offer), outcome: NotRun, forgetAt: now.Add(l.options.Retention)}
+	a := &attempt{phase: Tombstoned, key: l.recordKey(offer), outcome: NotRun, expiresAt: now.Add(l.options.Retention)}
 	l.attempts[offer.Attempt] = a
 	if offer.Key.None() {
 		return OfferResult{Verdict: Refused, Refusal: refusal}
 	}
 	if unknownForKey(refusal.Code, offer.Key) {
-		a.unsure = true
+		a.keyMayHaveRun = true
 		return OfferResult{Verdict: RefusedUnknown, Refusal: refusal}
 	}
-	l.raiseBarrier(now, l.recordKey(offer))
-	refusal.RetryAfter = max(refusal.RetryAfter, l.barrierTime())
+	l.setBarrier(now, l.recordKey(offer))
+	refusal.RetryAfter = max(refusal.RetryAfter, l.barrierDuration())
 	return OfferResult{Verdict: Refused, Refusal: refusal}
 }
 
-// OpenStream moves an offered attempt into the queue. The outcome that goes with
-// a refusal is NotRun only if a tombstone is left behind. A second copy of the
-// message finds the attempt under way, and one that reaches a restarted daemon
-// may have been run by the daemon before it: saying NotRun there would be false.
+// OpenStream moves a reserved attempt into the queue. A refusal comes with the
+// outcome NotRun only if a tombstone is kept. In two cases the outcome is Unknown:
+// a duplicate of the message finds the attempt in progress, and a message that
+// reaches a restarted daemon may have been run by the previous incarnation.
 func (l *Ledger) OpenStream(now time.Time, id AttemptID, target Incarnation) (Outcome, *Refusal) {
 	if target != l.options.Incarnation {
 		return Unknown, &Refusal{Code: CodeWrongIncarnation, Detail: "the daemon has restarted"}
 	}
 	a, ok := l.attempts[id]
 	if !ok {
-		a = &attempt{phase: Tombstoned, outcome: NotRun, forgetAt: now.Add(l.options.Retention)}
+		a = &attempt{phase: Tombstoned, outcome: NotRun, expiresAt: now.Add(l.options.Retention)}
 		l.attempts[id] = a
 	}
 	switch a.phase {
@@ -246,8 +246,8 @@
 	return Unknown, &Refusal{Code: CodeAlreadyOpen, Detail: "the attempt's stream was opened before"}
 }
 
-// Start marks the point of no return: from here on the attempt may have run.
-// It reports false if the attempt was cancelled in the meantime.
+// Start admits a queued attempt to its engine; from then on it may have run. It
+// reports false if the attempt was cancelled in the meantime.
 func (l *Ledger) Start(id AttemptID) bool {
 	a, ok := l.attempts[id]
 	if !ok || a.phase != Queued {
@@ -260,18 +260,18 @@
 	return true
 }
 
-// Finish ends a running attempt. NotRun is for an adapter that has evidence that
-// nothing ran: its engine was never reached, or refused.
+// Finish ends a running attempt. The outcome NotRun requires evidence that
+// nothing ran: the engine was never reached, or it refused the attempt.
 func (l *Ledger) Finish(now time.Time, id AttemptID, outcome Outcome, answer Answer) {
 	a, ok := l.attempts[id]
 	if !ok || a.phase != Running {
 		return
 	}
 	if outcome == NotRun {
-		l.bury(now, id, a)
+		l.cancelUnstarted(now, id, a)
 		return
 	}
-	a.phase, a.outcome, a.forgetAt = Done, outcome, now.Add(l.options.Retention)
+	a.phase, a.outcome, a.expiresAt = Done, outcome, now.Add(l.options.Retention)
 	delete(l.open, id)
 	record := l.records[a.key]
 	if record == nil || record.Attempt != id {
@@ -284,27 +284,27 @@
 	}
 }
 
-// CancelResult says what a cancel found.
+// CancelResult is the result of Ledger.Cancel.
 type CancelResult struct {
 	Outcome Outcome
-	// StopRun asks the adapter to stop the run that is under way.
+	// StopRun asks the adapter to stop the run in progress.
 	StopRun bool
 }
 
-// CancelRequest asks to end an attempt. The key's parts are those of its offer.
+// CancelRequest asks to end an attempt. Workspace, Service and Key are those of its offer.
 type CancelRequest struct {
 	Attempt AttemptID
 	Target  Incarnation
-	// OfferExpires is the expiry of the attempt's offer: past its retention
-	// this ledger may have forgotten the attempt.
+	// OfferExpires is the expiry of the attempt's offer. More than Retention
+	// after it the ledger may have forgotten the attempt.
 	OfferExpires time.Time
 	Workspace    string
 	Service      string
 	Key          Key
 }
 
-// Cancel ends an attempt. NotRun is returned only together with a tombstone and,
-// for a key, with a barrier.
+// Cancel ends an attempt. It returns NotRun only if it leaves a tombstone and, for
+// a key, a barrier.
 func (l *Ledger) Cancel(now time.Time, request CancelRequest) CancelResult {
 	if request.Target != l.options.Incarnation || now.Sub(request.OfferExpires) > l.options.Retention {
 		return CancelResult{Outcome: Unknown}
@@ -312,42 +312,42 @@
 	a, ok := l.attempts[request.Attempt]
 	if !ok {
 		key := l.recordKey(Offer{Workspace: request.Workspace, Service: request.Service, Key: request.Key})
-		a = &attempt{phase: Tombstoned, key: key, outcome: NotRun, forgetAt: now.Add(l.options.Retention)}
+		a = &attempt{phase: Tombstoned, key: key, outcome: NotRun, expiresAt: now.Add(l.options.Retention)}
 		l.attempts[request.Attempt] = a
 	}
 	switch a.phase {
 	case Reserved, Queued:
-		l.bury(now, request.Attempt, a)
+		l.cancelUnstarted(now, request.Attempt, a)
 		return CancelResult{Outcome: NotRun}
 	case Running:
 		a.stopping = true
 		return CancelResult{Outcome: Unknown, StopRun: true}
 	case Tombstoned:
-		return CancelResult{Outcome: l.vouch(now, a)}
+		return CancelResult{Outcome: l.confirmNotRun(now, a)}
 	}
 	return CancelResult{Outcome: a.outcome}
 }
 
-// vouch returns NotRun for a tombstone, unless its key may have run in another
-// attempt. The barrier is raised anew, because the caller believes the answer
-// from now on.
-func (l *Ledger) vouch(now time.Time, a *attempt) Outcome {
-	if a.unsure || l.records[a.key] != nil {
+// confirmNotRun returns NotRun for a tombstone, or Unknown if its key may have run
+// in another attempt. It renews the key's barrier, because the caller relies on
+// the reply from now on.
+func (l *Ledger) confirmNotRun(now time.Time, a *attempt) Outcome {
+	if a.keyMayHaveRun || l.records[a.key] != nil {
 		return Unknown
 	}
 	if a.key != "" {
-		l.raiseBarrier(now, a.key)
+		l.setBarrier(now, a.key)
 	}
 	return NotRun
 }
 
-// bury turns an attempt that has not started into a tombstone and frees its key.
-func (l *Ledger) bury(now time.Time, id AttemptID, a *attempt) {
+// cancelUnstarted replaces an attempt that has not started by a tombstone and releases its key.
+func (l *Ledger) cancelUnstarted(now time.Time, id AttemptID, a *attempt) {
 	if record := l.records[a.key]; record != nil && record.Attempt == id {
 		delete(l.records, a.key)
-		l.raiseBarrier(now, a.key)
+		l.setBarrier(now, a.key)
 	}
-	a.phase, a.outcome, a.forgetAt = Tombstoned, NotRun, now.Add(l.options.Retention)
+	a.phase, a.outcome, a.expiresAt = Tombstoned, NotRun, now.Add(l.options.Retention)
 	delete(l.open, id)
 }
 
@@ -359,5 +359,5 @@
 	return 0
 }
 
-// StartedAt returns when this ledger began.
+// StartedAt returns the creation time of this ledger.
 func (l *Ledger) StartedAt() time.Time { return l.options.StartedAt }
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -23,7 +23,7 @@
 	return Offer{Attempt: AttemptID(attempt), Request: "r", Target: "a#1", Workspace: "w", Key: key, Expires: now.Add(DefaultOfferTTL)}
 }
 
-// A key is refused with the code that says what its caller may still hope for.
+// Each rule of the ledger refuses with its own code and verdict.
 func TestLedgerRules(t *testing.T) {
 	now := ledgerStart.Add(time.Hour)
 	made := func(at time.Time) Key { return Key{ID: "k", Fingerprint: 1, CreatedAt: at} }
@@ -60,7 +60,7 @@
 	}
 }
 
-// A leaving server refuses every offer, whatever an entry with an old view sends.
+// A draining server refuses every offer, including those of entries with an outdated view.
 func TestLedgerDrains(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	l.Drain()
@@ -70,7 +70,7 @@
 }
 
 // An offer is refused because the queue is full; a delayed copy of it arrives
-// when there is room. The caller was told notRun, so the copy must not run.
+// when there is capacity. The caller was told notRun, so the copy must not run.
 func TestLedgerKeepsATombstoneOfARefusal(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	require.Equal(t, Refused, l.Offer(now, offerAt(now, "x", Key{}), full).Verdict)
@@ -80,8 +80,8 @@
 	require.Equal(t, NotRun, outcome)
 }
 
-// A cancel overtakes its offer, or comes between the queue and the dispatch. The
-// caller was told notRun, so neither the late offer nor the dispatch goes on.
+// A cancel overtakes its offer, or arrives between queueing and dispatch. The
+// caller was told notRun, so neither the late offer nor the dispatch may proceed.
 func TestLedgerKeepsATombstoneOfACancel(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	cancel := CancelRequest{Attempt: "x", Target: "a#1", OfferExpires: now}
@@ -99,8 +99,7 @@
 	require.Equal(t, Unknown, l.Cancel(now, cancel).Outcome, "past the retention nothing is known")
 }
 
-// A key is sent again with another body: the first body's record is not touched,
-// the second is told that it was not run.
+// A key is resent with another body: the second body is refused as not run.
 func TestLedgerRefusesAnotherBody(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
@@ -111,8 +110,8 @@
 	require.Equal(t, CodeKeyMismatch, result.Refusal.Code)
 }
 
-// The record answers a resend for the whole retention, also on a leaving server,
-// and is forgotten after it.
+// Resends are answered from the record for the whole retention, also on a draining
+// server; the record is dropped afterwards.
 func TestLedgerAnswersResends(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
@@ -173,8 +172,8 @@
 	}
 }
 
-// FuzzFrames: whatever order, loss, repetition or change of frames arrives, a
-// caller is told of a finished answer only if it got exactly the writer's bytes.
+// FuzzFrames checks that, whatever frames are lost, reordered, duplicated or
+// altered, an answer counts as finished only if it has exactly the writer's bytes.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, byte(0))
 	f.Add([]byte{0, 0, 2, 1, 3}, byte(7))
--- a/core/execution/outcome.go
+++ b/core/execution/outcome.go
@@ -1,7 +1,7 @@
-// Package execution decides what becomes of a request: its attempts, their
-// outcomes with the evidence for them, retries, keys and the ledger that lets a
-// key run at most once. Both cores in it, Request at the entry and Ledger at the
-// host daemon, are pure: time and identifiers are passed in.
+// Package execution tracks the attempts of a request and their outcomes, decides
+// on retries, and keeps the ledger that runs an idempotency key at most once.
+// Its two state machines, Request at the entry and Ledger at the host daemon, do
+// no I/O: time and identifiers are passed in.
 package execution
 
 import (
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// RequestID names a request; unique over all entries.
+// RequestID identifies a request uniquely across all entries.
 type RequestID string
 
-// AttemptID names one try to run a request on one server.
+// AttemptID identifies one attempt to run a request on one server.
 type AttemptID string
 
-// Incarnation names one start of a daemon.
+// Incarnation identifies one run of a daemon; it changes with every restart.
 type Incarnation string
 
-// Outcome is what may be said of an attempt or a request.
+// Outcome classifies how an attempt or a request ended, as far as the evidence goes.
 type Outcome uint8
 
 const (
@@ -26,7 +26,7 @@
 	Finished Outcome = iota + 1
 	// Failed: it ran, at least in part, and is known to have ended.
 	Failed
-	// NotRun: there is evidence that it did not run and will not.
+	// NotRun: there is evidence that it did not run and never will.
 	NotRun
 	// Unknown: it may or may not have run.
 	Unknown
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("Outcome(%d)", uint8(o))
 }
 
-// Code is the stable word of an error that callers may act on.
+// Code is a stable, machine-readable error code that callers may act on.
 type Code string
 
 // Codes of refusals and failures.
@@ -75,11 +75,11 @@
 	CodeQuarantined      Code = "quarantined"
 )
 
-// Refusal says why something was not taken on, and when asking again helps.
+// Refusal holds the reason for refusing a request and the delay after which a retry may succeed.
 type Refusal struct {
 	Code   Code
 	Detail string
-	// RetryAfter is zero where asking again does not help.
+	// RetryAfter is zero if a retry does not help.
 	RetryAfter time.Duration
 }
 
@@ -90,24 +90,24 @@
 	return string(r.Code) + ": " + r.Detail
 }
 
-// Quarantined refuses a request under which servers end, for a time. It is no fault of the caller's
-// that the answer tells: the request is a proper one that the servers can't bear, which a release of
-// theirs may mend.
+// Quarantined returns the refusal of a request that crashes the servers that run it; left is the rest
+// of its quarantine. The refusal is not a client error: the request is valid and triggers a fault of
+// the servers, which a later release of them may fix.
 func Quarantined(left time.Duration) Refusal {
 	return Refusal{Code: CodeQuarantined, Detail: "backend servers end when they run this request", RetryAfter: left}
 }
 
-// Key is what makes a request idempotent over its resends.
+// Key is the idempotency key under which a caller may resend a request.
 type Key struct {
-	// ID is the key's text; empty for a request that has none.
+	// ID is the key's text; empty for a request without a key.
 	ID string
-	// Issued says that the key came from an entry and names its home.
+	// Issued reports that an entry issued the key, which then names its home.
 	Issued bool
-	// Fingerprint is the hash of the request's body: one key, one body.
+	// Fingerprint is the hash of the request's body; a key is valid for one body only.
 	Fingerprint uint64
-	// CreatedAt is when the key was made, in the maker's clock.
+	// CreatedAt is read from the clock of whoever created the key.
 	CreatedAt time.Time
 }
 
-// None says that the request carries no key.
+// None reports whether the request carries no key.
 func (k Key) None() bool { return k.ID == "" }
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Record is what the ledger keeps of a key.
+// Record holds the run of one key and, once it has ended, its outcome and answer.
 type Record struct {
 	Attempt     AttemptID
 	Fingerprint uint64
@@ -14,27 +14,28 @@
 	created     time.Time
 }
 
-// Answer is a kept answer of a finished attempt.
+// Answer is the answer of a finished attempt, kept for resends.
 type Answer struct {
-	// Kept is false when the answer was too long to keep.
+	// Kept is false if the answer exceeded MaxAnswerBytes.
 	Kept        bool
 	ContentType string
 	Status      int
 	Body        []byte
 }
 
-// raiseBarrier keeps a key from running for as long as an offer that was sent
-// before now may still be under way. Otherwise a caller who was told notRun for
-// a resend could see an earlier, delayed submission of the same key run after
-// all. An offer lives OfferLife at most and clocks differ by the allowance at
-// most, so the sum is enough.
-func (l *Ledger) raiseBarrier(now time.Time, key string) { l.barriers[key] = now.Add(l.barrierTime()) }
+// setBarrier bars a key from running for as long as an offer that was sent before
+// now may still be in flight. Otherwise an earlier, delayed submission of the key
+// could run after the caller was told notRun for a resend. An offer is valid for
+// at most OfferTTL and clocks differ by at most MaxClockSkew, so their sum suffices.
+func (l *Ledger) setBarrier(now time.Time, key string) {
+	l.barriers[key] = now.Add(l.barrierDuration())
+}
 
-func (l *Ledger) barrierTime() time.Duration { return l.options.OfferTTL + l.options.MaxClockSkew }
+func (l *Ledger) barrierDuration() time.Duration { return l.options.OfferTTL + l.options.MaxClockSkew }
 
-// unknownForKey says whether a refusal leaves open what an earlier submission
-// of the key did. A restarted daemon has lost its ledger, so a key that was sent
-// to the former incarnation may have run there.
+// unknownForKey reports whether, despite a refusal, an earlier submission of the
+// key may have run. A restarted daemon has lost its ledger, so a key that was sent
+// to the previous incarnation may have run there.
 func unknownForKey(code Code, key Key) bool {
 	switch code {
 	case CodeWrongIncarnation, CodeKeyTooOld, CodeKeyNotHome, CodeKeyHomeLost, CodeExpired:
@@ -52,30 +53,31 @@
 	return offer.Workspace + "\x00" + offer.Service + "\x00" + offer.Key.ID
 }
 
-// resend answers an offer whose key is already in the ledger.
-func (l *Ledger) resend(now time.Time, offer Offer, record *Record) OfferResult {
+// replyToResend replies to an offer whose key is already in the ledger.
+func (l *Ledger) replyToResend(now time.Time, offer Offer, record *Record) OfferResult {
 	if record.Fingerprint != offer.Key.Fingerprint {
-		return l.mismatch(now, offer)
+		return l.refuseMismatch(now, offer)
 	}
-	l.attempts[offer.Attempt] = &attempt{phase: Tombstoned, outcome: NotRun, unsure: true, forgetAt: now.Add(l.options.Retention)}
+	l.attempts[offer.Attempt] = &attempt{phase: Tombstoned, outcome: NotRun, keyMayHaveRun: true, expiresAt: now.Add(l.options.Retention)}
 	copied := *record
 	return OfferResult{Verdict: Recorded, Record: &copied}
 }
 
-// mismatch refuses a key that stands for another body. That body's run is none
-// of this caller's business, so the refusal is notRun and bars nothing.
-func (l *Ledger) mismatch(now time.Time, offer Offer) OfferResult {
-	l.attempts[offer.Attempt] = &attempt{phase: Tombstoned, outcome: NotRun, forgetAt: now.Add(l.options.Retention)}
+// refuseMismatch refuses an offer whose key was used with another body. The refused
+// body has not run, whatever became of the recorded one, so the outcome is NotRun
+// and no barrier is set.
+func (l *Ledger) refuseMismatch(now time.Time, offer Offer) OfferResult {
+	l.attempts[offer.Attempt] = &attempt{phase: Tombstoned, outcome: NotRun, expiresAt: now.Add(l.options.Retention)}
 	return OfferResult{Verdict: Refused, Refusal: &Refusal{Code: CodeKeyMismatch, Detail: "the key was used with another body"}}
 }
 
-// refuseKey holds the rules for a key that the ledger has no record of.
+// checkKey accepts or refuses a key of which the ledger has no record.
 //
-// A key from before the ledger began may have run under the former daemon, and
-// one older than the retention may have been forgotten; running either could
-// run it twice. Refusing both as unknown is enough, because a record is kept
+// A key created before the ledger may have run under the previous incarnation, and
+// the record of one older than Retention may have been dropped; running either
+// could run it twice. Refusing both as unknown suffices, because a record is kept
 // for the whole retention and its key can't be younger than the record.
-func (l *Ledger) refuseKey(now time.Time, offer Offer) *Refusal {
+func (l *Ledger) checkKey(now time.Time, offer Offer) *Refusal {
 	if offer.Key.None() {
 		return nil
 	}
@@ -85,27 +87,27 @@
 	if len(l.records) >= l.options.MaxKeys {
 		return &Refusal{Code: CodeLedgerFull, Detail: "too many keys in use", RetryAfter: time.Second}
 	}
-	made := offer.Key.CreatedAt
-	allowance := l.options.MaxClockSkew
-	if now.Sub(made) > l.options.Retention-allowance {
+	createdAt := offer.Key.CreatedAt
+	skew := l.options.MaxClockSkew
+	if now.Sub(createdAt) > l.options.Retention-skew {
 		return &Refusal{Code: CodeKeyTooOld, Detail: "the key is older than the ledger keeps records"}
 	}
 	if offer.Key.Issued {
 		return nil
 	}
-	if made.Sub(now) > allowance {
-		return &Refusal{Code: CodeKeyFromFuture, Detail: "the key's time is ahead of this host's clock", RetryAfter: made.Sub(now)}
+	if createdAt.Sub(now) > skew {
+		return &Refusal{Code: CodeKeyFromFuture, Detail: "the key's time is ahead of this host's clock", RetryAfter: createdAt.Sub(now)}
 	}
-	if made.Before(l.options.StartedAt.Add(allowance)) {
+	if createdAt.Before(l.options.StartedAt.Add(skew)) {
 		return &Refusal{Code: CodeKeyHomeLost, Detail: "the key was made before this home's ledger began"}
 	}
 	if l.homes == nil {
 		return &Refusal{Code: CodeKeyNotHome, Detail: "this server is no home of keys made by callers"}
 	}
-	return l.homes.Check(offer.Service, offer.Key.ID, made, allowance)
+	return l.homes.Check(offer.Service, offer.Key.ID, createdAt, skew)
 }
 
-func (l *Ledger) forgetKeys(now time.Time) {
+func (l *Ledger) expireKeys(now time.Time) {
 	for key, record := range l.records {
 		if record.Outcome != 0 && now.Sub(record.created) > l.options.Retention {
 			delete(l.records, key)
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -4,38 +4,38 @@
 	"time"
 )
 
-// RequestOptions describe one request at an entry.
+// RequestOptions describes one request at an entry.
 type RequestOptions struct {
-	ID         RequestID
+	ID        RequestID
 	Retryable bool
-	Key        Key
-	// KeyFromCaller says that the caller may resend the request under the
-	// same key, here or at another entry; such a request stays at its home.
+	Key       Key
+	// KeyFromCaller reports that the caller may resend the request under the same
+	// key, here or at another entry; such a request is sent to its home only.
 	KeyFromCaller bool
 	Deadline      time.Time
-	// OfferTTL bounds how long an offer may be under way.
+	// OfferTTL bounds the validity of an offer.
 	OfferTTL time.Duration
 	// MaxAttempts bounds the attempts of the request.
 	MaxAttempts int
-	// MaxResumes bounds how often a lost stream is opened again.
+	// MaxResumes bounds how often the stream of an attempt is resumed.
 	MaxResumes int
-	// Buffered says that the answer is gathered before any of it goes out, so
-	// that a broken one can be dropped and begun anew.
+	// Buffered reports that the answer is collected before any of it is sent to
+	// the caller, so that an incomplete one can be discarded and retried.
 	Buffered bool
-	// NewAttempt draws a fresh attempt identifier.
+	// NewAttempt returns a new attempt identifier.
 	NewAttempt func() AttemptID
-	// TakeRetry takes a token of the retry budget; false means none is left.
+	// TakeRetry takes a token of the retry budget and reports whether there was one.
 	TakeRetry func(now time.Time) bool
 }
 
 // Defaults of RequestOptions.
 const (
-	DefaultOfferTTL   = 3 * time.Second
+	DefaultOfferTTL    = 3 * time.Second
 	DefaultMaxAttempts = 4
 	DefaultMaxResumes  = 2
 )
 
-// Target is the server that routing chose and the incarnation it is known by.
+// Target is a server with the incarnation under which the entry knows it.
 type Target struct {
 	Server      string
 	Incarnation Incarnation
@@ -51,25 +51,25 @@
 	stageConcluded
 )
 
-// Request is the entry's decision core for one request.
+// Request is the state machine of one request at its entry.
 type Request struct {
-	options   RequestOptions
-	stage     stage
-	attempt   AttemptID
-	target    Target
-	expires   time.Time
-	excluded  []string
-	attempts  int
-	resumes   int
-	check     *FrameChecker
-	delivered bool
-	lastCause Refusal
-	asked     time.Time // when the offer or cancel under way was sent
-	ran       Outcome   // the worst outcome of earlier attempts that did run
-	ending    bool      // this entry ends, and nothing is tried again
+	options      RequestOptions
+	stage        stage
+	attempt      AttemptID
+	target       Target
+	expires      time.Time
+	excluded     []string
+	attempts     int
+	resumes      int
+	checker      *FrameChecker
+	delivered    bool
+	lastCause    Refusal
+	sentAt       time.Time // send time of the pending offer or cancel
+	priorOutcome Outcome   // the worst outcome of earlier attempts that ran
+	stopping     bool      // this entry stops; no further attempt is made
 }
 
-// NewRequest returns a request that waits for Begun.
+// NewRequest returns a request that waits for RequestStarted.
 func NewRequest(options RequestOptions) *Request {
 	if options.OfferTTL == 0 {
 		options.OfferTTL = DefaultOfferTTL
@@ -80,14 +80,14 @@
 	return &Request{options: options, stage: stagePicking}
 }
 
-// Concluded says whether the final answer has been given.
+// Concluded reports whether the request has ended.
 func (r *Request) Concluded() bool { return r.stage == stageConcluded }
 
 // Target returns the server of the current attempt.
 func (r *Request) Target() Target { return r.target }
 
-// Step takes one event and returns what to do. After Conclude nothing more is
-// returned, whatever arrives.
+// Step handles an event and returns the resulting actions. After Conclude it
+// ignores all events.
 func (r *Request) Step(now time.Time, event Event) []Action {
 	if r.stage == stageConcluded {
 		return nil
@@ -112,11 +112,11 @@
 	case CancelLost:
 		return r.onCancelled(now, e.Attempt, Unknown)
 	case DeadlinePassed:
-		return r.giveUp(Refusal{Code: CodeDeadline, Detail: "the request's deadline has passed"})
+		return r.abort(Refusal{Code: CodeDeadline, Detail: "the request's deadline has passed"})
 	case EntryStopping:
-		return r.end(now, e.Refusal)
+		return r.onEntryStopping(now, e.Refusal)
 	case CallerDisconnected:
-		return r.giveUp(Refusal{Code: CodeCallerGone})
+		return r.abort(Refusal{Code: CodeCallerGone})
 	}
 	return nil
 }
@@ -131,8 +131,8 @@
 	r.lastCause = Refusal{}
 	r.attempt = r.options.NewAttempt()
 	r.target = target
-	r.check = NewFrameChecker(r.options.ID, r.attempt)
-	r.asked = now
+	r.checker = NewFrameChecker(r.options.ID, r.attempt)
+	r.sentAt = now
 	r.expires = now.Add(r.options.OfferTTL)
 	if r.options.Deadline.Before(r.expires) {
 		r.expires = r.options.Deadline
@@ -144,13 +144,13 @@
 	if r.lastCause.Code != "" && refusal.Code == CodeNoServer {
 		refusal = r.lastCause
 	}
-	return r.conclude(r.idleOutcome(), &refusal)
+	return r.conclude(r.outcomeWithoutRun(), &refusal)
 }
 
-// idleOutcome is the outcome while no attempt of this request can have run and
-// no host has vouched for more. A caller's key may have been sent through
-// another entry before, and only its home knows of that.
-func (r *Request) idleOutcome() Outcome {
+// outcomeWithoutRun returns the outcome while no attempt of this request can have
+// run and no host has confirmed more. A key from the caller may have been sent
+// through another entry before; only its home knows.
+func (r *Request) outcomeWithoutRun() Outcome {
 	if r.options.KeyFromCaller {
 		return Unknown
 	}
@@ -166,27 +166,27 @@
 		r.stage = stageStreaming
 		return []Action{OpenStream{Attempt: r.attempt, Target: r.target, From: 1}}
 	case Recorded:
-		return r.recorded(e.Result.Record)
+		return r.concludeFromRecord(e.Result.Record)
 	case RefusedUnknown:
 		if r.options.KeyFromCaller {
 			return r.conclude(Unknown, e.Result.Refusal)
 		}
 	}
-	return r.retryNotRun(now, *e.Result.Refusal, r.vouched(now))
+	return r.retryNotRun(now, *e.Result.Refusal, r.hostEvidence(now))
 }
 
-// vouched says whether a host's word that a key did not run still holds. The
-// host bars the key for as long as an offer may live, from the moment it gave
-// its word; an answer that was under way for longer may have been overtaken by
-// a run of a later submission.
-func (r *Request) vouched(now time.Time) evidence {
-	if now.Sub(r.asked) > r.options.OfferTTL {
-		return deduced
+// hostEvidence returns confirmed if a host's reply that a key did not run still
+// holds. From its reply on the host bars the key for as long as an offer may be
+// valid; a reply that was in flight for longer may have been overtaken by the run
+// of a later submission.
+func (r *Request) hostEvidence(now time.Time) evidence {
+	if now.Sub(r.sentAt) > r.options.OfferTTL {
+		return inferred
 	}
-	return vouched
+	return confirmed
 }
 
-func (r *Request) recorded(record *Record) []Action {
+func (r *Request) concludeFromRecord(record *Record) []Action {
 	r.stage = stageConcluded
 	conclusion := Conclusion{Outcome: record.Outcome, Record: record, Attempts: r.attempts}
 	if record.Outcome == 0 {
@@ -196,48 +196,48 @@
 	return []Action{Conclude{conclusion}}
 }
 
-// onOfferLost handles a missing verdict. The host may hold the reservation, but
-// an offer starts nothing and this entry never opens that stream, so the attempt
-// has not run. The cancel only frees the place before its lease lapses.
+// onOfferLost handles a missing verdict. The host may hold the reservation, but an
+// offer starts nothing and this entry never opens the stream, so the attempt has
+// not run. The cancel only releases the reservation before its lease expires.
 func (r *Request) onOfferLost(now time.Time, e OfferLost) []Action {
 	if r.stage != stageOffering || e.Attempt != r.attempt {
 		return nil
 	}
 	cancel := SendCancel{Attempt: r.attempt, Target: r.target, Expires: r.expires}
 	cause := Refusal{Code: CodeConnectionLost, Detail: "the server did not answer the offer"}
-	return append([]Action{cancel}, r.retryNotRun(now, cause, deduced)...)
+	return append([]Action{cancel}, r.retryNotRun(now, cause, inferred)...)
 }
 
-// evidence is how it is known that an attempt did not run.
+// evidence is the source of the knowledge that an attempt did not run.
 type evidence uint8
 
 const (
-	// deduced: this entry never sent the run message.
-	deduced evidence = iota
-	// vouched: the host refused or cancelled it and keeps a tombstone.
-	vouched
+	// inferred: this entry never sent the run message.
+	inferred evidence = iota
+	// confirmed: the host refused or cancelled it and keeps a tombstone.
+	confirmed
 )
 
-// retryNotRun goes on after an attempt that is known not to have run. A key
-// from the caller stays at its home, so it is answered instead; what is only
-// deduced here says nothing of the key's other submissions.
+// retryNotRun retries or concludes after an attempt that is known not to have run.
+// A request with a key from the caller is concluded, because the key is tied to its
+// home; inferred evidence says nothing about other submissions of the key.
 func (r *Request) retryNotRun(now time.Time, cause Refusal, by evidence) []Action {
 	r.lastCause = cause
 	r.excluded = append(r.excluded, r.target.Server)
 	switch {
-	case r.options.KeyFromCaller && by == deduced:
+	case r.options.KeyFromCaller && by == inferred:
 		return r.conclude(Unknown, &cause)
 	case r.options.KeyFromCaller:
 		return r.conclude(NotRun, &cause)
-	case r.ending, r.attempts >= r.options.MaxAttempts, !now.Before(r.options.Deadline), final(cause.Code):
+	case r.stopping, r.attempts >= r.options.MaxAttempts, !now.Before(r.options.Deadline), refusedEverywhere(cause.Code):
 		return r.conclude(NotRun, &cause)
 	}
 	r.stage = stagePicking
 	return []Action{Pick{Exclude: r.excluded}}
 }
 
-// final says whether a refusal holds for every server alike.
-func final(code Code) bool {
+// refusedEverywhere reports whether every server would refuse with this code.
+func refusedEverywhere(code Code) bool {
 	return code == CodeOverQuota || code == CodeKeyMismatch || code == CodeTooLong
 }
 
@@ -245,7 +245,7 @@
 	if r.stage != stageStreaming || frame.Attempt != r.attempt {
 		return nil
 	}
-	switch r.check.Check(frame) {
+	switch r.checker.Check(frame) {
 	case FrameForeign, FrameDuplicate:
 		return nil
 	case FrameCorrupt:
@@ -260,9 +260,9 @@
 	}
 	r.lastCause = Refusal{Code: frame.Code, Detail: frame.Detail, RetryAfter: frame.RetryAfter}
 	if frame.Outcome == Unknown || (frame.Outcome == NotRun && r.options.KeyFromCaller) {
-		// A frame may be old; the answer to a cancel is fresh. And a run that
-		// may go on must not be left behind: it would hold an engine's memory
-		// for an answer that nobody reads.
+		// A frame may be outdated; the reply to a cancel is current. Also, a run
+		// that may still be in progress has to be cancelled: it would hold an
+		// engine's memory for an answer that nobody reads.
 		return r.cancel(now)
 	}
 	return r.settle(now, frame.Outcome, r.lastCause)
@@ -276,18 +276,18 @@
 	if !e.Sent && r.resumes == 0 {
 		cancel := SendCancel{Attempt: r.attempt, Target: r.target, Expires: r.expires}
 		cause := Refusal{Code: CodeConnectionLost, Detail: "the server could not be reached"}
-		return append([]Action{cancel}, r.retryNotRun(now, cause, deduced)...)
+		return append([]Action{cancel}, r.retryNotRun(now, cause, inferred)...)
 	}
 	if r.resumes < r.options.MaxResumes {
 		r.resumes++
-		return []Action{OpenStream{Attempt: r.attempt, Target: r.target, From: r.check.Next(), Resume: true}}
+		return []Action{OpenStream{Attempt: r.attempt, Target: r.target, From: r.checker.Next(), Resume: true}}
 	}
 	return r.cancel(now)
 }
 
 func (r *Request) cancel(now time.Time) []Action {
 	r.stage = stageCancelling
-	r.asked = now
+	r.sentAt = now
 	return []Action{SendCancel{Attempt: r.attempt, Target: r.target, Expires: r.expires}}
 }
 
@@ -296,7 +296,7 @@
 		return nil
 	}
 	if outcome == Finished {
-		// It ran to its end, but this entry does not have the whole answer.
+		// The attempt completed, but this entry does not have its whole answer.
 		outcome = Failed
 	}
 	cause := r.lastCause
@@ -306,20 +306,21 @@
 	return r.settle(now, outcome, cause)
 }
 
-// settle decides what follows an attempt's outcome other than Finished.
+// settle retries or concludes after an attempt that ended with an outcome other
+// than Finished.
 //
-// A request that may run once only is retried on NotRun alone. A repeatable one
-// is retried within the budget, unless a part of the answer has gone out: its
-// tokens would be mixed with those of another run.
+// A request that may run only once is retried on NotRun alone. A retryable one is
+// retried within the budget, unless a part of the answer was delivered: its tokens
+// would be mixed with those of another run.
 func (r *Request) settle(now time.Time, outcome Outcome, cause Refusal) []Action {
 	if outcome == NotRun {
-		return r.retryNotRun(now, cause, r.vouched(now))
+		return r.retryNotRun(now, cause, r.hostEvidence(now))
 	}
 	mixed := r.delivered && !r.options.Buffered
-	again := r.options.Retryable && !r.ending && !mixed && r.options.Key.None() &&
+	retry := r.options.Retryable && !r.stopping && !mixed && r.options.Key.None() &&
 		r.attempts < r.options.MaxAttempts && now.Before(r.options.Deadline)
-	r.ran = max(r.ran, outcome)
-	if !again || !r.options.TakeRetry(now) {
+	r.priorOutcome = max(r.priorOutcome, outcome)
+	if !retry || !r.options.TakeRetry(now) {
 		return r.conclude(outcome, &cause)
 	}
 	r.lastCause = cause
@@ -336,14 +337,14 @@
 	return []Action{Discard{}}
 }
 
-// end ends the request because this entry ends. An attempt that was opened is cancelled first: its host
-// knows whether it has run. The second time nothing is waited for.
-func (r *Request) end(now time.Time, refusal Refusal) []Action {
+// onEntryStopping ends the request because this entry stops. An attempt whose stream was opened is cancelled first,
+// because its host knows whether it has run. The second call concludes without waiting.
+func (r *Request) onEntryStopping(now time.Time, refusal Refusal) []Action {
 	opened := r.stage == stageStreaming || r.stage == stageCancelling
-	if !opened || r.ending {
-		return r.giveUp(refusal)
+	if !opened || r.stopping {
+		return r.abort(refusal)
 	}
-	r.ending = true
+	r.stopping = true
 	r.lastCause = refusal
 	if r.stage == stageCancelling {
 		return nil
@@ -351,15 +352,15 @@
 	return r.cancel(now)
 }
 
-// giveUp ends the request at once. The run is cancelled, but nobody waits for
-// that: what is not known at this moment is Unknown.
-func (r *Request) giveUp(refusal Refusal) []Action {
+// abort concludes the request at once. The run is cancelled without waiting for
+// the reply, so an outcome that is not known yet is Unknown.
+func (r *Request) abort(refusal Refusal) []Action {
 	switch r.stage {
 	case stagePicking:
-		return r.conclude(r.idleOutcome(), &refusal)
+		return r.conclude(r.outcomeWithoutRun(), &refusal)
 	case stageOffering:
 		cancel := SendCancel{Attempt: r.attempt, Target: r.target, Expires: r.expires}
-		return append([]Action{cancel}, r.conclude(r.idleOutcome(), &refusal)...)
+		return append([]Action{cancel}, r.conclude(r.outcomeWithoutRun(), &refusal)...)
 	case stageStreaming:
 		cancel := SendCancel{Attempt: r.attempt, Target: r.target, Expires: r.expires}
 		return append([]Action{cancel}, r.conclude(Unknown, &refusal)...)
@@ -367,16 +368,16 @@
 	return r.conclude(Unknown, &refusal)
 }
 
-// conclude gives the final answer. NotRun of the last attempt is not NotRun of
-// the request if an earlier attempt did run: the caller would be told of a
-// request that had no effect although it had.
+// conclude ends the request. If an earlier attempt ran, the request's outcome is
+// not NotRun even if that of the last attempt is: the caller would be told that
+// the request had no effect although it had.
 func (r *Request) conclude(outcome Outcome, refusal *Refusal) []Action {
 	r.stage = stageConcluded
-	if outcome == NotRun && r.ran != 0 {
-		outcome = r.ran
+	if outcome == NotRun && r.priorOutcome != 0 {
+		outcome = r.priorOutcome
 	}
 	return []Action{Conclude{Conclusion{Outcome: outcome, Refusal: refusal, Attempts: r.attempts}}}
 }
 
-// Streaming says that the request waits for frames.
+// Streaming reports whether the request waits for frames.
 func (r *Request) Streaming() bool { return r.stage == stageStreaming }
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry ends while a request waits in a host's queue. The host is asked whether it has run, and nothing
-// is tried again; where the host doesn't answer in time the caller is told that nobody knows.
+// An entry stops while a request waits in a host's queue. It asks the host for the outcome and does not
+// retry; without a reply in time the outcome is Unknown.
 func TestAnEntryThatEndsAsksWhetherARequestHasRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ends := EntryStopping{Refusal{Code: CodeDraining}}
--- a/core/execution/world_test.go
+++ b/core/execution/world_test.go
@@ -21,7 +21,7 @@
 	cancelReply
 )
 
-// packet is a message under way between one submission and one server.
+// packet is a message in flight between one submission and one server.
 type packet struct {
 	Kind       packetKind
 	Submission int
@@ -36,7 +36,7 @@
 	Copied     bool
 }
 
-// world is one state.
+// world is one state of the model.
 type world struct {
 	now         time.Time
 	submissions []*submission
@@ -53,10 +53,10 @@
 	started    bool
 	concluded  *Conclusion
 	attempts   int
-	concludeAt int // number of runs when it was concluded
+	concludeAt int // number of runs at its conclusion
 }
 
-// ranAttempt is one start of an engine or service.
+// ranAttempt is one run of an attempt at an engine or service.
 type ranAttempt struct {
 	Attempt    AttemptID
 	Submission int
@@ -71,7 +71,7 @@
 	homes       *fixedHomes
 }
 
-// fixedHomes says which server is a key's home in each server's own view.
+// fixedHomes is a HomeChecker whose server always or never is a key's home.
 type fixedHomes struct{ home bool }
 
 func (h fixedHomes) Check(string, string, time.Time, time.Duration) *Refusal {
@@ -81,7 +81,7 @@
 	return &Refusal{Code: CodeKeyNotHome}
 }
 
-// faults bounds how often each fault may still happen.
+// faults holds the remaining number of each fault.
 type faults struct{ Losses, Copies, Restarts, Jumps, Deadlines, Ends int }
 
 func (h *ledgerHost) target() Incarnation {
@@ -96,11 +96,11 @@
 	h.ledger = NewLedger(options, h.homes)
 }
 
-// scenario is a start state.
+// scenario describes an initial state.
 type scenario struct {
 	name    string
 	servers int
-	// submissions under the same key, or one alone without a key.
+	// submissions is the number of submissions under the same key; 1 without a key.
 	submissions int
 	key         func(home *ledgerHost) Key
 	home        int
@@ -128,7 +128,7 @@
 	return w
 }
 
-// clone copies a world so deep that no step of one changes the other.
+// clone returns a deep copy.
 func (w *world) clone() *world {
 	c := *w
 	c.packets = slices.Clone(w.packets)
@@ -153,11 +153,11 @@
 func (r *Request) clone() *Request {
 	c := *r
 	c.excluded = slices.Clone(r.excluded)
-	if r.check != nil {
-		check := *r.check
-		sum := *r.check.sum
+	if r.checker != nil {
+		check := *r.checker
+		sum := *r.checker.sum
 		check.sum = &sum
-		c.check = &check
+		c.checker = &check
 	}
 	return &c
 }
@@ -184,8 +184,8 @@
 	return &c
 }
 
-// fingerprint names a state: the trace that led to it and the order of the
-// messages under way do not count.
+// fingerprint hashes a state without its trace and the order of the messages in
+// flight.
 func (w *world) fingerprint() uint64 {
 	var b []byte
 	for _, s := range w.submissions {
@@ -209,8 +209,8 @@
 func (s *submission) append(b []byte) []byte {
 	r := s.request
 	b = fmt.Appendf(b, "%t %d %s %v %v %d %d %t %v %v %d|", s.started, r.stage, r.attempt, r.target, r.excluded, r.attempts, r.resumes,
-		r.delivered, r.ran, r.lastCause.Code, r.asked.Unix())
-	b = strconv.AppendBool(b, r.ending)
+		r.delivered, r.priorOutcome, r.lastCause.Code, r.sentAt.Unix())
+	b = strconv.AppendBool(b, r.stopping)
 	if s.concluded != nil {
 		b = fmt.Appendf(b, "%d %d|", s.concluded.Outcome, s.concludeAt)
 	}
@@ -221,7 +221,7 @@
 	b = fmt.Appendf(b, "%d %v|", h.incarnation, h.running)
 	for _, id := range slices.Sorted(maps.Keys(h.ledger.attempts)) {
 		a := h.ledger.attempts[id]
-		b = fmt.Appendf(b, "%s %d %d %d %d %t %t|", id, a.phase, a.outcome, a.forgetAt.Unix(), a.lease.Unix(), a.stopping, a.unsure)
+		b = fmt.Appendf(b, "%s %d %d %d %d %t %t|", id, a.phase, a.outcome, a.expiresAt.Unix(), a.lease.Unix(), a.stopping, a.keyMayHaveRun)
 	}
 	for _, key := range slices.Sorted(maps.Keys(h.ledger.records)) {
 		r := h.ledger.records[key]
@@ -248,7 +248,7 @@
 	return append(b, '|')
 }
 
-// move is one possible next step.
+// move is one possible transition.
 type move struct {
 	name string
 	do   func(w *world)
@@ -341,7 +341,7 @@
 	w.feed(i, RequestStarted{})
 }
 
-// feed gives an event to a submission's core and carries out its actions.
+// feed passes an event to a submission's state machine and carries out its actions.
 func (w *world) feed(i int, event Event) {
 	s := w.submissions[i]
 	s.request.options.NewAttempt = func() AttemptID {
@@ -379,8 +379,8 @@
 	return slices.IndexFunc(w.servers, func(h *ledgerHost) bool { return h.name == target.Server })
 }
 
-// pick is routing: a keyed submission goes to its home as the entry knows it,
-// any other to the first server that was not tried.
+// pick stands for routing: it selects the home known to the entry for a submission
+// with a key, and otherwise the first server that is not excluded.
 func (w *world) pick(i int, a Pick) {
 	s := w.submissions[i]
 	for n, h := range w.servers {
@@ -403,8 +403,8 @@
 	w.feed(i, NoTarget{Refusal{Code: CodeNoServer}})
 }
 
-// resume finds the attempt's frames at its host, or the host says that it has
-// no such stream.
+// resume sends the attempt's last frame if its host has the stream, and otherwise
+// reports the stream as broken.
 func (w *world) resume(i int, a OpenStream) {
 	h := w.servers[w.find(a.Target)]
 	if h.target() != a.Target.Incarnation || !h.ledger.Attach(a.Attempt) {
@@ -442,7 +442,7 @@
 	}
 }
 
-// open delivers a run message; a refusal comes back as a last frame.
+// open delivers a run message; the host replies to it with a last frame if it refuses.
 func (w *world) open(p packet) {
 	outcome, refusal := w.servers[p.Server].ledger.OpenStream(w.now, p.Attempt, p.Target)
 	if refusal != nil {
@@ -450,7 +450,7 @@
 	}
 }
 
-// lost tells the sender what it would see: no answer.
+// lost reports the loss of a packet to its sender, as a missing reply.
 func (w *world) lost(p packet) {
 	switch p.Kind {
 	case offerPacket, offerReply:
@@ -485,7 +485,7 @@
 	}
 }
 
-// violation returns which line of the specification the state breaks.
+// violation returns the name of the property that the state violates, or "".
 func (w *world) violation(repeatable bool) string {
 	if !repeatable && len(w.runs) > 1 {
 		return "once"
@@ -497,7 +497,7 @@
 		switch s.concluded.Outcome {
 		case NotRun:
 			for n, run := range w.runs {
-				// A submission of the same key that is sent later may run.
+				// A later submission of the same key may run.
 				if run.Submission <= i || n < s.concludeAt {
 					return "truth"
 				}
