--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -219,7 +219,7 @@
 
 // HoldPart books a part of a group reservation on an engine of this server.
 func (c *Core) HoldPart(now time.Time, reservation string, part memory.Part, expires time.Time) error {
-	if err := c.scheduler.Hold(now, part.Engine, reservation, part.Tokens); err != nil {
+	if err := c.scheduler.Reserve(now, part.Engine, reservation, part.Tokens); err != nil {
 		return err
 	}
 	err := c.leases.Grant(now, memory.Lease{Owner: reservation, Engine: part.Engine, Tokens: part.Tokens, Expires: expires})
--- a/core/scheduling/hold.go
+++ b/core/scheduling/hold.go
@@ -16,12 +16,12 @@
 	ErrNoMemory = errors.New("not enough free memory")
 )
 
-// Hold takes an engine's memory for a part of a group reservation. A second hold
+// Reserve takes an engine's memory for a part of a group reservation. A second hold
 // of the same name on the same engine does nothing. A refused one leaves a claim:
 // no isolated job takes the memory that becomes free while it lasts. Without it a
 // prompt that needs several engines would be overtaken for ever by prompts that
 // need one; and since a claim holds nothing, two of them can't block each other.
-func (s *Scheduler) Hold(now time.Time, engineName, reservation string, tokens int64) error {
+func (s *Scheduler) Reserve(now time.Time, engineName, reservation string, tokens int64) error {
 	e := s.engines[engineName]
 	if e == nil {
 		return fmt.Errorf("%w: %s", ErrNoEngine, engineName)
