--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -224,7 +224,7 @@
 	}
 	err := c.leases.Grant(now, memory.Lease{Owner: reservation, Engine: part.Engine, Tokens: part.Tokens, Expires: expires})
 	if err != nil {
-		c.scheduler.Unhold(now, reservation)
+		c.scheduler.Release(now, reservation)
 	}
 	return err
 }
@@ -232,6 +232,6 @@
 // ReleasePart gives a part back; it is idempotent.
 func (c *Core) ReleasePart(now time.Time, reservation string) []Effect {
 	c.leases.Release(now, reservation)
-	c.scheduler.Unhold(now, reservation)
+	c.scheduler.Release(now, reservation)
 	return c.schedule(now)
 }
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -179,7 +179,7 @@
 		effects = append(effects, c.end(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
 	}
 	for _, lease := range c.leases.Tick(now) {
-		c.scheduler.Unhold(now, lease.Owner)
+		c.scheduler.Release(now, lease.Owner)
 		effects = append(effects, LeaseExpired{lease})
 	}
 	effects = append(effects, c.tickGroups(now)...)
--- a/core/scheduling/hold.go
+++ b/core/scheduling/hold.go
@@ -45,10 +45,10 @@
 	since  time.Time
 }
 
-// Unhold gives a reservation's memory back. It is idempotent. One that is given
+// Release gives a reservation's memory back. It is idempotent. One that is given
 // back at once had been refused elsewhere and will be asked for again: it leaves
 // a claim, or the parts that were free would be taken meanwhile, in turn.
-func (s *Scheduler) Unhold(now time.Time, reservation string) {
+func (s *Scheduler) Release(now time.Time, reservation string) {
 	for _, e := range s.engines {
 		held, ok := e.holds[reservation]
 		if !ok {
