--- a/core/scheduling/hold.go
+++ b/core/scheduling/hold.go
@@ -12,8 +12,8 @@
 
 // Errors of Hold; they are wrapped with the engine.
 var (
-	ErrNoEngine = errors.New("no such engine")
-	ErrNoMemory = errors.New("not enough free memory")
+	ErrUnknownEngine = errors.New("no such engine")
+	ErrNoMemory      = errors.New("not enough free memory")
 )
 
 // Reserve takes an engine's memory for a part of a group reservation. A second hold
@@ -24,7 +24,7 @@
 func (s *Scheduler) Reserve(now time.Time, engineName, reservation string, tokens int64) error {
 	e := s.engines[engineName]
 	if e == nil {
-		return fmt.Errorf("%w: %s", ErrNoEngine, engineName)
+		return fmt.Errorf("%w: %s", ErrUnknownEngine, engineName)
 	}
 	if _, held := e.holds[reservation]; held {
 		return nil
