--- a/core/scheduling/hold.go
+++ b/core/scheduling/hold.go
@@ -12,8 +12,8 @@
 
 // Errors of Hold; they are wrapped with the engine.
 var (
-	ErrUnknownEngine = errors.New("no such engine")
-	ErrNoMemory      = errors.New("not enough free memory")
+	ErrUnknownEngine      = errors.New("no such engine")
+	ErrInsufficientMemory = errors.New("not enough free memory")
 )
 
 // Reserve takes an engine's memory for a part of a group reservation. A second hold
@@ -31,7 +31,7 @@
 	}
 	if !s.longMemoryFree(e, tokens) {
 		e.claimed, e.claimedUntil = tokens, now.Add(claimTime)
-		return fmt.Errorf("%w: %s", ErrNoMemory, engineName)
+		return fmt.Errorf("%w: %s", ErrInsufficientMemory, engineName)
 	}
 	e.claimed = 0
 	e.holds[reservation] = hold{tokens, now}
