--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -92,7 +92,7 @@
 	if !c.scheduler.Fits(job) {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "no engine here holds the prompt and its answer"}
 	}
-	predicted, ok := c.scheduler.Wait(now, job)
+	predicted, ok := c.scheduler.PredictFirstToken(now, job)
 	if !ok {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "no engine of the hall is here"}
 	}
--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -103,10 +103,10 @@
 // typicalMemory is the memory of the job that StartDelay is given for, in tokens.
 const typicalMemory = 4000
 
-// Wait predicts the time to first token of a job that arrived now: the prefill
+// PredictFirstToken predicts the time to first token of a job that arrived now: the prefill
 // work ahead of it at the same or a higher priority and its own, over the speed
 // that is left to its class.
-func (s *Scheduler) Wait(now time.Time, job Job) (time.Duration, bool) {
+func (s *Scheduler) PredictFirstToken(now time.Time, job Job) (time.Duration, bool) {
 	load := s.Load(now, job.Hall)
 	if load.Rate <= 0 {
 		return 0, false
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -203,7 +203,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Wait(start, job("x", 0, 1000))
+				s.PredictFirstToken(start, job("x", 0, 1000))
 			}
 		})
 	}
