--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -70,7 +70,7 @@
 
 // FirstToken tells that an attempt's answer has begun.
 func (c *Core) FirstToken(now time.Time, id execution.AttemptID) []Effect {
-	c.scheduler.FirstToken(now, id)
+	c.scheduler.RecordFirstToken(now, id)
 	return c.schedule(now)
 }
 
--- a/core/scheduling/scheduler.go
+++ b/core/scheduling/scheduler.go
@@ -121,8 +121,8 @@
 	delete(s.running, id)
 }
 
-// FirstToken says that the attempt's first token has arrived.
-func (s *Scheduler) FirstToken(now time.Time, id execution.AttemptID) {
+// RecordFirstToken says that the attempt's first token has arrived.
+func (s *Scheduler) RecordFirstToken(now time.Time, id execution.AttemptID) {
 	r, ok := s.running[id]
 	if !ok || !r.prefill {
 		return
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -58,7 +58,7 @@
 	}
 	require.Len(t, dispatched(s.Schedule(start)), 3)
 	for i := range 3 {
-		s.FirstToken(start, execution.AttemptID(fmt.Sprintf("long%d", i)))
+		s.RecordFirstToken(start, execution.AttemptID(fmt.Sprintf("long%d", i)))
 		s.Enqueue(start, job(fmt.Sprintf("short%d", i), 0, 100))
 	}
 	commands := s.Schedule(start)
@@ -78,7 +78,7 @@
 	s.Schedule(start)
 	s.Enqueue(start, job("medium1", 1, 90_000))
 	s.Schedule(start)
-	s.FirstToken(start, "medium1")
+	s.RecordFirstToken(start, "medium1")
 	s.Enqueue(start, job("medium2", 1, 90_000))
 	s.Enqueue(start, job("short", 0, 1_000))
 	require.Equal(t, []string{"short"}, dispatched(s.Schedule(start)))
@@ -164,7 +164,7 @@
 		s.Enqueue(now, job(string(id), 0, 4000))
 		s.Schedule(now)
 		now = now.Add(4 * time.Second) // 1,000 tokens a second
-		s.FirstToken(now, id)
+		s.RecordFirstToken(now, id)
 		s.Remove(now, id)
 	}
 	require.InDelta(t, 1000, s.Rate("h"), 20)
