--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -67,7 +67,7 @@
 	if _, fits := memory.Split(job.Memory(), GroupParts(c.snapshot, group)); !fits {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "the group's engines don't hold the prompt and its answer"}
 	}
-	rate := c.scheduler.Rate(group.Hall) * float64(len(group.Members))
+	rate := c.scheduler.MeanPrefillRate(group.Hall) * float64(len(group.Members))
 	own := prefillTime(job.PromptTokens, rate)
 	return c.checkLimits(now, offer, job, own+prefillTime(c.groupTokens(c.groups[offer.Group]), rate), own)
 }
@@ -80,7 +80,7 @@
 		if group.Hall != hall {
 			continue
 		}
-		load.Rate += c.scheduler.Rate(hall) * float64(len(group.Members))
+		load.Rate += c.scheduler.MeanPrefillRate(hall) * float64(len(group.Members))
 		load.Waiting += len(queue.waiting)
 		for _, id := range append(slices.Clone(queue.waiting), queue.asking, queue.running) {
 			if w := c.work[id]; w != nil {
--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -96,7 +96,7 @@
 	if !ok {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "no engine of the hall is here"}
 	}
-	return c.checkLimits(now, offer, job, predicted, prefillTime(job.PromptTokens, c.scheduler.Rate(job.Hall)))
+	return c.checkLimits(now, offer, job, predicted, prefillTime(job.PromptTokens, c.scheduler.MeanPrefillRate(job.Hall)))
 }
 
 func (c *Core) checkLimits(now time.Time, offer Offer, job scheduling.Job, predicted, own time.Duration) *execution.Refusal {
--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -112,7 +112,7 @@
 		return 0, false
 	}
 	left := s.rateLeft(now, job, load.Rate)
-	seconds := (float64(s.ahead(now, job))/load.Rate + float64(job.PromptTokens)/max(s.Rate(job.Hall), 1)) / left
+	seconds := (float64(s.ahead(now, job))/load.Rate + float64(job.PromptTokens)/max(s.MeanPrefillRate(job.Hall), 1)) / left
 	delay := s.startDelay(job.Hall, job.Memory())
 	return time.Duration(seconds*float64(time.Second)) + delay, true
 }
--- a/core/scheduling/scheduler.go
+++ b/core/scheduling/scheduler.go
@@ -80,16 +80,16 @@
 }
 
 func (s *Scheduler) prefillTime(job *Job) time.Duration {
-	rate := s.Rate(job.Hall)
+	rate := s.MeanPrefillRate(job.Hall)
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(job.PromptTokens) / rate * float64(time.Second))
 }
 
-// Rate returns the mean measured prefill speed of the hall's engines here, in
+// MeanPrefillRate returns the mean measured prefill speed of the hall's engines here, in
 // tokens a second.
-func (s *Scheduler) Rate(hall string) float64 {
+func (s *Scheduler) MeanPrefillRate(hall string) float64 {
 	sum, count := 0.0, 0
 	for _, e := range s.engines {
 		if e.spec.Hall == hall && e.spec.Slots > 0 {
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -167,7 +167,7 @@
 		s.RecordFirstToken(now, id)
 		s.Remove(now, id)
 	}
-	require.InDelta(t, 1000, s.Rate("h"), 20)
+	require.InDelta(t, 1000, s.MeanPrefillRate("h"), 20)
 }
 
 // BenchmarkSchedule: one job through a queue that holds others, of many
