--- a/core/backend/bench_test.go
+++ b/core/backend/bench_test.go
@@ -86,7 +86,7 @@
 	id := "01a237e5-d293-7eab-8636-93ac79049b86"
 	envelope := &wire.Envelope{Sender: "entry-palermo", Incarnation: id, Revision: 120_000, Digest: 1 << 60}
 	load := wire.FromLoad(now, scheduling.Load{Classes: []scheduling.ClassLoad{{Class: "short", QueuedTokens: 4000, Running: 8}, {Class: "long", QueuedTokens: 90_000, Running: 2}},
-		Rate: 64_000, Running: 10, Waiting: 3, FreeMemory: 900_000})
+		PrefillRate: 64_000, Running: 10, Waiting: 3, FreeMemory: 900_000})
 	for name, m := range map[string]proto.Message{
 		"offer": &wire.OfferRequest{Envelope: envelope, TargetIncarnation: id, Request: id, Attempt: id, Workspace: "scuole-palermo", Kind: "gloss", Hall: "versi-llm",
 			LengthClass: "short", PromptTokens: 3000, AnswerTokens: 400, ExpiresUnixMs: now.UnixMilli(), DeadlineUnixMs: now.UnixMilli()},
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -80,7 +80,7 @@
 		if group.Hall != hall {
 			continue
 		}
-		load.Rate += c.scheduler.MeanPrefillRate(hall) * float64(len(group.Members))
+		load.PrefillRate += c.scheduler.MeanPrefillRate(hall) * float64(len(group.Members))
 		load.Waiting += len(queue.waiting)
 		for _, id := range append(slices.Clone(queue.waiting), queue.asking, queue.running) {
 			if w := c.work[id]; w != nil {
--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -17,12 +17,12 @@
 // Load is a report of this server's work for one hall.
 type Load struct {
 	Classes []ClassLoad
-	// Rate is the prefill speed of all the hall's engines here together, in
+	// PrefillRate is the prefill speed of all the hall's engines here together, in
 	// tokens a second.
-	Rate       float64
-	Running    int
-	Waiting    int
-	FreeMemory int64
+	PrefillRate float64
+	Running     int
+	Waiting     int
+	FreeMemory  int64
 	// StartDelay is the wait of a short job for a slot and memory.
 	StartDelay time.Duration
 }
@@ -79,7 +79,7 @@
 		if hall != "" && e.spec.Hall != hall {
 			continue
 		}
-		load.Rate += e.rate
+		load.PrefillRate += e.rate
 		load.FreeMemory += e.spec.MemoryTokens - e.memory
 		for _, r := range e.running {
 			load.Running++
@@ -108,11 +108,11 @@
 // that is left to its class.
 func (s *Scheduler) PredictFirstToken(now time.Time, job Job) (time.Duration, bool) {
 	load := s.Load(now, job.Hall)
-	if load.Rate <= 0 {
+	if load.PrefillRate <= 0 {
 		return 0, false
 	}
-	left := s.rateLeft(now, job, load.Rate)
-	seconds := (float64(s.ahead(now, job))/load.Rate + float64(job.PromptTokens)/max(s.MeanPrefillRate(job.Hall), 1)) / left
+	left := s.rateLeft(now, job, load.PrefillRate)
+	seconds := (float64(s.ahead(now, job))/load.PrefillRate + float64(job.PromptTokens)/max(s.MeanPrefillRate(job.Hall), 1)) / left
 	delay := s.startDelay(job.Hall, job.Memory())
 	return time.Duration(seconds*float64(time.Second)) + delay, true
 }
--- a/core/wire/convert.go
+++ b/core/wire/convert.go
@@ -116,7 +116,7 @@
 
 // FromLoad translates a load report observed now.
 func FromLoad(now time.Time, load scheduling.Load) *Load {
-	m := &Load{PrefillTokensPerSecond: load.Rate, Running: int32(load.Running), Waiting: int32(load.Waiting),
+	m := &Load{PrefillTokensPerSecond: load.PrefillRate, Running: int32(load.Running), Waiting: int32(load.Waiting),
 		FreeMemoryTokens: load.FreeMemory, ObservedUnixMs: now.UnixMilli(), StartDelayMs: load.StartDelay.Milliseconds()}
 	for _, class := range load.Classes {
 		m.Classes = append(m.Classes, &ClassLoad{LengthClass: class.Class, QueuedTokens: class.QueuedTokens, Running: int32(class.Running)})
