--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -64,7 +64,7 @@
 	if !ok || group.Lead != c.options.Server {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "this daemon does not lead the group"}
 	}
-	if _, fits := memory.Split(job.Memory(), GroupParts(c.snapshot, group)); !fits {
+	if _, fits := memory.Split(job.MemoryTokens(), GroupParts(c.snapshot, group)); !fits {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "the group's engines don't hold the prompt and its answer"}
 	}
 	rate := c.scheduler.MeanPrefillRate(group.Hall) * float64(len(group.Members))
@@ -117,7 +117,7 @@
 	queue.asking = queue.waiting[0]
 	queue.waiting = queue.waiting[1:]
 	w := c.work[queue.asking]
-	parts, _ := memory.Split(w.job.Memory(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
+	parts, _ := memory.Split(w.job.MemoryTokens(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
 	queue.tries++
 	queue.reservation = reservationName(queue.asking, queue.tries)
 	return c.groupEffects(now, name, queue.reservations.Begin(now, queue.reservation, parts))
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if w.offer.Service == "" {
-		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: w.job.Memory()}
+		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: w.job.MemoryTokens()}
 		if err := c.leases.Grant(now, lease); err != nil {
 			c.cancelOwn(now, w)
 			return c.end(now, dispatch.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull,
--- a/core/scheduling/isolation.go
+++ b/core/scheduling/isolation.go
@@ -18,15 +18,15 @@
 			roomiest = e
 		}
 	}
-	if roomiest != nil && roomiest.free() < job.Memory() {
-		roomiest.claimed, roomiest.claimedUntil = job.Memory(), now.Add(claimTime)
+	if roomiest != nil && roomiest.free() < job.MemoryTokens() {
+		roomiest.claimed, roomiest.claimedUntil = job.MemoryTokens(), now.Add(claimTime)
 	}
 }
 
 // roomForIsolated leaves a part of the engine to shorter work. While none is
 // waiting the share widens to all slots but one, and Pause takes it back.
 func (s *Scheduler) roomForIsolated(e *engine, job *Job, isolated int) bool {
-	if e.claimed > 0 || e.oldestPaused() != nil || !s.longMemoryFree(e, job.Memory()) {
+	if e.claimed > 0 || e.oldestPaused() != nil || !s.longMemoryFree(e, job.MemoryTokens()) {
 		return false
 	}
 	limit := e.isolatedSlots()
--- a/core/scheduling/job.go
+++ b/core/scheduling/job.go
@@ -33,8 +33,8 @@
 	sequence uint64
 }
 
-// Memory is the KV memory that the job occupies while it runs.
-func (j *Job) Memory() int64 { return j.PromptTokens + j.AnswerTokens }
+// MemoryTokens is the KV memory that the job occupies while it runs.
+func (j *Job) MemoryTokens() int64 { return j.PromptTokens + j.AnswerTokens }
 
 // EngineSpec is one engine as configured.
 type EngineSpec struct {
--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -113,7 +113,7 @@
 	}
 	left := s.rateLeft(now, job, load.PrefillRate)
 	seconds := (float64(s.ahead(now, job))/load.PrefillRate + float64(job.PromptTokens)/max(s.MeanPrefillRate(job.Hall), 1)) / left
-	delay := s.startDelay(job.Hall, job.Memory())
+	delay := s.startDelay(job.Hall, job.MemoryTokens())
 	return time.Duration(seconds*float64(time.Second)) + delay, true
 }
 
--- a/core/scheduling/queue.go
+++ b/core/scheduling/queue.go
@@ -76,7 +76,7 @@
 	heap.Push(h, q)
 	b.arrival = append(b.arrival, q)
 	b.count++
-	b.memory += q.job.Memory()
+	b.memory += q.job.MemoryTokens()
 }
 
 func (b *band) remove(q *queued) {
@@ -87,7 +87,7 @@
 	}
 	q.index = -1
 	b.count--
-	b.memory -= q.job.Memory()
+	b.memory -= q.job.MemoryTokens()
 	b.trim()
 }
 
--- a/core/scheduling/scheduler.go
+++ b/core/scheduling/scheduler.go
@@ -116,7 +116,7 @@
 	s.settleCredit(now, r.engine)
 	r.engine.endPrefill(now, r, false)
 	r.engine.observeService(now.Sub(r.started))
-	r.engine.memory -= r.job.Memory()
+	r.engine.memory -= r.job.MemoryTokens()
 	delete(r.engine.running, id)
 	delete(s.running, id)
 }
@@ -201,7 +201,7 @@
 	if e.busySince.IsZero() {
 		e.busySince = now
 	}
-	e.memory += job.Memory()
+	e.memory += job.MemoryTokens()
 	e.running[job.Attempt] = r
 	s.running[job.Attempt] = r
 	return Dispatch{Attempt: job.Attempt, Engine: e.spec.Name, Priority: r.priority}
@@ -234,7 +234,7 @@
 
 func (s *Scheduler) roomFor(e *engine, job *Job) bool {
 	active, isolated := e.active()
-	if active >= e.spec.Slots || e.memory+job.Memory() > e.spec.MemoryTokens {
+	if active >= e.spec.Slots || e.memory+job.MemoryTokens() > e.spec.MemoryTokens {
 		return false
 	}
 	if s.options.Policy == FirstComeFirstServed {
@@ -265,7 +265,7 @@
 // Fits says whether the job could ever run on one engine of its hall here.
 func (s *Scheduler) Fits(job Job) bool {
 	for _, e := range s.engines {
-		if e.spec.Hall == job.Hall && e.spec.Slots > 0 && job.Memory() <= e.spec.MemoryTokens {
+		if e.spec.Hall == job.Hall && e.spec.Slots > 0 && job.MemoryTokens() <= e.spec.MemoryTokens {
 			return true
 		}
 	}
