--- a/core/scheduling/isolation.go
+++ b/core/scheduling/isolation.go
@@ -113,9 +113,9 @@
 		long.boosted = time.Time{}
 		return append(commands, SetPriority{Attempt: long.job.Attempt, Engine: e.spec.Name, Priority: long.priority})
 	}
-	if short && e.credit >= s.options.Slice {
-		e.credit -= s.options.Slice
-		long.boosted = now.Add(s.options.Slice)
+	if short && e.credit >= s.options.BoostDuration {
+		e.credit -= s.options.BoostDuration
+		long.boosted = now.Add(s.options.BoostDuration)
 		return append(commands, SetPriority{Attempt: long.job.Attempt, Engine: e.spec.Name, Priority: boostedPriority})
 	}
 	return commands
--- a/core/scheduling/job.go
+++ b/core/scheduling/job.go
@@ -69,8 +69,8 @@
 	// FloorShare is the part of prefill time that a long job gets while
 	// shorter prefills keep arriving.
 	FloorShare float64
-	// Slice is how long a long job keeps the raised priority.
-	Slice time.Duration
+	// BoostDuration is how long a long job keeps the raised priority.
+	BoostDuration time.Duration
 	// LongMemoryShare is the part of an engine's memory that isolated jobs and
 	// group reservations may hold.
 	LongMemoryShare float64
@@ -86,7 +86,7 @@
 		AgeBound:         5 * time.Second,
 		IsolatedAgeBound: 2 * time.Minute,
 		FloorShare:       0.1,
-		Slice:            50 * time.Millisecond,
+		BoostDuration:    50 * time.Millisecond,
 		LongMemoryShare:  config.LongMemoryShare,
 		Backlog:          150 * time.Millisecond,
 	}
--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -161,7 +161,7 @@
 		host(fmt.Sprintf("floor share %.2f", v), func(o *backend.Options) { o.Schedule.FloorShare = v })
 	}
 	for _, v := range []time.Duration{25, 100, 200} {
-		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.Slice = v * time.Millisecond })
+		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.BoostDuration = v * time.Millisecond })
 	}
 	for _, v := range []time.Duration{50, 300, 1000} {
 		host(fmt.Sprintf("backlog %d ms", v), func(o *backend.Options) { o.Schedule.Backlog = v * time.Millisecond })
