--- a/core/scheduling/job.go
+++ b/core/scheduling/job.go
@@ -74,21 +74,21 @@
 	// LongMemoryShare is the part of an engine's memory that isolated jobs and
 	// group reservations may hold.
 	LongMemoryShare float64
-	// Backlog bounds the prefill work of non-isolated jobs handed to an engine
+	// MaxPrefillBacklog bounds the prefill work of non-isolated jobs handed to an engine
 	// ahead of time, in seconds of its speed.
-	Backlog time.Duration
+	MaxPrefillBacklog time.Duration
 }
 
 // DefaultOptions returns the options used when the settings name none.
 func DefaultOptions() Options {
 	return Options{
-		Policy:           Isolating,
-		AgeBound:         5 * time.Second,
-		IsolatedAgeBound: 2 * time.Minute,
-		FloorShare:       0.1,
-		BoostDuration:    50 * time.Millisecond,
-		LongMemoryShare:  config.LongMemoryShare,
-		Backlog:          150 * time.Millisecond,
+		Policy:            Isolating,
+		AgeBound:          5 * time.Second,
+		IsolatedAgeBound:  2 * time.Minute,
+		FloorShare:        0.1,
+		BoostDuration:     50 * time.Millisecond,
+		LongMemoryShare:   config.LongMemoryShare,
+		MaxPrefillBacklog: 150 * time.Millisecond,
 	}
 }
 
--- a/core/scheduling/scheduler.go
+++ b/core/scheduling/scheduler.go
@@ -244,7 +244,7 @@
 		return s.roomForIsolated(e, job, isolated)
 	}
 	backlog := float64(e.prefillTokens(job.Rank)) / e.rate
-	return backlog == 0 || backlog < s.options.Backlog.Seconds()
+	return backlog == 0 || backlog < s.options.MaxPrefillBacklog.Seconds()
 }
 
 // Waiting returns the number of queued jobs.
--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -164,7 +164,7 @@
 		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.BoostDuration = v * time.Millisecond })
 	}
 	for _, v := range []time.Duration{50, 300, 1000} {
-		host(fmt.Sprintf("backlog %d ms", v), func(o *backend.Options) { o.Schedule.Backlog = v * time.Millisecond })
+		host(fmt.Sprintf("backlog %d ms", v), func(o *backend.Options) { o.Schedule.MaxPrefillBacklog = v * time.Millisecond })
 	}
 	for _, v := range []int{2, 8, 15} {
 		entry(fmt.Sprintf("candidates %d", v), func(o *frontend.Options) { o.Routing.Candidates = v })
