--- a/core/scheduling/isolation.go
+++ b/core/scheduling/isolation.go
@@ -90,7 +90,7 @@
 		return
 	}
 	if short && long.boosted.IsZero() {
-		e.credit += time.Duration(s.options.FloorShare * float64(elapsed))
+		e.credit += time.Duration(s.options.MinPrefillShare * float64(elapsed))
 	}
 }
 
--- a/core/scheduling/job.go
+++ b/core/scheduling/job.go
@@ -66,9 +66,9 @@
 	AgeBound time.Duration
 	// IsolatedAgeBound is the same for jobs of isolated classes.
 	IsolatedAgeBound time.Duration
-	// FloorShare is the part of prefill time that a long job gets while
+	// MinPrefillShare is the part of prefill time that a long job gets while
 	// shorter prefills keep arriving.
-	FloorShare float64
+	MinPrefillShare float64
 	// BoostDuration is how long a long job keeps the raised priority.
 	BoostDuration time.Duration
 	// LongMemoryShare is the part of an engine's memory that isolated jobs and
@@ -85,7 +85,7 @@
 		Policy:            Isolating,
 		AgeBound:          5 * time.Second,
 		IsolatedAgeBound:  2 * time.Minute,
-		FloorShare:        0.1,
+		MinPrefillShare:   0.1,
 		BoostDuration:     50 * time.Millisecond,
 		LongMemoryShare:   config.LongMemoryShare,
 		MaxPrefillBacklog: 150 * time.Millisecond,
--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -124,7 +124,7 @@
 	if hall == nil || s.options.Policy == FirstComeFirstServed {
 		return 1
 	}
-	return max(s.options.FloorShare, 1-hall.arrivingBefore(now, job.Rank)/rate)
+	return max(s.options.MinPrefillShare, 1-hall.arrivingBefore(now, job.Rank)/rate)
 }
 
 func (s *Scheduler) ahead(now time.Time, job Job) int64 {
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -110,7 +110,7 @@
 		}
 	}
 	share := raised.Seconds() / 10
-	require.InDelta(t, DefaultOptions().FloorShare, share, 0.05)
+	require.InDelta(t, DefaultOptions().MinPrefillShare, share, 0.05)
 }
 
 // One workspace floods the queue, another sends a little. Both get their part of
--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -158,7 +158,7 @@
 		host(fmt.Sprintf("long memory %.2f", v), func(o *backend.Options) { o.Schedule.LongMemoryShare = v })
 	}
 	for _, v := range []float64{0.02, 0.05, 0.2} {
-		host(fmt.Sprintf("floor share %.2f", v), func(o *backend.Options) { o.Schedule.FloorShare = v })
+		host(fmt.Sprintf("floor share %.2f", v), func(o *backend.Options) { o.Schedule.MinPrefillShare = v })
 	}
 	for _, v := range []time.Duration{25, 100, 200} {
 		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.BoostDuration = v * time.Millisecond })
