--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -77,8 +77,8 @@
 	Since func(server string) time.Time
 }
 
-// Reason says why a server was picked, for operators.
-type Reason struct {
+// Decision says why a server was picked, for operators.
+type Decision struct {
 	Server     string        `json:"server"`
 	Predicted  time.Duration `json:"predicted"`
 	Candidates []Candidate   `json:"candidates"`
@@ -213,10 +213,10 @@
 }
 
 // Pick chooses a server. It reports false if none may take the attempt.
-func (p *Picker) Pick(now time.Time, q Query, random *rand.Rand) (Reason, bool) {
+func (p *Picker) Pick(now time.Time, q Query, random *rand.Rand) (Decision, bool) {
 	pool := p.pools[q.Pool]
 	if pool == nil || len(pool.servers) == 0 {
-		return Reason{}, false
+		return Decision{}, false
 	}
 	switch p.options.Policy {
 	case Random:
@@ -242,17 +242,17 @@
 	return s.spec.MaxTokens == 0 || q.PromptTokens+q.AnswerTokens <= s.spec.MaxTokens
 }
 
-func pickFirst(now time.Time, pool *pool, q Query, from int) (Reason, bool) {
+func pickFirst(now time.Time, pool *pool, q Query, from int) (Decision, bool) {
 	for i := range pool.servers {
 		s := pool.servers[(from+i)%len(pool.servers)]
 		if usable(now, s, q) {
-			return Reason{Server: s.spec.Name}, true
+			return Decision{Server: s.spec.Name}, true
 		}
 	}
-	return Reason{}, false
+	return Decision{}, false
 }
 
-func pickLeast(now time.Time, pool *pool, q Query, from int) (Reason, bool) {
+func pickLeast(now time.Time, pool *pool, q Query, from int) (Decision, bool) {
 	var best *server
 	for i := range pool.servers {
 		s := pool.servers[(from+i)%len(pool.servers)]
@@ -261,7 +261,7 @@
 		}
 	}
 	if best == nil {
-		return Reason{}, false
+		return Decision{}, false
 	}
-	return Reason{Server: best.spec.Name}, true
+	return Decision{Server: best.spec.Name}, true
 }
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -20,7 +20,7 @@
 	return p
 }
 
-func pick(t *testing.T, p *Picker, at time.Time, q Query) Reason {
+func pick(t *testing.T, p *Picker, at time.Time, q Query) Decision {
 	t.Helper()
 	q.Pool = "hall"
 	if q.PromptTokens == 0 {
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -9,9 +9,9 @@
 // pickPredicted compares a few random candidates and the one that is expected to
 // hold the prefix. Comparing a few keeps the cost flat as the fleet grows, and
 // keeps entries with the same lagging reports from all choosing the same server.
-func (p *Picker) pickPredicted(now time.Time, pool *pool, q Query, random *rand.Rand) (Reason, bool) {
+func (p *Picker) pickPredicted(now time.Time, pool *pool, q Query, random *rand.Rand) (Decision, bool) {
 	holder, _ := p.affinity.get(q.Prefix)
-	var reason Reason
+	var reason Decision
 	best := time.Duration(-1)
 	consider := func(s *server) {
 		predicted := p.predict(now, pool, s, q, s.spec.Name == holder)
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -19,14 +19,14 @@
 	Service   string              `json:"service,omitempty"`
 	Class     string              `json:"class,omitempty"`
 	Tokens    int64               `json:"promptTokens"`
-	Picks     []routing.Reason    `json:"picks"`
+	Picks     []routing.Decision  `json:"picks"`
 	Outcome   string              `json:"outcome"`
 	Code      execution.Code      `json:"code,omitempty"`
 	Attempts  int                 `json:"attempts"`
 	Took      time.Duration       `json:"tookNs"`
 }
 
-func (r *Route) add(reason routing.Reason) { r.Picks = append(r.Picks, reason) }
+func (r *Route) add(reason routing.Decision) { r.Picks = append(r.Picks, reason) }
 
 // keptRoutes is the number of routes kept for operators.
 const keptRoutes = 500
