--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -128,7 +128,7 @@
 
 // Sent counts an attempt that is offered to a server.
 func (c *Core) Sent(now time.Time, q routing.Query, server string) {
-	c.picker.Sent(now, q.Pool, server, q)
+	c.picker.RecordSent(now, q.Pool, server, q)
 }
 
 // Ended counts the end of an attempt that Sent has counted.
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -17,7 +17,7 @@
 	p.Configure("hall", specs)
 	for _, spec := range specs {
 		p.Observe("hall", spec.Name, Report{Classes: []ClassTokens{{0, 4000}, {2, 90_000}}, Rate: 64000, Observed: now})
-		p.Sent(now, "hall", spec.Name, Query{PromptTokens: 2000})
+		p.RecordSent(now, "hall", spec.Name, Query{PromptTokens: 2000})
 	}
 	return p, now
 }
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -147,8 +147,8 @@
 	s.pending = kept
 }
 
-// Sent counts an own dispatch that no report shows yet.
-func (p *Picker) Sent(now time.Time, poolName, name string, q Query) {
+// RecordSent counts an own dispatch that no report shows yet.
+func (p *Picker) RecordSent(now time.Time, poolName, name string, q Query) {
 	s := p.find(poolName, name)
 	if s == nil {
 		return
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -43,7 +43,7 @@
 			p.Observe("hall", "idle", Report{Classes: []ClassTokens{{2, 900_000}}, Rate: 1000, Observed: now.Add(1)})
 		}, Query{}, "idle"},
 		{"own dispatches since the report count", func(p *Picker) {
-			p.Sent(now.Add(1), "hall", "idle", Query{PromptTokens: 9000})
+			p.RecordSent(now.Add(1), "hall", "idle", Query{PromptTokens: 9000})
 		}, Query{}, "busy"},
 		{"a prefix never overrides a queue", func(p *Picker) { p.affinity.put(7, "busy") }, Query{Prefix: 7}, "idle"},
 		{"a failure costs trust", func(p *Picker) {
