--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -132,7 +132,7 @@
 }
 
 // Ended counts the end of an attempt that Sent has counted.
-func (c *Core) Ended(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
+func (c *Core) Ended(q routing.Query, server string) { c.picker.RecordEnded(q.Pool, server) }
 
 // Observe takes in a load report.
 func (c *Core) Observe(pool, server string, report routing.Report) {
@@ -165,7 +165,7 @@
 		c.picker.Accepted(q.Pool, server)
 		return
 	}
-	c.picker.Ended(q.Pool, server)
+	c.picker.RecordEnded(q.Pool, server)
 	if answer.Refusal != nil && answer.Refusal.Code == execution.CodeQueueFull {
 		c.picker.Overloaded(now, q.Pool, server, answer.Refusal.RetryAfter)
 	}
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Ended counts an own dispatch as over.
-func (p *Picker) Ended(poolName, name string) {
+// RecordEnded counts an own dispatch as over.
+func (p *Picker) RecordEnded(poolName, name string) {
 	if s := p.find(poolName, name); s != nil && s.outstanding > 0 {
 		s.outstanding--
 	}
