--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -93,7 +93,7 @@
 // Failed takes in that a server could not be reached or broke off; pool may be
 // empty.
 func (c *Core) Failed(now time.Time, server, pool string) []membership.Change {
-	c.picker.Failed(now, pool, server)
+	c.picker.RecordFailure(now, pool, server)
 	return c.view.Failed(now, server)
 }
 
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// Failed lowers the trust in a server: a reset, a 5xx, a corrupt answer.
-func (p *Picker) Failed(now time.Time, poolName, name string) {
+// RecordFailure lowers the trust in a server: a reset, a 5xx, a corrupt answer.
+func (p *Picker) RecordFailure(now time.Time, poolName, name string) {
 	if s := p.find(poolName, name); s != nil {
 		s.distrust = s.distrustNow(now) + 1
 		s.distrustAt = now
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -48,7 +48,7 @@
 		{"a prefix never overrides a queue", func(p *Picker) { p.affinity.put(7, "busy") }, Query{Prefix: 7}, "idle"},
 		{"a failure costs trust", func(p *Picker) {
 			for range 20 {
-				p.Failed(now, "hall", "idle")
+				p.RecordFailure(now, "hall", "idle")
 			}
 		}, Query{}, "busy"},
 		{"overload costs pace, not trust", func(p *Picker) { p.Overloaded(now, "hall", "idle", time.Second) }, Query{}, "busy"},
