--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -167,7 +167,7 @@
 	}
 	c.picker.RecordEnded(q.Pool, server)
 	if answer.Refusal != nil && answer.Refusal.Code == execution.CodeQueueFull {
-		c.picker.Overloaded(now, q.Pool, server, answer.Refusal.RetryAfter)
+		c.picker.RecordOverload(now, q.Pool, server, answer.Refusal.RetryAfter)
 	}
 }
 
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -178,9 +178,9 @@
 	}
 }
 
-// Overloaded lowers the pace for a server that said it is full. It says nothing
+// RecordOverload lowers the pace for a server that said it is full. It says nothing
 // against its health, so trust stays as it is.
-func (p *Picker) Overloaded(now time.Time, poolName, name string, retryAfter time.Duration) {
+func (p *Picker) RecordOverload(now time.Time, poolName, name string, retryAfter time.Duration) {
 	s := p.find(poolName, name)
 	if s == nil {
 		return
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -51,7 +51,7 @@
 				p.RecordFailure(now, "hall", "idle")
 			}
 		}, Query{}, "busy"},
-		{"overload costs pace, not trust", func(p *Picker) { p.Overloaded(now, "hall", "idle", time.Second) }, Query{}, "busy"},
+		{"overload costs pace, not trust", func(p *Picker) { p.RecordOverload(now, "hall", "idle", time.Second) }, Query{}, "busy"},
 		{"an excluded server is not asked", func(*Picker) {}, Query{Exclude: []string{"idle"}}, "busy"},
 		{"an ineligible server is not asked", func(*Picker) {}, Query{Eligible: func(s string) bool { return s == "busy" }}, "busy"},
 		{"a wait for memory counts", func(p *Picker) {
@@ -82,8 +82,8 @@
 // refusal carries the true time to come back.
 func TestPickWhenAllAreFull(t *testing.T) {
 	p := twoServers()
-	p.Overloaded(now, "hall", "idle", time.Second)
-	p.Overloaded(now, "hall", "busy", time.Second)
+	p.RecordOverload(now, "hall", "idle", time.Second)
+	p.RecordOverload(now, "hall", "busy", time.Second)
 	pick(t, p, now, Query{})
 	_, ok := p.Pick(now, Query{Pool: "hall", Exclude: []string{"idle", "busy"}}, rand.New(rand.NewPCG(1, 1)))
 	require.False(t, ok)
