--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -162,7 +162,7 @@
 		c.picker.Observe(q.Pool, server, *answer.Report)
 	}
 	if answer.Verdict == execution.Accepted {
-		c.picker.Accepted(q.Pool, server)
+		c.picker.RecordAccepted(q.Pool, server)
 		return
 	}
 	c.picker.RecordEnded(q.Pool, server)
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -189,8 +189,8 @@
 	s.paceUntil = now.Add(min(max(s.paceStep, min(retryAfter, maxPace)), maxPace))
 }
 
-// Accepted ends the slower pace.
-func (p *Picker) Accepted(poolName, name string) {
+// RecordAccepted ends the slower pace.
+func (p *Picker) RecordAccepted(poolName, name string) {
 	if s := p.find(poolName, name); s != nil {
 		s.paceStep = 0
 	}
