--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -99,7 +99,7 @@
 
 // Awoke drops what was believed before the process was paused.
 func (c *Core) Awoke(now time.Time) []membership.Change {
-	c.picker.Expire()
+	c.picker.DiscardReports()
 	return c.view.Expire(now)
 }
 
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// Expire drops all load reports, after the process was paused.
-func (p *Picker) Expire() {
+// DiscardReports drops all load reports, after the process was paused.
+func (p *Picker) DiscardReports() {
 	for _, pool := range p.pools {
 		for _, s := range pool.servers {
 			s.report, s.pending = Report{}, nil
