--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -32,9 +32,9 @@
 	// ReportAge is the age from which an own dispatch that no report shows
 	// counts for nothing.
 	ReportAge time.Duration
-	// Relaxation is how fast a report loses its weight against the mean of all
+	// ReportDecayTime is how fast a report loses its weight against the mean of all
 	// reports: with each such time it falls to a third.
-	Relaxation time.Duration
+	ReportDecayTime time.Duration
 	// WarmUp is how long a server that was just heard of for the first time is
 	// spared from more than its share.
 	WarmUp time.Duration
@@ -53,7 +53,7 @@
 		LocalRoundTrip:  500 * time.Microsecond,
 		RemoteRoundTrip: 2500 * time.Microsecond,
 		ReportAge:       10 * time.Second,
-		Relaxation:      500 * time.Millisecond,
+		ReportDecayTime: 500 * time.Millisecond,
 		WarmUp:          3 * time.Second,
 		AffinitySize:    50_000,
 		PrefixSaving:    0.5,
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -127,7 +127,7 @@
 	weight := 0.0
 	if !s.report.Observed.IsZero() {
 		// Much work takes long to change: the report of it stays true longer.
-		lasting := p.options.Relaxation.Seconds() + reported/rate
+		lasting := p.options.ReportDecayTime.Seconds() + reported/rate
 		weight = math.Exp(-now.Sub(s.report.Observed).Seconds() / lasting)
 	}
 	mean := pool.meanUpTo(rank)
--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -173,7 +173,7 @@
 		entry(fmt.Sprintf("prefix saving %.2f", v), func(o *frontend.Options) { o.Routing.PrefixSaving = v })
 	}
 	for _, v := range []time.Duration{100, 2000, 1e6} {
-		entry(fmt.Sprintf("relaxation %d ms", v), func(o *frontend.Options) { o.Routing.Relaxation = v * time.Millisecond })
+		entry(fmt.Sprintf("relaxation %d ms", v), func(o *frontend.Options) { o.Routing.ReportDecayTime = v * time.Millisecond })
 	}
 	print(b, scenarios...)
 }
