--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -29,9 +29,9 @@
 	// LocalRoundTrip and RemoteRoundTrip are added to a prediction.
 	LocalRoundTrip  time.Duration
 	RemoteRoundTrip time.Duration
-	// ReportAge is the age from which an own dispatch that no report shows
+	// PendingMaxAge is the age from which an own dispatch that no report shows
 	// counts for nothing.
-	ReportAge time.Duration
+	PendingMaxAge time.Duration
 	// ReportDecayTime is how fast a report loses its weight against the mean of all
 	// reports: with each such time it falls to a third.
 	ReportDecayTime time.Duration
@@ -52,7 +52,7 @@
 		Candidates:      4,
 		LocalRoundTrip:  500 * time.Microsecond,
 		RemoteRoundTrip: 2500 * time.Microsecond,
-		ReportAge:       10 * time.Second,
+		PendingMaxAge:   10 * time.Second,
 		ReportDecayTime: 500 * time.Millisecond,
 		WarmUp:          3 * time.Second,
 		AffinitySize:    50_000,
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -133,7 +133,7 @@
 	mean := pool.meanUpTo(rank)
 	tokens := mean + weight*(reported-mean)
 	for _, d := range s.pending {
-		lasting := p.options.ReportAge + time.Duration(float64(d.tokens)/rate*float64(time.Second))
+		lasting := p.options.PendingMaxAge + time.Duration(float64(d.tokens)/rate*float64(time.Second))
 		if d.rank <= rank && now.Sub(d.at) < lasting {
 			tokens += float64(d.tokens)
 		}
