--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -121,7 +121,7 @@
 
 // Pick chooses a server and counts the work that it is about to be offered.
 func (c *Core) Pick(now time.Time, q routing.Query) (routing.Decision, execution.Target, bool) {
-	q.Eligible, q.Since = c.view.Eligible, c.view.Since
+	q.Eligible, q.FirstSeen = c.view.Eligible, c.view.Since
 	reason, ok := c.picker.Pick(now, q, c.random)
 	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
 }
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -73,8 +73,8 @@
 	Exclude []string
 	// Eligible is membership's word on a server.
 	Eligible func(server string) bool
-	// Since is when a server's present incarnation was first heard.
-	Since func(server string) time.Time
+	// FirstSeen is when a server's present incarnation was first heard.
+	FirstSeen func(server string) time.Time
 }
 
 // Decision says why a server was picked, for operators.
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -62,7 +62,7 @@
 		}, Query{PromptTokens: 1000}, "busy"},
 		{"a server that has just come up is spared", func(p *Picker) {
 			p.Observe("hall", "busy", Report{Classes: []ClassTokens{{0, 50}}, Rate: 1000, Observed: now.Add(1)})
-		}, Query{Since: func(s string) time.Time {
+		}, Query{FirstSeen: func(s string) time.Time {
 			if s == "idle" {
 				return now
 			}
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -99,7 +99,7 @@
 	seconds := ahead/rate + own*float64(max(s.spec.Engines, 1))/rate
 	predicted := time.Duration(seconds*float64(time.Second)) + p.roundTrip(s) + s.report.StartDelay
 	predicted += time.Duration(s.distrustNow(now) * float64(distrustCost))
-	if q.Since != nil && now.Sub(q.Since(s.spec.Name)) < p.options.WarmUp {
+	if q.FirstSeen != nil && now.Sub(q.FirstSeen(s.spec.Name)) < p.options.WarmUp {
 		predicted += warmUpCost
 	}
 	return predicted
