--- a/core/routing/server.go
+++ b/core/routing/server.go
@@ -117,14 +117,14 @@
 
 // ServerLoad is one row for operators.
 type ServerLoad struct {
-	Pool        string    `json:"pool"`
-	Server      string    `json:"server"`
-	Outstanding int       `json:"outstanding"`
-	Rate        float64   `json:"prefillTokensPerSecond"`
-	Waiting     int       `json:"waiting"`
-	Running     int       `json:"running"`
-	Observed    time.Time `json:"observed"`
-	Distrust    float64   `json:"distrust"`
+	Pool         string    `json:"pool"`
+	Server       string    `json:"server"`
+	Outstanding  int       `json:"outstanding"`
+	Rate         float64   `json:"prefillTokensPerSecond"`
+	Waiting      int       `json:"waiting"`
+	Running      int       `json:"running"`
+	Observed     time.Time `json:"observed"`
+	FailureScore float64   `json:"distrust"`
 }
 
 // Loads lists what is believed of every server.
@@ -134,7 +134,7 @@
 		for _, s := range pool.servers {
 			rows = append(rows, ServerLoad{Pool: name, Server: s.spec.Name, Outstanding: s.outstanding,
 				Rate: s.report.Rate, Waiting: s.report.Waiting, Running: s.report.Running,
-				Observed: s.report.Observed, Distrust: s.distrustNow(now)})
+				Observed: s.report.Observed, FailureScore: s.distrustNow(now)})
 		}
 	}
 	return rows
