--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -14,23 +14,23 @@
 // What can't be served in time is refused at once, with the time that its queue
 // needs to drain.
 func TestLimitsRefuseEarly(t *testing.T) {
-	ask := func(change func(*Ask)) Ask {
-		a := Ask{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, Own: 200 * time.Millisecond}
+	ask := func(change func(*Offer)) Offer {
+		a := Offer{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, Own: 200 * time.Millisecond}
 		change(&a)
 		return a
 	}
 	cases := []struct {
 		name  string
-		ask   Ask
+		ask   Offer
 		code  execution.Code
 		after time.Duration
 	}{
-		{"room", ask(func(*Ask) {}), "", 0},
-		{"long own work is no wait", ask(func(a *Ask) { a.Predicted, a.Own = 5*time.Second, 5*time.Second }), "", 0},
-		{"past the target", ask(func(a *Ask) { a.Predicted = 3200 * time.Millisecond }), execution.CodeQueueFull, 2 * time.Second},
-		{"past the deadline", ask(func(a *Ask) { a.Predicted, a.Own = 14*time.Second, 14*time.Second }), execution.CodeInfeasible, 4 * time.Second},
-		{"queue full", ask(func(a *Ask) { a.Waiting = 512 }), execution.CodeQueueFull, minRetryAfter},
-		{"too many open", ask(func(a *Ask) { a.Concurrency = 1 }), execution.CodeQueueFull, minRetryAfter},
+		{"room", ask(func(*Offer) {}), "", 0},
+		{"long own work is no wait", ask(func(a *Offer) { a.Predicted, a.Own = 5*time.Second, 5*time.Second }), "", 0},
+		{"past the target", ask(func(a *Offer) { a.Predicted = 3200 * time.Millisecond }), execution.CodeQueueFull, 2 * time.Second},
+		{"past the deadline", ask(func(a *Offer) { a.Predicted, a.Own = 14*time.Second, 14*time.Second }), execution.CodeInfeasible, 4 * time.Second},
+		{"queue full", ask(func(a *Offer) { a.Waiting = 512 }), execution.CodeQueueFull, minRetryAfter},
+		{"too many open", ask(func(a *Offer) { a.Concurrency = 1 }), execution.CodeQueueFull, minRetryAfter},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -42,8 +42,8 @@
 	return &Limits{options: options, open: map[string]int{}, demands: map[string]*demand{}}
 }
 
-// Ask is one offer as admission sees it.
-type Ask struct {
+// Offer is one offer as admission sees it.
+type Offer struct {
 	Workspace string
 	Entry     string
 	// Concurrency is the workspace's bound on open requests here; 0: none.
@@ -62,7 +62,7 @@
 // Check refuses what cannot be served in time. Refusing early costs the caller
 // one round trip; letting it wait would cost it its whole time and make every
 // request behind it late as well.
-func (l *Limits) Check(now time.Time, ask Ask) *execution.Refusal {
+func (l *Limits) Check(now time.Time, ask Offer) *execution.Refusal {
 	ahead := ask.Predicted - ask.Own
 	if ask.Concurrency > 0 && l.open[ask.Workspace] >= ask.Concurrency {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the workspace has its largest number of open requests here", RetryAfter: retryAfter(ahead)}
