--- a/entry/demo/demo.go
+++ b/entry/demo/demo.go
@@ -121,7 +121,7 @@
 		settings := host.Settings{Settings: common(written.Common), Engines: written.Engines, Services: written.Services, SchedulingPolicy: string(policy)}
 		daemonOptions := host.DefaultOptions(settings, process.Quiet(), audit.NewTrail(nil, audit.DefaultLimit))
 		if policy == scheduling.FirstComeFirstServed {
-			daemonOptions.Backend.Limits.Patience = patient
+			daemonOptions.Backend.Limits.WaitTolerance = patient
 		}
 		if err := host.New(daemonOptions).Start(t); err != nil {
 			return err
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -73,7 +73,7 @@
 		options.Schedule.Policy = h.lab.Scheduling
 	}
 	if h.lab.Patience != 0 {
-		options.Limits.Patience = h.lab.Patience
+		options.Limits.WaitTolerance = h.lab.Patience
 	}
 	if h.lab.TuneHost != nil {
 		h.lab.TuneHost(&options)
