--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -14,15 +14,15 @@
 	// WaitTolerance is how far beyond its first-token target a request may be
 	// predicted to start, as a factor of the target, before it is refused.
 	WaitTolerance float64
-	// MinPatience is the least time allowed by Patience.
-	MinPatience time.Duration
+	// MinWaitTolerance is the least time allowed by Patience.
+	MinWaitTolerance time.Duration
 	// DemandHalfLife is how fast the demand of each entry is forgotten.
 	DemandHalfLife time.Duration
 }
 
 // DefaultLimitOptions returns the options used when the settings name none.
 func DefaultLimitOptions() LimitOptions {
-	return LimitOptions{MaxWaiting: 512, WaitTolerance: 1, MinPatience: 100 * time.Millisecond, DemandHalfLife: 10 * time.Second}
+	return LimitOptions{MaxWaiting: 512, WaitTolerance: 1, MinWaitTolerance: 100 * time.Millisecond, DemandHalfLife: 10 * time.Second}
 }
 
 type demand struct {
@@ -73,7 +73,7 @@
 	if now.Add(ask.Predicted).After(ask.Deadline) {
 		return &execution.Refusal{Code: execution.CodeInfeasible, Detail: "the first token would come after the deadline", RetryAfter: retryAfter(now.Add(ask.Predicted).Sub(ask.Deadline))}
 	}
-	patience := max(time.Duration(l.options.WaitTolerance*float64(ask.Target)), l.options.MinPatience)
+	patience := max(time.Duration(l.options.WaitTolerance*float64(ask.Target)), l.options.MinWaitTolerance)
 	if ahead > patience {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the wait would exceed the first-token target", RetryAfter: retryAfter(ahead - patience)}
 	}
