--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -51,14 +51,14 @@
 type ShareOptions struct {
 	// Smoothing is the weight of a new hint in the share.
 	Smoothing float64
-	// HintAge is how long hints count. Without newer ones the share goes back
+	// HintTTL is how long hints count. Without newer ones the share goes back
 	// to an even part.
-	HintAge time.Duration
+	HintTTL time.Duration
 }
 
 // DefaultShareOptions returns the options used when the settings name none.
 func DefaultShareOptions() ShareOptions {
-	return ShareOptions{Smoothing: 0.1, HintAge: 10 * time.Second}
+	return ShareOptions{Smoothing: 0.1, HintTTL: 10 * time.Second}
 }
 
 type share struct {
@@ -125,7 +125,7 @@
 func (s *Shares) Part(now time.Time, workspace string) float64 {
 	found := s.of(workspace)
 	even := 1 / float64(s.entries)
-	if found.hinted.IsZero() || now.Sub(found.hinted) > s.options.HintAge {
+	if found.hinted.IsZero() || now.Sub(found.hinted) > s.options.HintTTL {
 		found.inverse = float64(s.entries)
 		return even
 	}
