--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -73,6 +73,6 @@
 	for range 200 {
 		s.Hint(start, "w", 1)
 	}
-	require.InDelta(t, 1, s.Part(start, "w"), 0.01)
-	require.InDelta(t, 0.25, s.Part(start.Add(11*time.Second), "w"), 0.01)
+	require.InDelta(t, 1, s.Fraction(start, "w"), 0.01)
+	require.InDelta(t, 0.25, s.Fraction(start.Add(11*time.Second), "w"), 0.01)
 }
--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -119,10 +119,10 @@
 // floorPart is the least part of an even share that an entry keeps.
 const floorPart = 0.1
 
-// Part returns this entry's part of the workspace's quota. An entry that hears
+// Fraction returns this entry's part of the workspace's quota. An entry that hears
 // no hints falls back to an even part: cut off, it cannot know that the others
 // are idle, and the sum over all entries stays at the quota.
-func (s *Shares) Part(now time.Time, workspace string) float64 {
+func (s *Shares) Fraction(now time.Time, workspace string) float64 {
 	found := s.of(workspace)
 	even := 1 / float64(s.entries)
 	if found.hinted.IsZero() || now.Sub(found.hinted) > s.options.HintTTL {
@@ -136,7 +136,7 @@
 // Admit takes a request out of the share, or says when to come back.
 func (s *Shares) Admit(now time.Time, workspace string, quota Quota, promptTokens int64) *execution.Refusal {
 	found := s.of(workspace)
-	part := s.Part(now, workspace)
+	part := s.Fraction(now, workspace)
 	wait := max(
 		waitFor(&found.requests, now, quota.RequestsPerSecond*part, 1),
 		waitFor(&found.tokens, now, quota.TokensPerSecond*part, float64(promptTokens)))
@@ -173,7 +173,7 @@
 func (s *Shares) Uses(now time.Time) []Use {
 	var rows []Use
 	for name, found := range s.shares {
-		rows = append(rows, Use{Workspace: name, Part: s.Part(now, name),
+		rows = append(rows, Use{Workspace: name, Part: s.Fraction(now, name),
 			Requests: finite(found.requests.level), Tokens: finite(found.tokens.level)})
 	}
 	return rows
