--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -169,8 +169,8 @@
 	Tokens    float64 `json:"tokensLeft"`
 }
 
-// Uses lists the workspaces that were seen.
-func (s *Shares) Uses(now time.Time) []Use {
+// Usage lists the workspaces that were seen.
+func (s *Shares) Usage(now time.Time) []Use {
 	var rows []Use
 	for name, found := range s.shares {
 		rows = append(rows, Use{Workspace: name, Part: s.Fraction(now, name),
