--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -161,8 +161,8 @@
 	return &execution.Refusal{Code: execution.CodeOverQuota, Detail: "the workspace's quota is used up", RetryAfter: wait}
 }
 
-// Use is one row for operators.
-type Use struct {
+// WorkspaceUsage is one row for operators.
+type WorkspaceUsage struct {
 	Workspace string  `json:"workspace"`
 	Part      float64 `json:"part"`
 	Requests  float64 `json:"requestsLeft"`
@@ -170,10 +170,10 @@
 }
 
 // Usage lists the workspaces that were seen.
-func (s *Shares) Usage(now time.Time) []Use {
-	var rows []Use
+func (s *Shares) Usage(now time.Time) []WorkspaceUsage {
+	var rows []WorkspaceUsage
 	for name, found := range s.shares {
-		rows = append(rows, Use{Workspace: name, Part: s.Fraction(now, name),
+		rows = append(rows, WorkspaceUsage{Workspace: name, Part: s.Fraction(now, name),
 			Requests: finite(found.requests.level), Tokens: finite(found.tokens.level)})
 	}
 	return rows
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -233,4 +233,4 @@
 func (c *Core) Loads(now time.Time) []routing.ServerLoad { return c.picker.Loads(now) }
 
 // Uses lists how the workspaces' quotas are used here.
-func (c *Core) Uses(now time.Time) []admission.Use { return c.shares.Usage(now) }
+func (c *Core) Uses(now time.Time) []admission.WorkspaceUsage { return c.shares.Usage(now) }
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -86,7 +86,7 @@
 	return s.core.Loads(time.Now())
 }
 
-func (s *Server) limitStatus() []admission.Use {
+func (s *Server) limitStatus() []admission.WorkspaceUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Uses(time.Now())
