--- a/core/admission/bytes.go
+++ b/core/admission/bytes.go
@@ -21,8 +21,8 @@
 	b.limit = limit
 }
 
-// Take reserves some bytes; false if there is no room.
-func (b *ByteBudget) Take(count int64) bool {
+// Reserve reserves some bytes; false if there is no room.
+func (b *ByteBudget) Reserve(count int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.held+count > b.limit {
--- a/core/admission/bytes_test.go
+++ b/core/admission/bytes_test.go
@@ -8,13 +8,13 @@
 
 func TestAByteBudgetHoldsItsLimit(t *testing.T) {
 	b := NewByteBudget(10)
-	require.True(t, b.Take(6))
-	require.False(t, b.Take(5))
-	require.True(t, b.Take(4))
+	require.True(t, b.Reserve(6))
+	require.False(t, b.Reserve(5))
+	require.True(t, b.Reserve(4))
 	b.SetLimit(3)
 	require.EqualValues(t, 10, b.Held(), "what is held beyond a new limit stays")
 	b.Give(8)
-	require.False(t, b.Take(2))
-	require.True(t, b.Take(1))
+	require.False(t, b.Reserve(2))
+	require.True(t, b.Reserve(1))
 	require.EqualValues(t, 3, b.Held())
 }
--- a/entry/gateway/held.go
+++ b/entry/gateway/held.go
@@ -49,7 +49,7 @@
 }
 
 func (b *heldBody) reserve(count int64) bool {
-	if !b.budget.Take(count) {
+	if !b.budget.Reserve(count) {
 		return false
 	}
 	b.taken += count
--- a/entry/server/body.go
+++ b/entry/server/body.go
@@ -32,7 +32,7 @@
 	if size < 0 {
 		size = limit
 	}
-	if !budget.Take(size) {
+	if !budget.Reserve(size) {
 		return nil, nil, errNoRoom
 	}
 	var once sync.Once
