--- a/core/admission/bytes.go
+++ b/core/admission/bytes.go
@@ -32,8 +32,8 @@
 	return true
 }
 
-// Give returns bytes that were taken.
-func (b *ByteBudget) Give(count int64) {
+// Release returns bytes that were taken.
+func (b *ByteBudget) Release(count int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.held -= count
--- a/entry/gateway/held.go
+++ b/entry/gateway/held.go
@@ -58,7 +58,7 @@
 
 // release gives back what the body has reserved.
 func (b *heldBody) release() {
-	b.budget.Give(b.taken)
+	b.budget.Release(b.taken)
 	b.taken = 0
 }
 
--- a/entry/server/body.go
+++ b/entry/server/body.go
@@ -36,7 +36,7 @@
 		return nil, nil, errNoRoom
 	}
 	var once sync.Once
-	release = func() { once.Do(func() { budget.Give(size) }) }
+	release = func() { once.Do(func() { budget.Release(size) }) }
 	data, err = readAll(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if err == nil {
 		return data, release, nil
