--- a/core/admission/bytes.go
+++ b/core/admission/bytes.go
@@ -39,8 +39,8 @@
 	b.held -= count
 }
 
-// Held is how many bytes are taken.
-func (b *ByteBudget) Held() int64 {
+// Reserved is how many bytes are taken.
+func (b *ByteBudget) Reserved() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
--- a/core/admission/bytes_test.go
+++ b/core/admission/bytes_test.go
@@ -12,9 +12,9 @@
 	require.False(t, b.Reserve(5))
 	require.True(t, b.Reserve(4))
 	b.SetLimit(3)
-	require.EqualValues(t, 10, b.Held(), "what is held beyond a new limit stays")
+	require.EqualValues(t, 10, b.Reserved(), "what is held beyond a new limit stays")
 	b.Release(8)
 	require.False(t, b.Reserve(2))
 	require.True(t, b.Reserve(1))
-	require.EqualValues(t, 3, b.Held())
+	require.EqualValues(t, 3, b.Reserved())
 }
--- a/entry/gateway/held_test.go
+++ b/entry/gateway/held_test.go
@@ -96,7 +96,7 @@
 			}
 			refused := func() int { return len(statuses) }
 			w.eventually("the others are refused", func() bool { return refused()+len(worker.Runs()) == callers })
-			require.LessOrEqual(t, s.bodies.Held(), room)
+			require.LessOrEqual(t, s.bodies.Reserved(), room)
 			require.LessOrEqual(t, len(worker.Runs()), int(room/bodyBytes))
 			if length > 0 {
 				require.Len(t, worker.Runs(), int(room/bodyBytes))
@@ -108,7 +108,7 @@
 			for range len(worker.Runs()) {
 				require.Equal(t, 200, <-statuses)
 			}
-			w.eventually("all room is back", func() bool { return s.bodies.Held() == 0 })
+			w.eventually("all room is back", func() bool { return s.bodies.Reserved() == 0 })
 		})
 	}
 }
