--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -15,8 +15,8 @@
 type GroupAction interface{ groupAction() }
 
 type (
-	// Ask requests one part from its host daemon.
-	Ask struct {
+	// ReservePart requests one part from its host daemon.
+	ReservePart struct {
 		Reservation string
 		Part        Part
 		Expires     time.Time
@@ -32,7 +32,7 @@
 	GroupRefused struct{ Reservation string }
 )
 
-func (Ask) groupAction()          {}
+func (ReservePart) groupAction()  {}
 func (GiveBack) groupAction()     {}
 func (GroupReady) groupAction()   {}
 func (GroupRefused) groupAction() {}
@@ -72,7 +72,7 @@
 func (r *reservation) ask(id string) []GroupAction {
 	var actions []GroupAction
 	for _, part := range r.parts {
-		actions = append(actions, Ask{Reservation: id, Part: part, Expires: r.expires})
+		actions = append(actions, ReservePart{Reservation: id, Part: part, Expires: r.expires})
 	}
 	return actions
 }
