--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -169,7 +169,7 @@
 		switch a := action.(type) {
 		case memory.ReservePart:
 			effects = append(effects, AskPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
-		case memory.GiveBack:
+		case memory.ReleasePart:
 			effects = append(effects, GiveBackPart(a))
 		case memory.GroupReady:
 			effects = append(effects, c.startGroup(a.Reservation)...)
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -21,8 +21,8 @@
 		Part        Part
 		Expires     time.Time
 	}
-	// GiveBack releases one part; it is idempotent.
-	GiveBack struct {
+	// ReleasePart releases one part; it is idempotent.
+	ReleasePart struct {
 		Reservation string
 		Part        Part
 	}
@@ -33,7 +33,7 @@
 )
 
 func (ReservePart) groupAction()  {}
-func (GiveBack) groupAction()     {}
+func (ReleasePart) groupAction()  {}
 func (GroupReady) groupAction()   {}
 func (GroupRefused) groupAction() {}
 
@@ -84,7 +84,7 @@
 	if r == nil {
 		if granted {
 			// The reservation is over; a late grant must not linger.
-			return []GroupAction{GiveBack{id, part}}
+			return []GroupAction{ReleasePart{id, part}}
 		}
 		return nil
 	}
@@ -112,7 +112,7 @@
 	delete(g.current, id)
 	var actions []GroupAction
 	for _, part := range r.parts {
-		actions = append(actions, GiveBack{id, part})
+		actions = append(actions, ReleasePart{id, part})
 	}
 	return actions
 }
--- a/proof/matrix/groups_test.go
+++ b/proof/matrix/groups_test.go
@@ -63,7 +63,7 @@
 	parts := []memory.Part{{Server: "a", Engine: "e0", Tokens: 5}, {Server: "b", Engine: "e0", Tokens: 5}}
 	require.Len(t, group.Begin(lab.Epoch, "r", parts), 2)
 	require.Contains(t, group.Answered("r", parts[0], false), memory.GroupRefused{Reservation: "r"})
-	require.Equal(t, []memory.GroupAction{memory.GiveBack{Reservation: "r", Part: parts[1]}}, group.Answered("r", parts[1], true))
+	require.Equal(t, []memory.GroupAction{memory.ReleasePart{Reservation: "r", Part: parts[1]}}, group.Answered("r", parts[1], true))
 }
 
 // A host is cut off in mid-stream; no reset reaches the entry. The silence is
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -71,7 +71,7 @@
 	{"offers lapse", "core/execution/ledger.go", "	a.phase, a.outcome, a.expiresAt = Tombstoned, NotRun, now.Add(l.options.Retention)\n	delete(l.open, id)\n}", "}", matrixPkg, matrix},
 	{"orphans are cancelled", "core/memory/recovery.go", "		if now.Sub(since) >= r.grace {", "		if false && now.Sub(since) >= r.grace {", matrixPkg, matrix},
 	{"parts of a group end by themselves", "core/memory/leases.go", "		if !lease.Expires.IsZero() && !now.Before(lease.Expires) {", "		if false {", matrixPkg, matrix},
-	{"a late grant is given back", "core/memory/group.go", "			return []GroupAction{GiveBack{id, part}}", "			return nil", matrixPkg, "TestGroups|" + matrix},
+	{"a late grant is given back", "core/memory/group.go", "			return []GroupAction{ReleasePart{id, part}}", "			return nil", matrixPkg, "TestGroups|" + matrix},
 	{"a leaving server refuses", "core/execution/ledger.go", "	case l.draining:", "	case false:", execution, "TestLedger"},
 	{"silence ends a stream", "core/wire/frames.go", "	StreamIdle        = 4 * time.Second", "	StreamIdle        = 4000 * time.Second", matrixPkg, "TestSilence"},
 	{"configuration never back", "core/config/store.go", "	if previous == nil || revision > previous.Revision {", "	if previous == nil || revision != previous.Revision {", configPkg, "TestStoreNeverGoesBack"},
