--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -160,7 +160,7 @@
 
 // PartAnswered takes in a member's answer to AskPart; a lost one is a refusal.
 func (c *Core) PartAnswered(now time.Time, ask AskPart, granted bool) []Effect {
-	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.Answered(ask.Reservation, ask.Part, granted))
+	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.OnReply(ask.Reservation, ask.Part, granted))
 }
 
 func (c *Core) groupEffects(now time.Time, group string, actions []memory.GroupAction) []Effect {
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -77,9 +77,9 @@
 	return actions
 }
 
-// Answered takes in the answer to one Ask. A lost answer counts as a refusal:
+// OnReply takes in the answer to one Ask. A lost answer counts as a refusal:
 // the part may be held, and is given back with the others.
-func (g *Group) Answered(id string, part Part, granted bool) []GroupAction {
+func (g *Group) OnReply(id string, part Part, granted bool) []GroupAction {
 	r := g.current[id]
 	if r == nil {
 		if granted {
