--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -135,7 +135,7 @@
 		return nil
 	}
 	queue.asking, queue.running = "", ""
-	effects := c.groupEffects(now, w.offer.Group, queue.reservations.End(queue.reservation))
+	effects := c.groupEffects(now, w.offer.Group, queue.reservations.Release(queue.reservation))
 	return append(effects, c.nextOfGroup(now, w.offer.Group)...)
 }
 
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	if !granted {
-		return append(g.End(id), GroupRefused{id})
+		return append(g.Release(id), GroupRefused{id})
 	}
 	for i := range r.parts {
 		if r.parts[i] == part && !r.granted[i] {
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// End gives a reservation back.
-func (g *Group) End(id string) []GroupAction {
+// Release gives a reservation back.
+func (g *Group) Release(id string) []GroupAction {
 	r := g.current[id]
 	if r == nil {
 		return nil
@@ -127,7 +127,7 @@
 		}
 		if r.count < len(r.parts) {
 			if !now.Before(r.expires) {
-				actions = append(actions, append(g.End(id), GroupRefused{id})...)
+				actions = append(actions, append(g.Release(id), GroupRefused{id})...)
 			}
 			continue
 		}
