--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -120,7 +120,7 @@
 	parts, _ := memory.Split(w.job.MemoryTokens(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
 	queue.tries++
 	queue.reservation = reservationName(queue.asking, queue.tries)
-	return c.groupEffects(now, name, queue.reservations.Begin(now, queue.reservation, parts))
+	return c.groupEffects(now, name, queue.reservations.Reserve(now, queue.reservation, parts))
 }
 
 // endGroup takes an attempt out of its group and gives its parts back.
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -59,8 +59,8 @@
 	return &Group{life: life, current: map[string]*reservation{}}
 }
 
-// Begin starts a reservation. A second one of the same name does nothing.
-func (g *Group) Begin(now time.Time, id string, parts []Part) []GroupAction {
+// Reserve starts a reservation. A second one of the same name does nothing.
+func (g *Group) Reserve(now time.Time, id string, parts []Part) []GroupAction {
 	if g.current[id] != nil {
 		return nil
 	}
--- a/proof/matrix/groups_test.go
+++ b/proof/matrix/groups_test.go
@@ -61,7 +61,7 @@
 func TestGroupsGiveBackALateGrant(t *testing.T) {
 	group := memory.NewGroup(6 * time.Second)
 	parts := []memory.Part{{Server: "a", Engine: "e0", Tokens: 5}, {Server: "b", Engine: "e0", Tokens: 5}}
-	require.Len(t, group.Begin(lab.Epoch, "r", parts), 2)
+	require.Len(t, group.Reserve(lab.Epoch, "r", parts), 2)
 	require.Contains(t, group.OnReply("r", parts[0], false), memory.GroupRefused{Reservation: "r"})
 	require.Equal(t, []memory.GroupAction{memory.ReleasePart{Reservation: "r", Part: parts[1]}}, group.OnReply("r", parts[1], true))
 }
