--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -14,8 +14,8 @@
 
 // Errors of Leases; they are wrapped with the engine and sizes.
 var (
-	ErrNoEngine = errors.New("no such engine")
-	ErrFull     = errors.New("not enough free memory")
+	ErrUnknownEngine = errors.New("no such engine")
+	ErrFull          = errors.New("not enough free memory")
 )
 
 // Lease is memory of one engine held for one owner.
@@ -57,7 +57,7 @@
 func (l *Leases) Grant(now time.Time, lease Lease) error {
 	capacity, ok := l.capacity[lease.Engine]
 	if !ok {
-		return fmt.Errorf("%w: %s", ErrNoEngine, lease.Engine)
+		return fmt.Errorf("%w: %s", ErrUnknownEngine, lease.Engine)
 	}
 	if _, gone := l.released[lease.Owner]; gone {
 		return fmt.Errorf("%w: %s was released already", ErrFull, lease.Owner)
