--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -14,8 +14,8 @@
 
 // Errors of Leases; they are wrapped with the engine and sizes.
 var (
-	ErrUnknownEngine = errors.New("no such engine")
-	ErrFull          = errors.New("not enough free memory")
+	ErrUnknownEngine      = errors.New("no such engine")
+	ErrInsufficientMemory = errors.New("not enough free memory")
 )
 
 // Lease is memory of one engine held for one owner.
@@ -60,7 +60,7 @@
 		return fmt.Errorf("%w: %s", ErrUnknownEngine, lease.Engine)
 	}
 	if _, gone := l.released[lease.Owner]; gone {
-		return fmt.Errorf("%w: %s was released already", ErrFull, lease.Owner)
+		return fmt.Errorf("%w: %s was released already", ErrInsufficientMemory, lease.Owner)
 	}
 	key := leaseKey{lease.Owner, lease.Engine}
 	if held, ok := l.leases[key]; ok {
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if used := l.Used(lease.Engine); used+lease.Tokens > capacity {
-		return fmt.Errorf("%w on %s: %d of %d tokens are used, %d are asked for", ErrFull, lease.Engine, used, capacity, lease.Tokens)
+		return fmt.Errorf("%w on %s: %d of %d tokens are used, %d are asked for", ErrInsufficientMemory, lease.Engine, used, capacity, lease.Tokens)
 	}
 	l.leases[key] = lease
 	return nil
--- a/core/memory/memory_test.go
+++ b/core/memory/memory_test.go
@@ -47,7 +47,7 @@
 	l := NewLeases()
 	l.Configure(map[string]int64{"e0": 100})
 	l.Release(start, "r")
-	require.ErrorIs(t, l.Grant(start, Lease{Owner: "r", Engine: "e0", Tokens: 10}), ErrFull)
+	require.ErrorIs(t, l.Grant(start, Lease{Owner: "r", Engine: "e0", Tokens: 10}), ErrInsufficientMemory)
 	require.ErrorIs(t, l.Grant(start, Lease{Owner: "x", Engine: "e9", Tokens: 10}), ErrUnknownEngine)
 	l.Tick(start.Add(2 * time.Minute))
 	require.NoError(t, l.Grant(start.Add(2*time.Minute), Lease{Owner: "r", Engine: "e0", Tokens: 10}))
