--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Adopt books memory that an engine already holds for a stream that was found
+// AdoptOrphan books memory that an engine already holds for a stream that was found
 // after a start. It may exceed the capacity, because it is a fact.
-func (l *Leases) Adopt(lease Lease) {
+func (l *Leases) AdoptOrphan(lease Lease) {
 	lease.Orphan = true
 	l.leases[leaseKey{lease.Owner, lease.Engine}] = lease
 }
--- a/core/memory/recovery.go
+++ b/core/memory/recovery.go
@@ -43,7 +43,7 @@
 		since, known := r.found[key]
 		if !known {
 			r.found[key] = now
-			r.leases.Adopt(Lease{Owner: stream.ID, Engine: engine, Tokens: stream.Tokens, Expires: now.Add(2 * r.grace)})
+			r.leases.AdoptOrphan(Lease{Owner: stream.ID, Engine: engine, Tokens: stream.Tokens, Expires: now.Add(2 * r.grace)})
 			continue
 		}
 		if now.Sub(since) >= r.grace {
