--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -150,7 +150,7 @@
 
 // reserved says whether a stream's owner holds a part of an engine here.
 func (c *Core) reserved(engine, stream string) bool {
-	for _, lease := range c.leases.Held() {
+	for _, lease := range c.leases.List() {
 		if lease.Engine == engine && !lease.Orphan && attemptOf(lease.Owner) == execution.AttemptID(stream) {
 			return true
 		}
--- a/core/backend/status.go
+++ b/core/backend/status.go
@@ -42,7 +42,7 @@
 
 // Memory returns the leases.
 func (c *Core) Memory() MemoryStatus {
-	return MemoryStatus{Leases: c.leases.Held(), Orphans: c.recovery.Orphans()}
+	return MemoryStatus{Leases: c.leases.List(), Orphans: c.recovery.Orphans()}
 }
 
 // Engines returns the state of orders.
--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// Held lists the leases by engine and owner.
-func (l *Leases) Held() []Lease {
+// List lists the leases by engine and owner.
+func (l *Leases) List() []Lease {
 	rows := slices.Collect(maps.Values(l.leases))
 	slices.SortFunc(rows, func(a, b Lease) int {
 		return cmp.Or(cmp.Compare(a.Engine, b.Engine), cmp.Compare(a.Owner, b.Owner))
--- a/core/memory/memory_test.go
+++ b/core/memory/memory_test.go
@@ -37,7 +37,7 @@
 			require.LessOrEqual(t, l.Used("e1"), int64(50))
 		}
 		l.Tick(now.Add(time.Minute))
-		require.Empty(t, l.Held())
+		require.Empty(t, l.List())
 	})
 }
 
