--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Wanted is the state that the configuration asks of an engine.
-type Wanted struct {
+// EngineState is the state that the configuration asks of an engine.
+type EngineState struct {
 	Model    string
 	Version  string
 	Adapters []string
@@ -21,18 +21,18 @@
 }
 
 // Equal compares two wanted states.
-func (w Wanted) Equal(other Wanted) bool {
+func (w EngineState) Equal(other EngineState) bool {
 	return w.Model == other.Model && w.Version == other.Version && w.Role == other.Role &&
 		slices.Equal(w.Adapters, other.Adapters)
 }
 
-func (w Wanted) String() string {
+func (w EngineState) String() string {
 	return fmt.Sprintf("%s@%s %v %s", w.Model, w.Version, w.Adapters, w.Role)
 }
 
 // Observed is what an engine reports.
 type Observed struct {
-	State Wanted
+	State EngineState
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
 	// Busy says that an order is still being carried out.
@@ -44,7 +44,7 @@
 	Engine   string
 	Fence    uint64
 	Revision uint64
-	Wanted   Wanted
+	Wanted   EngineState
 	// Loads says that weights have to be read from the weight store.
 	Loads bool
 }
@@ -75,7 +75,7 @@
 }
 
 type engine struct {
-	wanted        Wanted
+	wanted        EngineState
 	checksFencing bool
 	observed      Observed
 	observedAt    time.Time
@@ -101,7 +101,7 @@
 
 // Spec is one engine as configured.
 type Spec struct {
-	Wanted        Wanted
+	Wanted        EngineState
 	ChecksFencing bool
 }
 
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -10,7 +10,9 @@
 
 var start = time.Unix(3_000, 0)
 
-func wanted(version string) Wanted { return Wanted{Model: "m", Version: version, Role: "both"} }
+func wanted(version string) EngineState {
+	return EngineState{Model: "m", Version: version, Role: "both"}
+}
 
 func reconciler(checks bool) *Reconciler {
 	options := DefaultOptions()
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -31,7 +31,7 @@
 // Engine is one stand-in engine in virtual time.
 type Engine struct {
 	Model   *engine.Model
-	State   orders.Wanted
+	State   orders.EngineState
 	Fence   uint64
 	ticking bool
 	sinks   map[string]func(engine.Token)
@@ -58,7 +58,7 @@
 		model.MemoryTokens = spec.MemoryTokens
 		hall := l.Snapshot.Halls[spec.Hall]
 		h.Engines[engineName] = &Engine{Model: engine.NewModel(model), sinks: map[string]func(engine.Token){},
-			State: orders.Wanted{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: spec.Role}}
+			State: orders.EngineState{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: spec.Role}}
 	}
 	h.Start()
 	return h
