--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -188,7 +188,7 @@
 
 // ObserveEngine takes in what an engine reports of itself and returns the
 // streams to cancel that no living daemon owns.
-func (c *Core) ObserveEngine(asked time.Time, engine string, observed orders.Observed, streams []memory.EngineStream) []Effect {
+func (c *Core) ObserveEngine(asked time.Time, engine string, observed orders.Observation, streams []memory.EngineStream) []Effect {
 	c.orders.Observe(asked, engine, observed)
 	var effects []Effect
 	owned := func(stream string) bool { return c.owns(engine, stream) }
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%s@%s %v %s", w.Model, w.Version, w.Adapters, w.Role)
 }
 
-// Observed is what an engine reports.
-type Observed struct {
+// Observation is what an engine reports.
+type Observation struct {
 	State EngineState
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
@@ -77,7 +77,7 @@
 type engine struct {
 	wanted        EngineState
 	checksFencing bool
-	observed      Observed
+	observed      Observation
 	observedAt    time.Time
 	inFlight      bool
 	fence         uint64 // highest number used or seen
@@ -153,7 +153,7 @@
 }
 
 // Observe takes in what an engine reports.
-func (r *Reconciler) Observe(now time.Time, name string, observed Observed) {
+func (r *Reconciler) Observe(now time.Time, name string, observed Observation) {
 	e := r.engines[name]
 	if e == nil {
 		return
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -28,15 +28,15 @@
 func TestReconcilerOrdersOnce(t *testing.T) {
 	r := reconciler(true)
 	require.Empty(t, r.Due(later), "an engine that was not looked at gets no order")
-	r.Observe(later, "e0", Observed{State: wanted("1"), Fence: 40})
+	r.Observe(later, "e0", Observation{State: wanted("1"), Fence: 40})
 	due := r.Due(later)
 	require.Len(t, due, 1)
 	require.Equal(t, uint64(41), due[0].Fence, "above what the engine last saw")
-	r.Observe(later.Add(time.Second), "e0", Observed{State: wanted("1"), Fence: 40})
+	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("1"), Fence: 40})
 	require.Empty(t, r.Due(later.Add(time.Second)), "one at a time")
 	r.Settled(later.Add(2*time.Second), "e0", Done, 0)
 	require.Empty(t, r.Due(later.Add(2*time.Second)), "after an order the engine is looked at afresh")
-	r.Observe(later.Add(3*time.Second), "e0", Observed{State: wanted("2"), Fence: 41})
+	r.Observe(later.Add(3*time.Second), "e0", Observation{State: wanted("2"), Fence: 41})
 	require.Empty(t, r.Due(later.Add(3*time.Second)), "it is as wanted")
 	require.True(t, r.Matches("e0"))
 }
@@ -45,12 +45,12 @@
 // under way. The later one wins; its number is above the first's.
 func TestReconcilerTwoOperatorsRace(t *testing.T) {
 	r := reconciler(true)
-	r.Observe(later, "e0", Observed{State: wanted("1")})
+	r.Observe(later, "e0", Observation{State: wanted("1")})
 	first := r.Due(later)
 	r.Configure(later, 8, map[string]Spec{"e0": {Wanted: wanted("3"), ChecksFencing: true}}, []string{"a/e0"})
 	r.Configure(later, 7, map[string]Spec{"e0": {Wanted: wanted("2"), ChecksFencing: true}}, []string{"a/e0"})
 	r.Settled(later.Add(time.Second), "e0", Done, 0)
-	r.Observe(later.Add(time.Second), "e0", Observed{State: wanted("2"), Fence: first[0].Fence})
+	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("2"), Fence: first[0].Fence})
 	second := r.Due(later.Add(time.Second))
 	require.Len(t, second, 1)
 	require.Equal(t, wanted("3"), second[0].Wanted)
@@ -63,12 +63,12 @@
 func TestReconcilerWaitsOutThePredecessor(t *testing.T) {
 	r := reconciler(false)
 	early := start.Add(29 * time.Second)
-	r.Observe(early, "e0", Observed{State: wanted("1")})
+	r.Observe(early, "e0", Observation{State: wanted("1")})
 	require.Empty(t, r.Due(early))
-	r.Observe(start.Add(31*time.Second), "e0", Observed{State: wanted("1")})
+	r.Observe(start.Add(31*time.Second), "e0", Observation{State: wanted("1")})
 	require.Len(t, r.Due(start.Add(31*time.Second)), 1)
 	checking := reconciler(true)
-	checking.Observe(early, "e0", Observed{State: wanted("1")})
+	checking.Observe(early, "e0", Observation{State: wanted("1")})
 	require.Len(t, checking.Due(early), 1, "numbers make the wait needless")
 }
 
@@ -76,10 +76,10 @@
 // for an order: a successor may have changed them.
 func TestReconcilerAfterAPause(t *testing.T) {
 	r := reconciler(true)
-	r.Observe(later, "e0", Observed{State: wanted("1")})
+	r.Observe(later, "e0", Observation{State: wanted("1")})
 	r.Expire(later)
 	require.Empty(t, r.Due(later))
-	r.Observe(later, "e0", Observed{State: wanted("1")})
+	r.Observe(later, "e0", Observation{State: wanted("1")})
 	require.Empty(t, r.Due(later.Add(10*time.Second)), "an old look is none")
 }
 
@@ -89,13 +89,13 @@
 	now := later
 	var waits []time.Duration
 	for range 8 {
-		r.Observe(now, "e0", Observed{State: wanted("1")})
+		r.Observe(now, "e0", Observation{State: wanted("1")})
 		require.Len(t, r.Due(now), 1)
 		r.Settled(now, "e0", Throttled, 0)
 		begun := now
 		for {
 			now = now.Add(500 * time.Millisecond)
-			r.Observe(now, "e0", Observed{State: wanted("1"), Busy: false})
+			r.Observe(now, "e0", Observation{State: wanted("1"), Busy: false})
 			if r.ready(now, r.engines["e0"]) {
 				break
 			}
@@ -121,7 +121,7 @@
 		r := New(start.Add(-time.Hour), options)
 		r.Configure(start, 9, map[string]Spec{"e0": {Wanted: wanted("2"), ChecksFencing: true}}, fleet)
 		for now := start; ; now = now.Add(50 * time.Millisecond) {
-			r.Observe(now, "e0", Observed{State: wanted("1")})
+			r.Observe(now, "e0", Observation{State: wanted("1")})
 			if due := r.Due(now); len(due) > 0 {
 				require.True(t, due[0].Loads)
 				loads[now.Unix()]++
--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -223,8 +223,8 @@
 }
 
 // Observed translates the state for the reconciler.
-func (s State) Observed() orders.Observed {
-	return orders.Observed{State: orders.EngineState{Model: s.Model, Version: s.Version, Adapters: s.Adapters, Role: s.Role},
+func (s State) Observed() orders.Observation {
+	return orders.Observation{State: orders.EngineState{Model: s.Model, Version: s.Version, Adapters: s.Adapters, Role: s.Role},
 		Fence: s.Fence, Busy: s.Busy}
 }
 
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -154,7 +154,7 @@
 			for _, s := range e.Model.Streams() {
 				held = append(held, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.Memory()})
 			}
-			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observed{State: e.State, Fence: e.Fence}, held))
+			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observation{State: e.State, Fence: e.Fence}, held))
 		}
 		h.sendOrders()
 		for _, id := range sortedKeys(h.streams) {
