--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -53,7 +53,7 @@
 	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("2"), Fence: first[0].Fence})
 	second := r.Due(later.Add(time.Second))
 	require.Len(t, second, 1)
-	require.Equal(t, wanted("3"), second[0].Wanted)
+	require.Equal(t, wanted("3"), second[0].Desired)
 	require.Greater(t, second[0].Fence, first[0].Fence)
 }
 
--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -255,8 +255,8 @@
 // Order asks the engine to become as wanted and waits until it is. Errors wrap
 // ErrFenced, ErrThrottled, ErrNotSent or ErrFailed.
 func (c *Client) Order(ctx context.Context, order orders.Order) error {
-	body := orderBody{Fence: order.Fence, Model: order.Wanted.Model, Version: order.Wanted.Version,
-		Adapters: order.Wanted.Adapters, Role: order.Wanted.Role}
+	body := orderBody{Fence: order.Fence, Model: order.Desired.Model, Version: order.Desired.Version,
+		Adapters: order.Desired.Adapters, Role: order.Desired.Role}
 	return c.control(ctx, http.MethodPost, "/v1/orders", body, nil)
 }
 
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -120,7 +120,7 @@
 	s.mu.Lock()
 	s.core.OrderSettled(time.Now(), order.Engine, orderResult(err), 0)
 	s.mu.Unlock()
-	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Wanted.String(),
+	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Desired.String(),
 		Why: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
 	if err != nil {
 		event.Why += ": " + err.Error()
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -179,7 +179,7 @@
 			if checks && order.Fence <= e.Fence {
 				result = orders.FencedOff
 			} else {
-				e.Fence, e.State = max(e.Fence, order.Fence), order.Wanted
+				e.Fence, e.State = max(e.Fence, order.Fence), order.Desired
 				e.Orders = append(e.Orders, order)
 			}
 			if epoch == h.epoch {
