--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -145,7 +145,7 @@
 	for name, e := range own.Engines {
 		hall := snapshot.Halls[e.Hall]
 		specs[name] = orders.Spec{ChecksFencing: e.ChecksFencing,
-			Wanted: orders.EngineState{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: e.Role}}
+			Desired: orders.EngineState{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: e.Role}}
 	}
 	return specs
 }
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -101,7 +101,7 @@
 
 // Spec is one engine as configured.
 type Spec struct {
-	Wanted        EngineState
+	Desired       EngineState
 	ChecksFencing bool
 }
 
@@ -119,10 +119,10 @@
 			e = &engine{}
 			r.engines[name] = e
 		}
-		if !e.wanted.Equal(spec.Wanted) {
+		if !e.wanted.Equal(spec.Desired) {
 			e.loadSlot = now.Add(r.slot(name, revision, fleet))
 		}
-		e.wanted, e.checksFencing = spec.Wanted, spec.ChecksFencing
+		e.wanted, e.checksFencing = spec.Desired, spec.ChecksFencing
 	}
 	for name, e := range r.engines {
 		if _, ok := specs[name]; !ok && !e.inFlight {
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -18,7 +18,7 @@
 	options := DefaultOptions()
 	options.Server = "a"
 	r := New(start, options)
-	r.Configure(start, 7, map[string]Spec{"e0": {Wanted: wanted("2"), ChecksFencing: checks}}, []string{"a/e0"})
+	r.Configure(start, 7, map[string]Spec{"e0": {Desired: wanted("2"), ChecksFencing: checks}}, []string{"a/e0"})
 	return r
 }
 
@@ -47,8 +47,8 @@
 	r := reconciler(true)
 	r.Observe(later, "e0", Observation{State: wanted("1")})
 	first := r.Due(later)
-	r.Configure(later, 8, map[string]Spec{"e0": {Wanted: wanted("3"), ChecksFencing: true}}, []string{"a/e0"})
-	r.Configure(later, 7, map[string]Spec{"e0": {Wanted: wanted("2"), ChecksFencing: true}}, []string{"a/e0"})
+	r.Configure(later, 8, map[string]Spec{"e0": {Desired: wanted("3"), ChecksFencing: true}}, []string{"a/e0"})
+	r.Configure(later, 7, map[string]Spec{"e0": {Desired: wanted("2"), ChecksFencing: true}}, []string{"a/e0"})
 	r.Settled(later.Add(time.Second), "e0", Done, 0)
 	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("2"), Fence: first[0].Fence})
 	second := r.Due(later.Add(time.Second))
@@ -119,7 +119,7 @@
 		options := DefaultOptions()
 		options.Server = fmt.Sprintf("s%d", i)
 		r := New(start.Add(-time.Hour), options)
-		r.Configure(start, 9, map[string]Spec{"e0": {Wanted: wanted("2"), ChecksFencing: true}}, fleet)
+		r.Configure(start, 9, map[string]Spec{"e0": {Desired: wanted("2"), ChecksFencing: true}}, fleet)
 		for now := start; ; now = now.Add(50 * time.Millisecond) {
 			r.Observe(now, "e0", Observation{State: wanted("1")})
 			if due := r.Due(now); len(due) > 0 {
