--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -248,7 +248,7 @@
 // Status is one row for operators.
 type Status struct {
 	Engine   string `json:"engine"`
-	Wanted   string `json:"wanted"`
+	Desired  string `json:"wanted"`
 	Observed string `json:"observed"`
 	Fence    uint64 `json:"fence"`
 	InFlight bool   `json:"inFlight"`
@@ -266,7 +266,7 @@
 	var rows []Status
 	for _, name := range slices.Sorted(maps.Keys(r.engines)) {
 		e := r.engines[name]
-		rows = append(rows, Status{Engine: name, Wanted: e.wanted.String(), Observed: e.observed.State.String(),
+		rows = append(rows, Status{Engine: name, Desired: e.wanted.String(), Observed: e.observed.State.String(),
 			Fence: e.fence, InFlight: e.inFlight, Matches: r.Matches(name)})
 	}
 	return rows
