--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -45,8 +45,8 @@
 	Fence    uint64
 	Revision uint64
 	Desired  EngineState
-	// Loads says that weights have to be read from the weight store.
-	Loads bool
+	// LoadsWeights says that weights have to be read from the weight store.
+	LoadsWeights bool
 }
 
 // Options are the bounds of a Reconciler.
@@ -217,7 +217,7 @@
 		// or of a former daemon is refused where numbers are checked.
 		e.fence = max(e.fence, e.observed.Fence, r.revision) + 1
 		e.inFlight = true
-		due = append(due, Order{Engine: name, Fence: e.fence, Revision: r.revision, Desired: e.wanted, Loads: e.loads()})
+		due = append(due, Order{Engine: name, Fence: e.fence, Revision: r.revision, Desired: e.wanted, LoadsWeights: e.loads()})
 	}
 	return due
 }
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -123,7 +123,7 @@
 		for now := start; ; now = now.Add(50 * time.Millisecond) {
 			r.Observe(now, "e0", Observation{State: wanted("1")})
 			if due := r.Due(now); len(due) > 0 {
-				require.True(t, due[0].Loads)
+				require.True(t, due[0].LoadsWeights)
 				loads[now.Unix()]++
 				break
 			}
