--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -52,11 +52,11 @@
 // Options are the bounds of a Reconciler.
 type Options struct {
 	Server string
-	// LongestOrder is the longest time that an order may be under way. A
+	// MaxOrderDuration is the longest time that an order may be under way. A
 	// daemon that has just started waits it out before its first order to an
 	// engine that does not check fencing numbers: an order of the daemon
 	// before it may still arrive and would be carried out after ours.
-	LongestOrder time.Duration
+	MaxOrderDuration time.Duration
 	// ObservationAge is the oldest observation that an order may rest on.
 	ObservationAge time.Duration
 	// LoadInterval is the least time between two loads that the weight store
@@ -70,7 +70,7 @@
 
 // DefaultOptions returns the bounds used when the settings name none.
 func DefaultOptions() Options {
-	return Options{LongestOrder: 30 * time.Second, ObservationAge: 3 * time.Second,
+	return Options{MaxOrderDuration: 30 * time.Second, ObservationAge: 3 * time.Second,
 		LoadInterval: 200 * time.Millisecond, Backoff: time.Second, BackoffMax: time.Minute}
 }
 
@@ -193,7 +193,7 @@
 	e.notBefore = now.Add(max(e.backoff, retryAfter))
 	if result == OrderFailed && !e.checksFencing {
 		// The order may still be on its way; wait it out.
-		e.notBefore = now.Add(r.options.LongestOrder)
+		e.notBefore = now.Add(r.options.MaxOrderDuration)
 	}
 }
 
@@ -232,7 +232,7 @@
 		return false
 	case now.Before(e.notBefore):
 		return false
-	case !e.checksFencing && now.Sub(r.started) < r.options.LongestOrder:
+	case !e.checksFencing && now.Sub(r.started) < r.options.MaxOrderDuration:
 		return false
 	case e.loads() && now.Before(e.loadSlot):
 		return false
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -113,7 +113,7 @@
 func (s *Server) sendOrder(order orders.Order) {
 	err := engine.ErrNotSent
 	if client := s.engines[order.Engine]; client != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), s.options.Backend.Orders.LongestOrder)
+		ctx, cancel := context.WithTimeout(context.Background(), s.options.Backend.Orders.MaxOrderDuration)
 		err = client.Order(ctx, order)
 		cancel()
 	}
