--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -57,8 +57,8 @@
 	// engine that does not check fencing numbers: an order of the daemon
 	// before it may still arrive and would be carried out after ours.
 	MaxOrderDuration time.Duration
-	// ObservationAge is the oldest observation that an order may rest on.
-	ObservationAge time.Duration
+	// MaxObservationAge is the oldest observation that an order may rest on.
+	MaxObservationAge time.Duration
 	// LoadInterval is the least time between two loads that the weight store
 	// is meant to see from the whole fleet.
 	LoadInterval time.Duration
@@ -70,7 +70,7 @@
 
 // DefaultOptions returns the bounds used when the settings name none.
 func DefaultOptions() Options {
-	return Options{MaxOrderDuration: 30 * time.Second, ObservationAge: 3 * time.Second,
+	return Options{MaxOrderDuration: 30 * time.Second, MaxObservationAge: 3 * time.Second,
 		LoadInterval: 200 * time.Millisecond, Backoff: time.Second, BackoffMax: time.Minute}
 }
 
@@ -226,7 +226,7 @@
 	switch {
 	case e.inFlight || e.observed.Busy:
 		return false
-	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.ObservationAge:
+	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.MaxObservationAge:
 		return false
 	case e.observed.State.Equal(e.wanted):
 		return false
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -87,7 +87,7 @@
 	{"a list that shrinks is not believed", "core/membership/view.go", "	if vanished > 1 && float64(vanished)", "	if vanished > 1000 && float64(vanished)", "arbutusdeck/core/membership", "TestView"},
 	{"nothing live after a pause", "core/membership/view.go", "		if m.state == Live {\n			m.retryAt", "		if false {\n			m.retryAt", "arbutusdeck/core/membership", "TestView"},
 	{"one order at a time", "core/orders/reconciler.go", "	case e.inFlight || e.observed.Busy:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
-	{"orders rest on a fresh look", "core/orders/reconciler.go", "	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.ObservationAge:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
+	{"orders rest on a fresh look", "core/orders/reconciler.go", "	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.MaxObservationAge:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
 	{"a predecessor's order is waited out", "core/orders/reconciler.go", "	case !e.checksFencing && now.Sub(r.started) < r.options.MaxOrderDuration:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
 	{"the number is above the last seen", "core/orders/reconciler.go", "max(e.fence, e.observed.Fence, r.revision) + 1", "r.revision", "arbutusdeck/core/orders", "TestReconciler"},
 	{"weight loads take turns", "core/orders/reconciler.go", "	case e.loads() && now.Before(e.loadSlot):", "	case false:", "arbutusdeck/core/orders", "TestWeightStore"},
