--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -65,13 +65,13 @@
 	// InitialBackoff is the first wait after a failed order; it doubles up to
 	// BackoffMax.
 	InitialBackoff time.Duration
-	BackoffMax     time.Duration
+	MaxBackoff     time.Duration
 }
 
 // DefaultOptions returns the bounds used when the settings name none.
 func DefaultOptions() Options {
 	return Options{MaxOrderDuration: 30 * time.Second, MaxObservationAge: 3 * time.Second,
-		LoadInterval: 200 * time.Millisecond, InitialBackoff: time.Second, BackoffMax: time.Minute}
+		LoadInterval: 200 * time.Millisecond, InitialBackoff: time.Second, MaxBackoff: time.Minute}
 }
 
 type engine struct {
@@ -189,7 +189,7 @@
 		e.backoff = 0
 		return
 	}
-	e.backoff = min(max(e.backoff*2, r.options.InitialBackoff), r.options.BackoffMax)
+	e.backoff = min(max(e.backoff*2, r.options.InitialBackoff), r.options.MaxBackoff)
 	e.notBefore = now.Add(max(e.backoff, retryAfter))
 	if result == OrderFailed && !e.checksFencing {
 		// The order may still be on its way; wait it out.
