--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -214,7 +214,7 @@
 
 // OrderSettled takes in the end of an order.
 func (c *Core) OrderSettled(now time.Time, engine string, result orders.Result, retryAfter time.Duration) {
-	c.orders.Settled(now, engine, result, retryAfter)
+	c.orders.OrderEnded(now, engine, result, retryAfter)
 }
 
 // Awoke drops what was believed before the process was paused.
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -176,9 +176,9 @@
 	OrderFailed
 )
 
-// Settled takes in the end of an order. Every order ends with a fresh look at
+// OrderEnded takes in the end of an order. Every order ends with a fresh look at
 // the engine: what it reports decides, not what was asked of it.
-func (r *Reconciler) Settled(now time.Time, name string, result Result, retryAfter time.Duration) {
+func (r *Reconciler) OrderEnded(now time.Time, name string, result Result, retryAfter time.Duration) {
 	e := r.engines[name]
 	if e == nil {
 		return
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -34,7 +34,7 @@
 	require.Equal(t, uint64(41), due[0].Fence, "above what the engine last saw")
 	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("1"), Fence: 40})
 	require.Empty(t, r.Due(later.Add(time.Second)), "one at a time")
-	r.Settled(later.Add(2*time.Second), "e0", Done, 0)
+	r.OrderEnded(later.Add(2*time.Second), "e0", Done, 0)
 	require.Empty(t, r.Due(later.Add(2*time.Second)), "after an order the engine is looked at afresh")
 	r.Observe(later.Add(3*time.Second), "e0", Observation{State: wanted("2"), Fence: 41})
 	require.Empty(t, r.Due(later.Add(3*time.Second)), "it is as wanted")
@@ -49,7 +49,7 @@
 	first := r.Due(later)
 	r.Configure(later, 8, map[string]Spec{"e0": {Desired: wanted("3"), ChecksFencing: true}}, []string{"a/e0"})
 	r.Configure(later, 7, map[string]Spec{"e0": {Desired: wanted("2"), ChecksFencing: true}}, []string{"a/e0"})
-	r.Settled(later.Add(time.Second), "e0", Done, 0)
+	r.OrderEnded(later.Add(time.Second), "e0", Done, 0)
 	r.Observe(later.Add(time.Second), "e0", Observation{State: wanted("2"), Fence: first[0].Fence})
 	second := r.Due(later.Add(time.Second))
 	require.Len(t, second, 1)
@@ -91,7 +91,7 @@
 	for range 8 {
 		r.Observe(now, "e0", Observation{State: wanted("1")})
 		require.Len(t, r.Due(now), 1)
-		r.Settled(now, "e0", Throttled, 0)
+		r.OrderEnded(now, "e0", Throttled, 0)
 		begun := now
 		for {
 			now = now.Add(500 * time.Millisecond)
