--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -218,4 +218,4 @@
 }
 
 // Awoke drops what was believed before the process was paused.
-func (c *Core) Awoke(now time.Time) { c.orders.Expire(now) }
+func (c *Core) Awoke(now time.Time) { c.orders.DiscardObservations(now) }
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Expire makes every engine be observed afresh, after the process was paused.
-func (r *Reconciler) Expire(now time.Time) {
+// DiscardObservations makes every engine be observed afresh, after the process was paused.
+func (r *Reconciler) DiscardObservations(now time.Time) {
 	for _, e := range r.engines {
 		e.observedAt = time.Time{}
 	}
--- a/core/orders/reconciler_test.go
+++ b/core/orders/reconciler_test.go
@@ -77,7 +77,7 @@
 func TestReconcilerAfterAPause(t *testing.T) {
 	r := reconciler(true)
 	r.Observe(later, "e0", Observation{State: wanted("1")})
-	r.Expire(later)
+	r.DiscardObservations(later)
 	require.Empty(t, r.Due(later))
 	r.Observe(later, "e0", Observation{State: wanted("1")})
 	require.Empty(t, r.Due(later.Add(10*time.Second)), "an old look is none")
