--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -168,8 +168,8 @@
 const (
 	// Done: the engine has carried it out.
 	Done Result = iota + 1
-	// FencedOff: the engine has seen a higher number.
-	FencedOff
+	// Fenced: the engine has seen a higher number.
+	Fenced
 	// Throttled: the weight store has refused for now.
 	Throttled
 	// OrderFailed: anything else, also no answer.
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -133,7 +133,7 @@
 	case err == nil:
 		return orders.Done
 	case errors.Is(err, engine.ErrFenced):
-		return orders.FencedOff
+		return orders.Fenced
 	case errors.Is(err, engine.ErrThrottled):
 		return orders.Throttled
 	}
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -177,7 +177,7 @@
 			e := h.Engines[order.Engine]
 			result := orders.Done
 			if checks && order.Fence <= e.Fence {
-				result = orders.FencedOff
+				result = orders.Fenced
 			} else {
 				e.Fence, e.State = max(e.Fence, order.Fence), order.Desired
 				e.Orders = append(e.Orders, order)
