--- a/core/lifecycle/manager.go
+++ b/core/lifecycle/manager.go
@@ -21,8 +21,8 @@
 	Stopped  State = "stopped"
 )
 
-// ErrCut is wrapped by the error of a stop that had to cut requests off.
-var ErrCut = errors.New("stopped with requests still open")
+// ErrAborted is wrapped by the error of a stop that had to cut requests off.
+var ErrAborted = errors.New("stopped with requests still open")
 
 // ErrNotServing is returned by Begin while no new work is taken.
 var ErrNotServing = errors.New("not serving")
@@ -149,7 +149,7 @@
 	m.end()
 	m.awaitAnswers()
 	m.move(Draining, Stopped)
-	return fmt.Errorf("%w: %s, %d open", ErrCut, why, open)
+	return fmt.Errorf("%w: %s, %d open", ErrAborted, why, open)
 }
 
 // awaitAnswers returns when nothing is open any more, or after AnswerTime.
--- a/core/lifecycle/manager_test.go
+++ b/core/lifecycle/manager_test.go
@@ -21,7 +21,7 @@
 	}()
 	m.Drain()
 	err := m.Wait(t.Context(), time.Millisecond)
-	require.ErrorIs(t, err, ErrCut)
+	require.ErrorIs(t, err, ErrAborted)
 	require.ErrorContains(t, err, "1 open")
 	require.True(t, answered)
 }
@@ -32,7 +32,7 @@
 	m.Join()
 	m.Drain()
 	began := time.Now()
-	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrCut)
+	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted)
 	require.GreaterOrEqual(t, time.Since(began), AnswerTime)
 	require.Equal(t, Stopped, m.State())
 }
@@ -52,6 +52,6 @@
 	m.Serve()
 	require.NoError(t, m.Begin())
 	m.Drain()
-	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrCut, "what Draining has begun is waited for")
+	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted, "what Draining has begun is waited for")
 	m.End()
 }
--- a/core/process/run.go
+++ b/core/process/run.go
@@ -147,7 +147,7 @@
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, lifecycle.ErrCut):
+	case errors.Is(err, lifecycle.ErrAborted):
 		return ExitCut
 	case errors.Is(err, ErrAddressTaken):
 		return ExitBusyAddr
--- a/entry/gateway/stop_test.go
+++ b/entry/gateway/stop_test.go
@@ -16,7 +16,7 @@
 // stopAtOnce stops an entry as planned, with a limit that has passed.
 func (s *Server) stopAtOnce(t *testing.T) {
 	s.manager.Drain()
-	require.ErrorIs(t, s.manager.Wait(t.Context(), time.Nanosecond), lifecycle.ErrCut)
+	require.ErrorIs(t, s.manager.Wait(t.Context(), time.Nanosecond), lifecycle.ErrAborted)
 }
 
 // The limit of a stop passes while a request lies at a server that has not answered. Its caller gets
