--- a/core/lifecycle/manager.go
+++ b/core/lifecycle/manager.go
@@ -38,8 +38,8 @@
 	onChange func(from, to State)
 }
 
-// AnswerTime is how long open requests have to answer their callers once Ending is done.
-const AnswerTime = 250 * time.Millisecond
+// FinalReplyTime is how long open requests have to answer their callers once Ending is done.
+const FinalReplyTime = 250 * time.Millisecond
 
 // NewManager returns a manager in Starting. onChange may be nil; it is called
 // without the lock.
@@ -154,7 +154,7 @@
 
 // awaitAnswers returns when nothing is open any more, or after AnswerTime.
 func (m *Manager) awaitAnswers() {
-	timer := time.NewTimer(AnswerTime)
+	timer := time.NewTimer(FinalReplyTime)
 	defer timer.Stop()
 	select {
 	case <-m.idle:
--- a/core/lifecycle/manager_test.go
+++ b/core/lifecycle/manager_test.go
@@ -15,7 +15,7 @@
 	answered := false
 	go func() {
 		<-m.Ending().Done()
-		time.Sleep(AnswerTime / 4)
+		time.Sleep(FinalReplyTime / 4)
 		answered = true
 		m.End()
 	}()
@@ -33,7 +33,7 @@
 	m.Drain()
 	began := time.Now()
 	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted)
-	require.GreaterOrEqual(t, time.Since(began), AnswerTime)
+	require.GreaterOrEqual(t, time.Since(began), FinalReplyTime)
 	require.Equal(t, Stopped, m.State())
 }
 
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -85,7 +85,7 @@
 		case <-gone:
 			event, gone = execution.CallerDisconnected{}, nil
 		case <-ending:
-			event, ending, ends = execution.EntryStopping{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
+			event, ending, ends = execution.EntryStopping{Refusal: entryEnds}, nil, time.After(lifecycle.FinalReplyTime/2)
 		case <-ends:
 			event = execution.EntryStopping{Refusal: entryEnds}
 		}
