--- a/core/lifecycle/manager.go
+++ b/core/lifecycle/manager.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// Ending is done when the limit of a stop has passed: what is still open has AnswerTime to give
+// Aborting is done when the limit of a stop has passed: what is still open has AnswerTime to give
 // its caller a final answer.
-func (m *Manager) Ending() context.Context { return m.ending }
+func (m *Manager) Aborting() context.Context { return m.ending }
 
 // Wait returns once nothing is open after Drain. It gives up when the context
 // ends or the limit has passed: Ending is done then, and Wait returns within AnswerTime.
--- a/core/lifecycle/manager_test.go
+++ b/core/lifecycle/manager_test.go
@@ -14,7 +14,7 @@
 	require.NoError(t, m.Begin())
 	answered := false
 	go func() {
-		<-m.Ending().Done()
+		<-m.Aborting().Done()
 		time.Sleep(FinalReplyTime / 4)
 		answered = true
 		m.End()
--- a/entry/gateway/front.go
+++ b/entry/gateway/front.go
@@ -139,12 +139,12 @@
 	}
 	e.limitTimes()
 	// The limit of this entry's stop ends the wait for a body as well.
-	release := context.AfterFunc(e.s.manager.Ending(), func() { e.setDeadline((*http.ResponseController).SetReadDeadline, time.Now()) })
+	release := context.AfterFunc(e.s.manager.Aborting(), func() { e.setDeadline((*http.ResponseController).SetReadDeadline, time.Now()) })
 	body, err := e.held.read(http.MaxBytesReader(e.w, e.r.Body, limit), e.r.ContentLength)
 	release()
 	var tooLarge *http.MaxBytesError
 	switch {
-	case err != nil && e.s.manager.Ending().Err() != nil:
+	case err != nil && e.s.manager.Aborting().Err() != nil:
 		e.refuse(http.StatusServiceUnavailable, e.stopRefusal())
 		return false
 	case errors.As(err, &tooLarge):
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -83,7 +83,7 @@
 // entry's stop: a request that waits then still gets its final answer before the connection is closed.
 func (e *exchange) context() (context.Context, context.CancelFunc) {
 	limited, stop := context.WithCancelCause(e.r.Context())
-	release := context.AfterFunc(e.s.manager.Ending(), func() { stop(errStopLimit) })
+	release := context.AfterFunc(e.s.manager.Aborting(), func() { stop(errStopLimit) })
 	ctx, cancel := context.WithDeadline(limited, e.deadline)
 	return ctx, func() {
 		release()
--- a/entry/gateway/start.go
+++ b/entry/gateway/start.go
@@ -32,6 +32,6 @@
 	case <-e.s.started:
 	case <-timer.C:
 	case <-e.r.Context().Done():
-	case <-e.s.manager.Ending().Done():
+	case <-e.s.manager.Aborting().Done():
 	}
 }
--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -190,7 +190,7 @@
 func (s *Server) readBody(c *call) ([]byte, func(), error) {
 	controller := http.NewResponseController(c.w)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
-	ending := s.Manager().Ending()
+	ending := s.Manager().Aborting()
 	stop := context.AfterFunc(ending, func() { _ = controller.SetReadDeadline(time.Now()) })
 	data, release, err := readBody(c.w, c.r.Request, s.options.Settings.MaxBodyBytes, s.bodies)
 	if stop() { // else the rest of the body must not be waited for, before the answer is written
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -72,7 +72,7 @@
 	s.core.Began()
 	s.mu.Unlock()
 	event := execution.Event(execution.RequestStarted{})
-	gone, ending := ctx.Done(), s.Manager().Ending().Done()
+	gone, ending := ctx.Done(), s.Manager().Aborting().Done()
 	var ends <-chan time.Time
 	for {
 		if conclusion, over := d.step(event); over {
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -57,7 +57,7 @@
 // endLoop ends all attempts once the stop has come to its limit.
 func (s *Server) endLoop() error {
 	select {
-	case <-s.Manager().Ending().Done():
+	case <-s.Manager().Aborting().Done():
 	case <-s.tomb.Dying():
 		return nil
 	}
