--- a/core/scheduling/engine.go
+++ b/core/scheduling/engine.go
@@ -9,47 +9,48 @@
 // rateSmoothing is the weight of a new sample in the measured prefill rate.
 const rateSmoothing = 0.3
 
-// serviceSmoothing is the weight of a new sample in an engine's service time.
+// serviceSmoothing is the weight of a new sample in an engine's mean service time.
 const serviceSmoothing = 0.1
 
-// minRateSample is the least number of tokens that make a rate sample.
+// minRateSample is the least number of tokens in a sample of the prefill rate.
 const minRateSample = 2000
 
 type running struct {
-	job      *Job
-	engine   *engine
-	started  time.Time
-	priority int
-	prefill  bool // no first token yet
-	paused   bool
-	boosted  time.Time // end of the raised priority; zero if not raised
+	job          *Job
+	engine       *engine
+	started      time.Time
+	priority     int
+	prefilling   bool // no first token yet
+	paused       bool
+	boostedUntil time.Time // end of the raised priority; zero if it is not raised
 }
 
 type engine struct {
-	spec    EngineSpec
-	running map[execution.AttemptID]*running
-	memory  int64
-	rate    float64
-	holds   map[string]hold // by group reservation
-	// claimed is memory that a group reservation waits for.
+	spec         EngineSpec
+	running      map[execution.AttemptID]*running
+	usedMemory   int64
+	rate         float64
+	reservations map[string]partReservation // by group reservation
+	// claimed is the memory for which a group reservation or a job waits.
 	claimed      int64
 	claimedUntil time.Time
 
 	serviceTime time.Duration // smoothed time of a job on the engine
 
-	busySince  time.Time // start of the present rate sample; zero when no prefill runs
+	busySince  time.Time // start of the current rate sample; zero if no prefill runs
 	busyTokens int64
 	credit     time.Duration // prefill time owed to isolated jobs
-	creditAt   time.Time
+	creditedAt time.Time
 }
 
-func (e *engine) free() int64 { return e.spec.MemoryTokens - e.memory }
+func (e *engine) freeMemory() int64 { return e.spec.MemoryTokens - e.usedMemory }
 
-// longMemoryFree says whether long work may take memory on the engine. What is
-// larger than its whole share gets an empty engine, or it could never run.
+// longMemoryFree reports whether a long job may take memory on the engine. A job
+// that exceeds the whole share of long jobs may take an empty engine; otherwise it
+// could never run.
 func (s *Scheduler) longMemoryFree(e *engine, tokens int64) bool {
 	share := int64(s.options.LongMemoryShare * float64(e.spec.MemoryTokens))
-	return e.memory+tokens <= share || (e.memory == 0 && tokens <= e.spec.MemoryTokens)
+	return e.usedMemory+tokens <= share || (e.usedMemory == 0 && tokens <= e.spec.MemoryTokens)
 }
 
 func (e *engine) isolatedSlots() int {
@@ -70,12 +71,12 @@
 	return all, isolated
 }
 
-// prefillTokens is the prefill work on the engine that goes before a job of the
-// rank, in tokens.
+// prefillTokens returns the prefill work on the engine that runs before a job of
+// the rank, in tokens.
 func (e *engine) prefillTokens(rank int) int64 {
 	var tokens int64
 	for _, r := range e.running {
-		if r.prefill && !r.paused && r.job.Rank <= rank {
+		if r.prefilling && !r.paused && r.job.Rank <= rank {
 			tokens += r.job.PromptTokens
 		}
 	}
@@ -108,7 +109,7 @@
 func (e *engine) prefillsByIsolation() (short bool, long *running) {
 	for _, r := range e.running {
 		switch {
-		case !r.prefill || r.paused:
+		case !r.prefilling || r.paused:
 		case !r.job.Isolated:
 			short = true
 		case long == nil || r.job.sequence < long.job.sequence:
@@ -118,21 +119,21 @@
 	return short, long
 }
 
-// endPrefill closes a job's prefill and, with enough work seen, takes a sample
-// of the engine's speed.
+// endPrefill ends a job's prefill. When the engine has no further prefill and has
+// processed minRateSample tokens, it updates the measured prefill rate.
 func (e *engine) endPrefill(now time.Time, r *running, completed bool) {
-	if !r.prefill {
+	if !r.prefilling {
 		return
 	}
-	r.prefill = false
-	r.boosted = time.Time{}
+	r.prefilling = false
+	r.boostedUntil = time.Time{}
 	if completed {
 		e.busyTokens += r.job.PromptTokens
 	}
 	elapsed := now.Sub(e.busySince).Seconds()
 	idle := true
 	for _, other := range e.running {
-		idle = idle && !other.prefill
+		idle = idle && !other.prefilling
 	}
 	if idle && e.busyTokens >= minRateSample && elapsed > 0 {
 		sample := float64(e.busyTokens) / elapsed
@@ -143,8 +144,8 @@
 	}
 }
 
-// observeService takes in how long a job was on the engine.
-func (e *engine) observeService(took time.Duration) {
+// recordServiceTime updates the mean service time.
+func (e *engine) recordServiceTime(took time.Duration) {
 	if e.serviceTime == 0 {
 		e.serviceTime = took
 		return
@@ -152,8 +153,9 @@
 	e.serviceTime += time.Duration(serviceSmoothing * float64(took-e.serviceTime))
 }
 
-// remaining estimates the prefill work left of a running job from the time it
-// has had; never below a tenth, since others share the engine.
+// remaining estimates a running job's remaining prefill work in tokens from its
+// run time. The estimate is at least a tenth of the prompt, since other jobs share
+// the engine.
 func (e *engine) remaining(now time.Time, r *running) int64 {
 	done := now.Sub(r.started).Seconds() * e.rate
 	left := float64(r.job.PromptTokens) - done/max(1, float64(len(e.running)))
--- a/core/scheduling/isolation.go
+++ b/core/scheduling/isolation.go
@@ -4,45 +4,46 @@
 	"time"
 )
 
-// claimFor keeps isolated jobs off the roomiest engine for a job of another class
-// that waits for memory: the long ones would take what becomes free, and keep it
-// for minutes.
-func (s *Scheduler) claimFor(now time.Time, job *Job) {
+// claimMemory keeps isolated jobs off the engine with the most free memory while a
+// job of another class waits for memory: long jobs would take the memory that
+// becomes free and hold it for minutes.
+func (s *Scheduler) claimMemory(now time.Time, job *Job) {
 	if job.Isolated || s.options.Policy == FirstComeFirstServed {
 		return
 	}
-	var roomiest *engine
+	var freest *engine
 	for _, name := range s.names {
 		e := s.engines[name]
-		if e.spec.Hall == job.Hall && (roomiest == nil || e.free() > roomiest.free()) {
-			roomiest = e
+		if e.spec.Hall == job.Hall && (freest == nil || e.freeMemory() > freest.freeMemory()) {
+			freest = e
 		}
 	}
-	if roomiest != nil && roomiest.free() < job.MemoryTokens() {
-		roomiest.claimed, roomiest.claimedUntil = job.MemoryTokens(), now.Add(claimTime)
+	if freest != nil && freest.freeMemory() < job.MemoryTokens() {
+		freest.claimed, freest.claimedUntil = job.MemoryTokens(), now.Add(claimDuration)
 	}
 }
 
-// roomForIsolated leaves a part of the engine to shorter work. While none is
-// waiting the share widens to all slots but one, and Pause takes it back.
-func (s *Scheduler) roomForIsolated(e *engine, job *Job, isolated int) bool {
+// hasIsolatedCapacity reports whether the engine can take an isolated job. A part of
+// the engine is kept for shorter jobs. While none of them waits, isolated jobs may
+// take all slots but one; preempt takes them back.
+func (s *Scheduler) hasIsolatedCapacity(e *engine, job *Job, isolated int) bool {
 	if e.claimed > 0 || e.oldestPaused() != nil || !s.longMemoryFree(e, job.MemoryTokens()) {
 		return false
 	}
 	limit := e.isolatedSlots()
-	if waiting, _ := s.halls[job.Hall].waiting(); waiting == 0 {
+	if waiting, _ := s.queues[job.Hall].waiting(); waiting == 0 {
 		limit = max(limit, e.spec.Slots-1)
 	}
 	return isolated < limit
 }
 
-// makeRoom pauses isolated jobs that hold more than their share while a shorter
-// job waits for a slot.
-func (s *Scheduler) makeRoom(commands []Command, now time.Time, b *band) []Command {
+// preempt pauses an isolated job on an engine where these hold more than their share
+// while a shorter job waits for a slot.
+func (s *Scheduler) preempt(commands []Command, now time.Time, queue *fairQueue) []Command {
 	if s.options.Policy != Isolating {
 		return commands
 	}
-	q := b.next(now, s.options.Policy, s.options.AgeBound)
+	q := queue.next(now, s.options.Policy, s.options.AgeBound)
 	if q == nil {
 		return commands
 	}
@@ -55,18 +56,18 @@
 		victim := e.youngestIsolated()
 		victim.paused = true
 		commands = append(commands, Pause{Attempt: victim.job.Attempt, Engine: name})
-		return s.drainBand(commands, now, b)
+		return s.dispatchQueue(commands, now, queue)
 	}
 	return commands
 }
 
-// resume lets the longest paused job go on once a slot is free.
+// resume continues paused jobs, the oldest first, while slots are free.
 func (s *Scheduler) resume(commands []Command, e *engine) []Command {
 	for {
 		active, isolated := e.active()
 		limit := e.isolatedSlots()
-		if hall := s.halls[e.spec.Hall]; hall != nil {
-			if waiting, _ := hall.waiting(); waiting == 0 {
+		if queues := s.queues[e.spec.Hall]; queues != nil {
+			if waiting, _ := queues.waiting(); waiting == 0 {
 				limit = max(limit, e.spec.Slots-1)
 			}
 		}
@@ -79,47 +80,48 @@
 	}
 }
 
-// settleCredit counts the time since the last look during which isolated
-// prefills stood behind shorter ones.
-func (s *Scheduler) settleCredit(now time.Time, e *engine) {
-	elapsed := now.Sub(e.creditAt)
-	e.creditAt = now
+// accrueCredit adds to the engine's credit the share of the time since the last call
+// during which isolated prefills waited behind shorter ones.
+func (s *Scheduler) accrueCredit(now time.Time, e *engine) {
+	elapsed := now.Sub(e.creditedAt)
+	e.creditedAt = now
 	short, long := e.prefillsByIsolation()
 	if long == nil {
 		e.credit = 0
 		return
 	}
-	if short && long.boosted.IsZero() {
+	if short && long.boostedUntil.IsZero() {
 		e.credit += time.Duration(s.options.MinPrefillShare * float64(elapsed))
 	}
 }
 
-// slice raises the oldest long prefill for one slice each time the floor share
-// owes it that much. Strict priority alone would starve it under a steady
-// stream of short prompts; a short one waits for one slice at most.
-func (s *Scheduler) slice(commands []Command, now time.Time, e *engine) []Command {
+// boostPrefill raises the priority of the oldest long prefill for one BoostDuration
+// each time its credit has reached that much. Strict priority alone would starve it
+// under a steady stream of short prompts; a short one is delayed by at most one
+// BoostDuration.
+func (s *Scheduler) boostPrefill(commands []Command, now time.Time, e *engine) []Command {
 	if s.options.Policy != Isolating {
 		return commands
 	}
-	s.settleCredit(now, e)
+	s.accrueCredit(now, e)
 	short, long := e.prefillsByIsolation()
 	if long == nil {
 		return commands
 	}
-	if !long.boosted.IsZero() {
-		if now.Before(long.boosted) && short {
+	if !long.boostedUntil.IsZero() {
+		if now.Before(long.boostedUntil) && short {
 			return commands
 		}
-		long.boosted = time.Time{}
+		long.boostedUntil = time.Time{}
 		return append(commands, SetPriority{Attempt: long.job.Attempt, Engine: e.spec.Name, Priority: long.priority})
 	}
 	if short && e.credit >= s.options.BoostDuration {
 		e.credit -= s.options.BoostDuration
-		long.boosted = now.Add(s.options.BoostDuration)
+		long.boostedUntil = now.Add(s.options.BoostDuration)
 		return append(commands, SetPriority{Attempt: long.job.Attempt, Engine: e.spec.Name, Priority: boostedPriority})
 	}
 	return commands
 }
 
-// boostedPriority goes before every rank.
+// boostedPriority precedes every rank.
 const boostedPriority = -1
--- a/core/scheduling/job.go
+++ b/core/scheduling/job.go
@@ -1,6 +1,6 @@
 // Package scheduling decides, on one backend server, which waiting attempt
-// starts next, on which engine and at which priority. Scheduler is a pure core:
-// it returns commands and never calls an engine itself.
+// starts next, on which engine and at which priority. Scheduler does no I/O: it
+// returns commands and never calls an engine itself.
 package scheduling
 
 import (
@@ -10,7 +10,7 @@
 	"arbutusdeck/core/execution"
 )
 
-// Job is one attempt as the scheduler sees it. Lengths are in tokens.
+// Job is one attempt to schedule. Lengths are in tokens.
 type Job struct {
 	Attempt   execution.AttemptID
 	Workspace string
@@ -18,14 +18,14 @@
 	Weight float64
 	Hall   string
 	Class  string
-	// Rank is the place of the length class, 0 for the shortest.
+	// Rank orders the length classes, 0 for the shortest.
 	Rank         int
 	Isolated     bool
 	PromptTokens int64
 	AnswerTokens int64
-	// FirstTokenBy is when the first token is due by its target.
+	// FirstTokenBy is the time at which the first token is due.
 	FirstTokenBy time.Time
-	// Engine fixes the engine, for a member of a group; empty lets the
+	// Engine pins the job to an engine, for a member of a group; empty lets the
 	// scheduler choose.
 	Engine string
 
@@ -33,53 +33,54 @@
 	sequence uint64
 }
 
-// MemoryTokens is the KV memory that the job occupies while it runs.
+// MemoryTokens returns the KV memory that the job occupies while it runs, in tokens.
 func (j *Job) MemoryTokens() int64 { return j.PromptTokens + j.AnswerTokens }
 
-// EngineSpec is one engine as configured.
+// EngineSpec is the configuration of one engine.
 type EngineSpec struct {
 	Name         string
 	Hall         string
 	Slots        int
 	MemoryTokens int64
-	// PrefillRate is the expected speed in tokens a second until measured.
+	// PrefillRate is the expected prefill rate in tokens per second, used until
+	// it is measured.
 	PrefillRate float64
-	// LongShare is the part of the slots that isolated jobs may hold while
-	// shorter work is present.
+	// LongShare is the fraction of the slots that isolated jobs may hold while
+	// shorter jobs are present.
 	LongShare float64
 }
 
-// Policy selects how jobs are ordered.
+// Policy selects the order of jobs.
 type Policy string
 
 const (
-	// Isolating keeps long jobs from delaying shorter ones.
+	// Isolating prevents long jobs from delaying shorter ones.
 	Isolating Policy = "isolating"
-	// FirstComeFirstServed is the baseline: one queue, one priority.
+	// FirstComeFirstServed is the baseline with one queue and one priority.
 	FirstComeFirstServed Policy = "fcfs"
 )
 
-// Options are the bounds of a Scheduler.
+// Options configures a Scheduler.
 type Options struct {
 	Policy Policy
-	// AgeBound is the longest time that a job is overtaken in the queue.
+	// AgeBound bounds the time during which a queued job can be overtaken.
 	AgeBound time.Duration
-	// IsolatedAgeBound is the same for jobs of isolated classes.
+	// IsolatedAgeBound is the AgeBound of isolated classes.
 	IsolatedAgeBound time.Duration
-	// MinPrefillShare is the part of prefill time that a long job gets while
+	// MinPrefillShare is the fraction of prefill time that a long job gets while
 	// shorter prefills keep arriving.
 	MinPrefillShare float64
-	// BoostDuration is how long a long job keeps the raised priority.
+	// BoostDuration is the time for which a long job keeps a raised priority.
 	BoostDuration time.Duration
-	// LongMemoryShare is the part of an engine's memory that isolated jobs and
-	// group reservations may hold.
+	// LongMemoryShare is the fraction of an engine's memory that isolated jobs
+	// and group reservations may hold.
 	LongMemoryShare float64
-	// MaxPrefillBacklog bounds the prefill work of non-isolated jobs handed to an engine
-	// ahead of time, in seconds of its speed.
+	// MaxPrefillBacklog bounds the prefill work of non-isolated jobs that is
+	// dispatched to an engine in advance, as time at its measured rate.
 	MaxPrefillBacklog time.Duration
 }
 
-// DefaultOptions returns the options used when the settings name none.
+// DefaultOptions returns the options used where the settings give none.
 func DefaultOptions() Options {
 	return Options{
 		Policy:            Isolating,
@@ -92,12 +93,11 @@
 	}
 }
 
-// Command is something to ask of an engine: Dispatch, Pause, Resume or
-// SetPriority.
+// Command is a request to an engine: Dispatch, Pause, Resume or SetPriority.
 type Command interface{ command() }
 
 type (
-	// Dispatch starts the attempt on an engine. A lower priority number goes
+	// Dispatch starts the attempt on an engine. A lower priority number runs
 	// first.
 	Dispatch struct {
 		Attempt  execution.AttemptID
@@ -109,7 +109,7 @@
 		Attempt execution.AttemptID
 		Engine  string
 	}
-	// Resume lets a paused stream go on.
+	// Resume continues a paused stream.
 	Resume struct {
 		Attempt execution.AttemptID
 		Engine  string
--- a/core/scheduling/queue.go
+++ b/core/scheduling/queue.go
@@ -7,13 +7,12 @@
 	"arbutusdeck/core/execution"
 )
 
-// jobHeap orders jobs by the time at which they have to start to meet their
-// first-token target.
+// jobHeap orders jobs by the latest start time that meets their first-token target.
 type jobHeap struct {
-	jobs []*queued
+	jobs []*queuedJob
 }
 
-type queued struct {
+type queuedJob struct {
 	job     *Job
 	startBy time.Time
 	index   int
@@ -35,7 +34,7 @@
 }
 
 func (h *jobHeap) Push(x any) {
-	q := x.(*queued)
+	q := x.(*queuedJob)
 	q.index = len(h.jobs)
 	h.jobs = append(h.jobs, q)
 }
@@ -47,124 +46,127 @@
 	return last
 }
 
-// band is the queue of one rank of one hall, fair between workspaces by start-time fair queueing: each workspace has a virtual time that
-// grows with the tokens served over its weight, and the least goes first.
-type band struct {
-	heaps   map[string]*jobHeap
-	virtual map[string]float64
-	clock   float64
-	arrival []*queued // in order of arrival; holes where a job has left
-	count   int
-	// isolated is set if the band's class is.
+// fairQueue is the queue of one rank of one hall. It shares the engines between
+// workspaces by start-time fair queueing: a workspace's virtual time grows with its
+// tokens served divided by its weight, and the workspace with the least goes first.
+type fairQueue struct {
+	heaps       map[string]*jobHeap
+	virtualTime map[string]float64
+	clock       float64
+	byArrival   []*queuedJob // in order of arrival; a removed job stays until it is first
+	count       int
+	// isolated is set if the class is isolated.
 	isolated bool
 	memory   int64 // of the waiting jobs, in tokens
 }
 
-func newBand() *band {
-	return &band{heaps: map[string]*jobHeap{}, virtual: map[string]float64{}}
+func newFairQueue() *fairQueue {
+	return &fairQueue{heaps: map[string]*jobHeap{}, virtualTime: map[string]float64{}}
 }
 
-func (b *band) push(q *queued) {
-	h := b.heaps[q.job.Workspace]
+func (f *fairQueue) push(q *queuedJob) {
+	h := f.heaps[q.job.Workspace]
 	if h == nil {
 		h = &jobHeap{}
-		b.heaps[q.job.Workspace] = h
-		// A workspace that was idle starts at the present, so that it can't
-		// save up service and then crowd the others out.
-		b.virtual[q.job.Workspace] = max(b.virtual[q.job.Workspace], b.clock)
+		f.heaps[q.job.Workspace] = h
+		// An idle workspace restarts at the current virtual time, so that it
+		// can't accumulate credit and then starve the others.
+		f.virtualTime[q.job.Workspace] = max(f.virtualTime[q.job.Workspace], f.clock)
 	}
 	heap.Push(h, q)
-	b.arrival = append(b.arrival, q)
-	b.count++
-	b.memory += q.job.MemoryTokens()
+	f.byArrival = append(f.byArrival, q)
+	f.count++
+	f.memory += q.job.MemoryTokens()
 }
 
-func (b *band) remove(q *queued) {
-	h := b.heaps[q.job.Workspace]
+func (f *fairQueue) remove(q *queuedJob) {
+	h := f.heaps[q.job.Workspace]
 	heap.Remove(h, q.index)
 	if h.Len() == 0 {
-		delete(b.heaps, q.job.Workspace)
+		delete(f.heaps, q.job.Workspace)
 	}
 	q.index = -1
-	b.count--
-	b.memory -= q.job.MemoryTokens()
-	b.trim()
+	f.count--
+	f.memory -= q.job.MemoryTokens()
+	f.trim()
 }
 
-// trim drops jobs that have left from the front of the arrival order.
-func (b *band) trim() {
-	for len(b.arrival) > 0 && b.arrival[0].index < 0 {
-		b.arrival[0] = nil
-		b.arrival = b.arrival[1:]
+// trim drops removed jobs from the front of the arrival order.
+func (f *fairQueue) trim() {
+	for len(f.byArrival) > 0 && f.byArrival[0].index < 0 {
+		f.byArrival[0] = nil
+		f.byArrival = f.byArrival[1:]
 	}
-	if b.count == 0 {
-		b.arrival = nil
-		b.forgetIdle()
+	if f.count == 0 {
+		f.byArrival = nil
+		f.dropIdle()
 	}
 }
 
-// forgetIdle drops virtual times that are behind the clock: an idle workspace
-// starts at the clock anyway.
-func (b *band) forgetIdle() {
-	for workspace, virtual := range b.virtual {
-		if virtual <= b.clock {
-			delete(b.virtual, workspace)
+// dropIdle drops virtual times that are not ahead of the clock: an idle workspace
+// restarts at the clock anyway.
+func (f *fairQueue) dropIdle() {
+	for workspace, virtual := range f.virtualTime {
+		if virtual <= f.clock {
+			delete(f.virtualTime, workspace)
 		}
 	}
 }
 
-// oldest returns the job that has waited longest.
-func (b *band) oldest() *queued {
-	if len(b.arrival) == 0 {
+// oldest returns the job that has waited longest, or nil.
+func (f *fairQueue) oldest() *queuedJob {
+	if len(f.byArrival) == 0 {
 		return nil
 	}
-	return b.arrival[0]
+	return f.byArrival[0]
 }
 
-// fair returns the most urgent job of the workspace that was served least.
-func (b *band) fair() *queued {
+// leastServed returns the most urgent job of the workspace with the least virtual
+// time, or nil.
+func (f *fairQueue) leastServed() *queuedJob {
 	var best string
-	for workspace := range b.heaps {
-		if best == "" || b.less(workspace, best) {
+	for workspace := range f.heaps {
+		if best == "" || f.less(workspace, best) {
 			best = workspace
 		}
 	}
 	if best == "" {
 		return nil
 	}
-	return b.heaps[best].jobs[0]
+	return f.heaps[best].jobs[0]
 }
 
-func (b *band) less(x, y string) bool {
-	if b.virtual[x] != b.virtual[y] {
-		return b.virtual[x] < b.virtual[y]
+func (f *fairQueue) less(x, y string) bool {
+	if f.virtualTime[x] != f.virtualTime[y] {
+		return f.virtualTime[x] < f.virtualTime[y]
 	}
 	return x < y
 }
 
-// charge counts a dispatched job against its workspace.
-func (b *band) charge(job *Job) {
-	start := max(b.virtual[job.Workspace], b.clock)
-	b.clock = start
-	b.virtual[job.Workspace] = start + float64(job.PromptTokens+job.AnswerTokens)/max(job.Weight, 0.01)
+// charge advances the virtual time of a dispatched job's workspace.
+func (f *fairQueue) charge(job *Job) {
+	start := max(f.virtualTime[job.Workspace], f.clock)
+	f.clock = start
+	f.virtualTime[job.Workspace] = start + float64(job.PromptTokens+job.AnswerTokens)/max(job.Weight, 0.01)
 }
 
-// next returns the job to try first.
-func (b *band) next(now time.Time, policy Policy, ageBound time.Duration) *queued {
-	oldest := b.oldest()
+// next returns the job to dispatch first, or nil. A job that has waited longer than
+// ageBound goes before the others.
+func (f *fairQueue) next(now time.Time, policy Policy, ageBound time.Duration) *queuedJob {
+	oldest := f.oldest()
 	if oldest == nil {
 		return nil
 	}
 	if policy == FirstComeFirstServed || now.Sub(oldest.job.enqueued) > ageBound {
 		return oldest
 	}
-	return b.fair()
+	return f.leastServed()
 }
 
-// position is where a waiting job stands.
+// position locates a waiting job in its queue.
 type position struct {
-	band *band
-	q    *queued
+	queue *fairQueue
+	q     *queuedJob
 }
 
 type positions map[execution.AttemptID]position
--- a/core/scheduling/scheduler.go
+++ b/core/scheduling/scheduler.go
@@ -8,32 +8,32 @@
 	"arbutusdeck/core/execution"
 )
 
-// Scheduler holds the queues and engines of one backend server.
+// Scheduler queues the jobs of one backend server and dispatches them to its engines.
 type Scheduler struct {
-	options  Options
-	engines  map[string]*engine
-	names    []string
-	halls    map[string]*bands
-	where    positions
-	running  map[execution.AttemptID]*running
-	sequence uint64
+	options   Options
+	engines   map[string]*engine
+	names     []string
+	queues    map[string]*rankQueues
+	positions positions
+	running   map[execution.AttemptID]*running
+	sequence  uint64
 }
 
 // New returns a scheduler without engines.
 func New(options Options) *Scheduler {
-	return &Scheduler{options: options, engines: map[string]*engine{}, halls: map[string]*bands{},
-		where: positions{}, running: map[execution.AttemptID]*running{}}
+	return &Scheduler{options: options, engines: map[string]*engine{}, queues: map[string]*rankQueues{},
+		positions: positions{}, running: map[execution.AttemptID]*running{}}
 }
 
-// Configure takes over the engines of a new snapshot. Jobs on an engine that is
-// gone from it run on; the engine takes no further ones.
+// Configure applies the engines of a new snapshot. An engine that is no longer in
+// it finishes its jobs and takes no further ones.
 func (s *Scheduler) Configure(specs []EngineSpec) {
 	wanted := map[string]EngineSpec{}
 	for _, spec := range specs {
 		wanted[spec.Name] = spec
 		e := s.engines[spec.Name]
 		if e == nil {
-			e = &engine{running: map[execution.AttemptID]*running{}, holds: map[string]hold{}, rate: spec.PrefillRate}
+			e = &engine{running: map[execution.AttemptID]*running{}, reservations: map[string]partReservation{}, rate: spec.PrefillRate}
 			s.engines[spec.Name] = e
 		}
 		if e.spec.PrefillRate != spec.PrefillRate {
@@ -58,25 +58,25 @@
 	job.enqueued = now
 	s.sequence++
 	job.sequence = s.sequence
-	b := s.bandOf(&job)
-	s.halls[job.Hall].arrive(now, &job)
-	q := &queued{job: &job, startBy: job.FirstTokenBy.Add(-s.prefillTime(&job))}
-	b.push(q)
-	s.where[job.Attempt] = position{b, q}
+	queue := s.queueOf(&job)
+	s.queues[job.Hall].recordArrival(now, &job)
+	q := &queuedJob{job: &job, startBy: job.FirstTokenBy.Add(-s.prefillTime(&job))}
+	queue.push(q)
+	s.positions[job.Attempt] = position{queue, q}
 }
 
-func (s *Scheduler) bandOf(job *Job) *band {
-	hall := s.halls[job.Hall]
-	if hall == nil {
-		hall = &bands{}
-		s.halls[job.Hall] = hall
+func (s *Scheduler) queueOf(job *Job) *fairQueue {
+	queues := s.queues[job.Hall]
+	if queues == nil {
+		queues = &rankQueues{}
+		s.queues[job.Hall] = queues
 	}
 	if s.options.Policy == FirstComeFirstServed {
-		return hall.of(0)
+		return queues.forRank(0)
 	}
-	b := hall.of(job.Rank)
-	b.isolated = job.Isolated
-	return b
+	queue := queues.forRank(job.Rank)
+	queue.isolated = job.Isolated
+	return queue
 }
 
 func (s *Scheduler) prefillTime(job *Job) time.Duration {
@@ -87,8 +87,8 @@
 	return time.Duration(float64(job.PromptTokens) / rate * float64(time.Second))
 }
 
-// MeanPrefillRate returns the mean measured prefill speed of the hall's engines here, in
-// tokens a second.
+// MeanPrefillRate returns the mean measured prefill rate of the hall's engines on
+// this server, in tokens per second.
 func (s *Scheduler) MeanPrefillRate(hall string) float64 {
 	sum, count := 0.0, 0
 	for _, e := range s.engines {
@@ -103,35 +103,38 @@
 	return sum / float64(count)
 }
 
-// Remove takes a waiting or running attempt out. Its slot and memory are free.
+// Remove removes a waiting or running attempt and releases its slot and memory.
 func (s *Scheduler) Remove(now time.Time, id execution.AttemptID) {
-	if p, ok := s.where[id]; ok {
-		p.band.remove(p.q)
-		delete(s.where, id)
+	if p, ok := s.positions[id]; ok {
+		p.queue.remove(p.q)
+		delete(s.positions, id)
 	}
 	r, ok := s.running[id]
 	if !ok {
 		return
 	}
-	s.settleCredit(now, r.engine)
+	s.accrueCredit(now, r.engine)
 	r.engine.endPrefill(now, r, false)
-	r.engine.observeService(now.Sub(r.started))
-	r.engine.memory -= r.job.MemoryTokens()
+	r.engine.recordServiceTime(now.Sub(r.started))
+	r.engine.usedMemory -= r.job.MemoryTokens()
 	delete(r.engine.running, id)
 	delete(s.running, id)
 }
 
-// RecordFirstToken says that the attempt's first token has arrived.
+// RecordFirstToken records the arrival of the attempt's first token, which ends its
+// prefill.
 func (s *Scheduler) RecordFirstToken(now time.Time, id execution.AttemptID) {
 	r, ok := s.running[id]
-	if !ok || !r.prefill {
+	if !ok || !r.prefilling {
 		return
 	}
-	s.settleCredit(now, r.engine)
+	s.accrueCredit(now, r.engine)
 	r.engine.endPrefill(now, r, true)
 }
 
-// Schedule returns the commands that are due now.
+// Schedule returns the commands that are due now. Shorter classes are dispatched
+// first; then paused jobs are resumed, isolated classes dispatched and starved
+// prefills boosted.
 func (s *Scheduler) Schedule(now time.Time) []Command {
 	var commands []Command
 	for _, e := range s.engines {
@@ -139,69 +142,70 @@
 			e.claimed = 0
 		}
 	}
-	halls := slices.Sorted(maps.Keys(s.halls))
+	halls := slices.Sorted(maps.Keys(s.queues))
 	for _, hall := range halls {
-		commands = s.drainBands(commands, now, hall, false)
+		commands = s.dispatchHall(commands, now, hall, false)
 	}
 	for _, name := range s.names {
 		commands = s.resume(commands, s.engines[name])
 	}
 	for _, hall := range halls {
-		commands = s.drainBands(commands, now, hall, true)
+		commands = s.dispatchHall(commands, now, hall, true)
 	}
 	for _, name := range s.names {
-		commands = s.slice(commands, now, s.engines[name])
+		commands = s.boostPrefill(commands, now, s.engines[name])
 	}
 	return commands
 }
 
-// drainBands dispatches what fits of a hall's isolated classes, or of the others.
-func (s *Scheduler) drainBands(commands []Command, now time.Time, hall string, isolated bool) []Command {
-	for _, b := range s.halls[hall].ranks {
-		if b.isolated != isolated {
+// dispatchHall dispatches the jobs that fit, of a hall's isolated classes or of its
+// other classes.
+func (s *Scheduler) dispatchHall(commands []Command, now time.Time, hall string, isolated bool) []Command {
+	for _, queue := range s.queues[hall].byRank {
+		if queue.isolated != isolated {
 			continue
 		}
-		commands = s.drainBand(commands, now, b)
+		commands = s.dispatchQueue(commands, now, queue)
 		if !isolated {
-			commands = s.makeRoom(commands, now, b)
+			commands = s.preempt(commands, now, queue)
 		}
 	}
 	return commands
 }
 
-func (s *Scheduler) drainBand(commands []Command, now time.Time, b *band) []Command {
+func (s *Scheduler) dispatchQueue(commands []Command, now time.Time, queue *fairQueue) []Command {
 	for {
-		q := b.next(now, s.options.Policy, s.ageBound(b))
+		q := queue.next(now, s.options.Policy, s.ageBound(queue))
 		if q == nil {
 			return commands
 		}
-		e := s.fit(q.job)
+		e := s.findEngine(q.job)
 		if e == nil {
-			s.claimFor(now, q.job)
+			s.claimMemory(now, q.job)
 			return commands
 		}
-		commands = append(commands, s.dispatch(now, b, q, e))
+		commands = append(commands, s.dispatch(now, queue, q, e))
 	}
 }
 
-func (s *Scheduler) ageBound(b *band) time.Duration {
-	if b.isolated {
+func (s *Scheduler) ageBound(queue *fairQueue) time.Duration {
+	if queue.isolated {
 		return s.options.IsolatedAgeBound
 	}
 	return s.options.AgeBound
 }
 
-func (s *Scheduler) dispatch(now time.Time, b *band, q *queued, e *engine) Command {
+func (s *Scheduler) dispatch(now time.Time, queue *fairQueue, q *queuedJob, e *engine) Command {
 	job := q.job
-	b.remove(q)
-	b.charge(job)
-	delete(s.where, job.Attempt)
-	r := &running{job: job, engine: e, started: now, prefill: true, priority: s.priority(job)}
-	s.settleCredit(now, e)
+	queue.remove(q)
+	queue.charge(job)
+	delete(s.positions, job.Attempt)
+	r := &running{job: job, engine: e, started: now, prefilling: true, priority: s.priority(job)}
+	s.accrueCredit(now, e)
 	if e.busySince.IsZero() {
 		e.busySince = now
 	}
-	e.memory += job.MemoryTokens()
+	e.usedMemory += job.MemoryTokens()
 	e.running[job.Attempt] = r
 	s.running[job.Attempt] = r
 	return Dispatch{Attempt: job.Attempt, Engine: e.spec.Name, Priority: r.priority}
@@ -214,14 +218,14 @@
 	return job.Rank
 }
 
-// fit returns the engine that can take the job now and has the least prefill
-// work ahead of it, or nil.
-func (s *Scheduler) fit(job *Job) *engine {
+// findEngine returns the engine that can take the job now with the least prefill
+// work ahead of the job, or nil.
+func (s *Scheduler) findEngine(job *Job) *engine {
 	var best *engine
 	var bestWork float64
 	for _, name := range s.names {
 		e := s.engines[name]
-		if e.spec.Hall != job.Hall || (job.Engine != "" && job.Engine != name) || !s.roomFor(e, job) {
+		if e.spec.Hall != job.Hall || (job.Engine != "" && job.Engine != name) || !s.hasCapacity(e, job) {
 			continue
 		}
 		work := float64(e.prefillTokens(job.Rank)) / e.rate
@@ -232,28 +236,28 @@
 	return best
 }
 
-func (s *Scheduler) roomFor(e *engine, job *Job) bool {
+func (s *Scheduler) hasCapacity(e *engine, job *Job) bool {
 	active, isolated := e.active()
-	if active >= e.spec.Slots || e.memory+job.MemoryTokens() > e.spec.MemoryTokens {
+	if active >= e.spec.Slots || e.usedMemory+job.MemoryTokens() > e.spec.MemoryTokens {
 		return false
 	}
 	if s.options.Policy == FirstComeFirstServed {
 		return true
 	}
 	if job.Isolated {
-		return s.roomForIsolated(e, job, isolated)
+		return s.hasIsolatedCapacity(e, job, isolated)
 	}
 	backlog := float64(e.prefillTokens(job.Rank)) / e.rate
 	return backlog == 0 || backlog < s.options.MaxPrefillBacklog.Seconds()
 }
 
 // Waiting returns the number of queued jobs.
-func (s *Scheduler) Waiting() int { return len(s.where) }
+func (s *Scheduler) Waiting() int { return len(s.positions) }
 
 // Running returns the number of jobs on engines.
 func (s *Scheduler) Running() int { return len(s.running) }
 
-// EngineOf returns the engine that runs an attempt.
+// EngineOf returns the name of the engine that runs an attempt.
 func (s *Scheduler) EngineOf(id execution.AttemptID) (string, bool) {
 	r, ok := s.running[id]
 	if !ok {
@@ -262,7 +266,8 @@
 	return r.engine.spec.Name, true
 }
 
-// Fits says whether the job could ever run on one engine of its hall here.
+// Fits reports whether some engine of the job's hall on this server has enough total
+// memory for the job.
 func (s *Scheduler) Fits(job Job) bool {
 	for _, e := range s.engines {
 		if e.spec.Hall == job.Hall && e.spec.Slots > 0 && job.MemoryTokens() <= e.spec.MemoryTokens {
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -34,23 +34,23 @@
 	return ids
 }
 
-// A short prompt arrives behind an enormous one that waits and one that runs. It
-// starts at once, at the higher priority.
+// A short prompt arrives behind a very long one that waits and one that runs. It
+// starts at once, at a higher priority.
 func TestShortGoesBeforeLong(t *testing.T) {
 	s := oneEngine(4)
 	s.Enqueue(start, job("long1", 2, 200_000))
 	require.Equal(t, []string{"long1"}, dispatched(s.Schedule(start)))
 	s.Enqueue(start, job("long2", 2, 200_000))
-	require.Empty(t, s.Schedule(start), "the long class holds its part of the memory already")
+	require.Empty(t, s.Schedule(start), "the long class already holds its share of the memory")
 	s.Enqueue(start, job("short", 0, 1000))
 	commands := s.Schedule(start)
 	require.Equal(t, []string{"short"}, dispatched(commands))
 	require.Less(t, commands[0].(Dispatch).Priority, 2)
 }
 
-// While nothing shorter waits, long prompts take all slots but one. When a short
-// one comes and the slots are taken, one of them is paused. It goes on later, and
-// before a long one that has only waited: it would be overtaken for ever.
+// While no shorter prompt waits, long ones take all slots but one. When short ones
+// arrive and the slots are taken, one long one is paused. It is resumed before a
+// long one that has not started, or it could be starved.
 func TestLongShareWidensAndShrinks(t *testing.T) {
 	s := oneEngine(4)
 	for i := range 4 {
@@ -63,15 +63,15 @@
 	}
 	commands := s.Schedule(start)
 	require.Contains(t, commands, Pause{Attempt: "long2", Engine: "e0"})
-	require.Len(t, dispatched(commands), 2, "one slot was free, one was taken back; the share is left to the long class")
+	require.Len(t, dispatched(commands), 2, "one slot was free and one was preempted; the long class keeps its share")
 	for i := range 3 {
 		s.Remove(start, execution.AttemptID(fmt.Sprintf("short%d", i)))
 	}
 	require.Equal(t, []Command{Resume{Attempt: "long2", Engine: "e0"}}, s.Schedule(start))
 }
 
-// A medium prompt waits for memory that a long one holds. The short ones behind
-// it are not held up.
+// A medium prompt waits for memory that a long one holds. Short ones behind it are
+// not delayed.
 func TestAWaitForMemoryHoldsUpItsOwnClassOnly(t *testing.T) {
 	s := oneEngine(8)
 	s.Enqueue(start, job("long", 2, 290_000))
@@ -84,14 +84,13 @@
 	require.Equal(t, []string{"short"}, dispatched(s.Schedule(start)))
 }
 
-// Short prefills never cease. The long one gets its floor share of the time all
-// the same, in slices.
+// Short prefills keep arriving. A long one still gets its minimum share of the time.
 func TestLongPrefillIsNotStarved(t *testing.T) {
 	s := oneEngine(8)
 	s.Enqueue(start, job("long", 2, 200_000))
 	s.Schedule(start)
-	raised := time.Duration(0)
-	up := false
+	boosted := time.Duration(0)
+	active := false
 	const step = 10 * time.Millisecond
 	for i := range 1000 {
 		now := start.Add(time.Duration(i) * step)
@@ -99,22 +98,22 @@
 		s.Enqueue(now, job(string(id), 0, 1000))
 		for _, command := range s.Schedule(now) {
 			if p, ok := command.(SetPriority); ok {
-				up = p.Priority == boostedPriority
+				active = p.Priority == boostedPriority
 			}
 		}
 		if i > 0 {
 			s.Remove(now, execution.AttemptID(fmt.Sprintf("short%d", i-1)))
 		}
-		if up {
-			raised += step
+		if active {
+			boosted += step
 		}
 	}
-	share := raised.Seconds() / 10
+	share := boosted.Seconds() / 10
 	require.InDelta(t, DefaultOptions().MinPrefillShare, share, 0.05)
 }
 
-// One workspace floods the queue, another sends a little. Both get their part of
-// the engine by weight; the flood only delays itself.
+// One workspace floods the queue, another sends little. Each gets its share of the
+// engine by weight; the flood delays only itself.
 func TestWorkspacesAreServedByWeight(t *testing.T) {
 	s := oneEngine(1)
 	add := func(workspace string, weight float64, count int) {
@@ -139,7 +138,7 @@
 	require.InDelta(t, 60, served['h'], 2)
 }
 
-// A job is overtaken by fairer or more urgent ones, but no longer than the bound.
+// A job can be overtaken by more urgent ones, but for no longer than AgeBound.
 func TestAgeBound(t *testing.T) {
 	s := oneEngine(1)
 	old := job("old", 0, 1000)
@@ -155,7 +154,7 @@
 	require.Equal(t, []string{"old"}, dispatched(s.Schedule(start.Add(6*time.Second))))
 }
 
-// The measured speed follows a server that has become slower.
+// The measured prefill rate follows a server that has become slower.
 func TestRateIsMeasured(t *testing.T) {
 	s := oneEngine(1)
 	now := start
@@ -170,8 +169,8 @@
 	require.InDelta(t, 1000, s.MeanPrefillRate("h"), 20)
 }
 
-// BenchmarkSchedule: one job through a queue that holds others, of many
-// workspaces.
+// BenchmarkSchedule measures queueing and dispatching one job beside the waiting
+// jobs of many workspaces.
 func BenchmarkSchedule(b *testing.B) {
 	for _, waiting := range []int{0, 100, 500} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -193,7 +192,7 @@
 	}
 }
 
-// BenchmarkWait: the prediction behind every offer.
+// BenchmarkWait measures the prediction that is made for every offer.
 func BenchmarkWait(b *testing.B) {
 	for _, waiting := range []int{0, 100, 500} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
