--- a/core/routing/affinity.go
+++ b/core/routing/affinity.go
@@ -1,31 +1,31 @@
 package routing
 
-// affinity remembers which server was last given a prompt prefix. It holds two
-// generations, so that dropping the older one bounds its size at a flat cost.
+// affinity maps a prompt prefix to the server that last received it. It keeps two
+// generations, so that dropping the older one bounds its size at constant cost.
 type affinity struct {
-	limit int
-	young map[uint64]string
-	old   map[uint64]string
+	limit    int
+	current  map[uint64]string
+	previous map[uint64]string
 }
 
 func newAffinity(limit int) *affinity {
-	return &affinity{limit: max(limit, 2), young: map[uint64]string{}}
+	return &affinity{limit: max(limit, 2), current: map[uint64]string{}}
 }
 
 func (a *affinity) get(prefix uint64) (string, bool) {
 	if prefix == 0 {
 		return "", false
 	}
-	if server, ok := a.young[prefix]; ok {
+	if server, ok := a.current[prefix]; ok {
 		return server, true
 	}
-	server, ok := a.old[prefix]
+	server, ok := a.previous[prefix]
 	return server, ok
 }
 
 func (a *affinity) put(prefix uint64, server string) {
-	if len(a.young) >= a.limit/2 {
-		a.old, a.young = a.young, map[uint64]string{}
+	if len(a.current) >= a.limit/2 {
+		a.previous, a.current = a.current, map[uint64]string{}
 	}
-	a.young[prefix] = server
+	a.current[prefix] = server
 }
--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -22,7 +22,7 @@
 	return p, now
 }
 
-// BenchmarkPick: the cost of a pick must not grow with the servers known.
+// BenchmarkPick measures a pick; its cost must not grow with the number of servers.
 func BenchmarkPick(b *testing.B) {
 	for _, servers := range []int{20, 100, 350, 810} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkObserve: a load report with two classes.
+// BenchmarkObserve measures recording a load report with two classes.
 func BenchmarkObserve(b *testing.B) {
 	p, now := loadedPicker(810)
 	report := Report{Classes: []ClassTokens{{0, 4000}, {2, 90_000}}, Rate: 64000}
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -1,5 +1,5 @@
-// Package routing decides at the entry which backend server an attempt is
-// offered to. Picker is a pure core: time and random numbers are passed in.
+// Package routing selects, at the entry, the backend server to which an attempt is
+// offered. Picker does no I/O: time and random numbers are passed in.
 package routing
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Policy selects how a server is chosen.
+// Policy selects the algorithm that picks a server.
 type Policy string
 
 const (
@@ -19,33 +19,33 @@
 	LeastOutstanding Policy = "least-outstanding"
 )
 
-// Options are the bounds of a Picker.
+// Options configures a Picker.
 type Options struct {
 	Policy Policy
-	// Candidates is how many servers are compared for one pick.
+	// Candidates is the number of servers that are compared for one pick.
 	Candidates int
 	// Zone is the availability zone of this entry.
 	Zone string
 	// LocalRoundTrip and RemoteRoundTrip are added to a prediction.
 	LocalRoundTrip  time.Duration
 	RemoteRoundTrip time.Duration
-	// PendingMaxAge is the age from which an own dispatch that no report shows
-	// counts for nothing.
+	// PendingMaxAge is the age beyond which a dispatch of this entry that no
+	// report includes is ignored. It is extended by the dispatch's prefill time.
 	PendingMaxAge time.Duration
-	// ReportDecayTime is how fast a report loses its weight against the mean of all
-	// reports: with each such time it falls to a third.
+	// ReportDecayTime is the time constant by which a report loses weight against
+	// the mean of all reports: it falls to about a third in that time.
 	ReportDecayTime time.Duration
-	// WarmUp is how long a server that was just heard of for the first time is
-	// spared from more than its share.
+	// WarmUp is the time for which a newly seen server is penalised, so that it
+	// is not sent more than its share.
 	WarmUp time.Duration
 	// AffinitySize bounds the number of prefixes remembered.
 	AffinitySize int
-	// PrefixSaving is the part of the own prefill that a remembered prefix is
-	// expected to save.
+	// PrefixSaving is the fraction of the prompt's prefill that a remembered prefix
+	// is expected to save.
 	PrefixSaving float64
 }
 
-// DefaultOptions returns the options used when the settings name none.
+// DefaultOptions returns the options used where the settings give none.
 func DefaultOptions() Options {
 	return Options{
 		Policy:          Predicted,
@@ -62,22 +62,23 @@
 
 // Query describes the attempt to place.
 type Query struct {
-	// Pool is the hall, or the plain service.
+	// Pool names the hall or the plain service.
 	Pool         string
 	Rank         int
 	PromptTokens int64
 	AnswerTokens int64
 	// Prefix is the hash of the prompt's beginning; zero for none.
 	Prefix uint64
-	// Exclude are servers that were tried already.
+	// Exclude lists servers that were attempted already.
 	Exclude []string
-	// Eligible is membership's word on a server.
+	// Eligible reports whether membership considers a server usable; nil accepts all.
 	Eligible func(server string) bool
-	// FirstSeen is when a server's present incarnation was first heard.
+	// FirstSeen returns the time at which the server's current incarnation was
+	// first seen; nil disables the warm-up.
 	FirstSeen func(server string) time.Time
 }
 
-// Decision says why a server was picked, for operators.
+// Decision is the picked server with the predictions behind the pick, for operators.
 type Decision struct {
 	Server     string        `json:"server"`
 	Predicted  time.Duration `json:"predicted"`
@@ -85,13 +86,13 @@
 	Affinity   bool          `json:"affinity"`
 }
 
-// Candidate is one server that was compared.
+// Candidate is one server that was compared, with its predicted time to first token.
 type Candidate struct {
 	Server    string        `json:"server"`
 	Predicted time.Duration `json:"predicted"`
 }
 
-// Picker holds what the entry knows of the servers' load.
+// Picker picks servers by the load that the entry knows of them.
 type Picker struct {
 	options  Options
 	pools    map[string]*pool
@@ -103,8 +104,7 @@
 	return &Picker{options: options, pools: map[string]*pool{}, affinity: newAffinity(options.AffinitySize)}
 }
 
-// Configure takes over the servers of a pool. What is known of servers that
-// stay is kept.
+// Configure sets the servers of a pool. The state of servers that remain is kept.
 func (p *Picker) Configure(name string, specs []ServerSpec) {
 	old := p.pools[name]
 	fresh := &pool{byName: map[string]*server{}}
@@ -120,7 +120,7 @@
 	p.pools[name] = fresh
 }
 
-// Retain drops the pools that are not wanted any more.
+// Retain drops the pools for which wanted returns false.
 func (p *Picker) Retain(wanted func(pool string) bool) {
 	for name := range p.pools {
 		if !wanted(name) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Observe takes in a load report. The own dispatches that the report already
-// counts are dropped; reports that arrive out of order are ignored.
+// Observe records a load report. It drops the dispatches of this entry that the
+// report already includes; reports that arrive out of order are ignored.
 func (p *Picker) Observe(poolName, name string, report Report) {
 	s := p.find(poolName, name)
 	if s == nil || !report.Observed.After(s.report.Observed) {
@@ -147,7 +147,7 @@
 	s.pending = kept
 }
 
-// RecordSent counts an own dispatch that no report shows yet.
+// RecordSent records a dispatch of this entry that no report includes yet.
 func (p *Picker) RecordSent(now time.Time, poolName, name string, q Query) {
 	s := p.find(poolName, name)
 	if s == nil {
@@ -163,36 +163,38 @@
 	}
 }
 
-// RecordEnded counts an own dispatch as over.
+// RecordEnded records the end of a dispatch of this entry.
 func (p *Picker) RecordEnded(poolName, name string) {
 	if s := p.find(poolName, name); s != nil && s.outstanding > 0 {
 		s.outstanding--
 	}
 }
 
-// RecordFailure lowers the trust in a server: a reset, a 5xx, a corrupt answer.
+// RecordFailure raises a server's failure score after a reset, a 5xx status or a
+// corrupt answer.
 func (p *Picker) RecordFailure(now time.Time, poolName, name string) {
 	if s := p.find(poolName, name); s != nil {
-		s.distrust = s.distrustNow(now) + 1
-		s.distrustAt = now
+		s.failureScore = s.decayedFailureScore(now) + 1
+		s.failureScoreAt = now
 	}
 }
 
-// RecordOverload lowers the pace for a server that said it is full. It says nothing
-// against its health, so trust stays as it is.
+// RecordOverload backs off from a server that refused an attempt because it is full.
+// Overload is no failure, so the failure score is unchanged.
 func (p *Picker) RecordOverload(now time.Time, poolName, name string, retryAfter time.Duration) {
 	s := p.find(poolName, name)
 	if s == nil {
 		return
 	}
-	s.paceStep = min(max(s.paceStep*2, minPace), maxPace)
-	s.paceUntil = now.Add(min(max(s.paceStep, min(retryAfter, maxPace)), maxPace))
+	s.backoff = min(max(s.backoff*2, minBackoff), maxBackoff)
+	s.backoffUntil = now.Add(min(max(s.backoff, min(retryAfter, maxBackoff)), maxBackoff))
 }
 
-// RecordAccepted ends the slower pace.
+// RecordAccepted resets the length of a server's backoff. A backoff in progress still
+// runs out.
 func (p *Picker) RecordAccepted(poolName, name string) {
 	if s := p.find(poolName, name); s != nil {
-		s.paceStep = 0
+		s.backoff = 0
 	}
 }
 
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// DiscardReports drops all load reports, after the process was paused.
+// DiscardReports drops all load reports and pending dispatches. It is called after
+// the process was paused.
 func (p *Picker) DiscardReports() {
 	for _, pool := range p.pools {
 		for _, s := range pool.servers {
@@ -212,7 +215,7 @@
 	}
 }
 
-// Pick chooses a server. It reports false if none may take the attempt.
+// Pick picks a server for an attempt. It reports false if none is usable.
 func (p *Picker) Pick(now time.Time, q Query, random *rand.Rand) (Decision, bool) {
 	pool := p.pools[q.Pool]
 	if pool == nil || len(pool.servers) == 0 {
@@ -225,7 +228,7 @@
 		pool.next++
 		return pickFirst(now, pool, q, pool.next)
 	case LeastOutstanding:
-		return pickLeast(now, pool, q, random.IntN(len(pool.servers)))
+		return pickLeastOutstanding(now, pool, q, random.IntN(len(pool.servers)))
 	}
 	return p.pickPredicted(now, pool, q, random)
 }
@@ -252,7 +255,7 @@
 	return Decision{}, false
 }
 
-func pickLeast(now time.Time, pool *pool, q Query, from int) (Decision, bool) {
+func pickLeastOutstanding(now time.Time, pool *pool, q Query, from int) (Decision, bool) {
 	var best *server
 	for i := range pool.servers {
 		s := pool.servers[(from+i)%len(pool.servers)]
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-// twoServers has a busy server and an idle one.
+// twoServers returns a picker with a busy server and an idle one.
 func twoServers() *Picker {
 	p := New(DefaultOptions())
 	p.Configure("hall", []ServerSpec{{Name: "busy", Rate: 1000, Engines: 1}, {Name: "idle", Rate: 1000, Engines: 1}})
@@ -78,8 +78,8 @@
 	}
 }
 
-// All servers have said that they are full. Somebody is asked all the same: its
-// refusal carries the true time to come back.
+// All servers are in backoff after an overload. One is picked all the same, because
+// its refusal carries the right retry delay.
 func TestPickWhenAllAreFull(t *testing.T) {
 	p := twoServers()
 	p.RecordOverload(now, "hall", "idle", time.Second)
@@ -89,7 +89,7 @@
 	require.False(t, ok)
 }
 
-// The only usable server of many is found, whatever the random start.
+// The only usable server of many is found from any random start.
 func TestPickFindsTheLastServer(t *testing.T) {
 	p := New(DefaultOptions())
 	var specs []ServerSpec
@@ -103,8 +103,8 @@
 	}
 }
 
-// An old report of an idle server is not taken at its word: with the mean of all
-// reports far higher, a server that was seen a moment ago with less goes first.
+// The old report of an idle server decays towards the mean of all reports. If that
+// mean is far higher, a server with a fresh report of less work is preferred.
 func TestPickDistrustsOldReports(t *testing.T) {
 	p := twoServers()
 	for i := range 400 {
@@ -120,7 +120,7 @@
 	for i := range uint64(1000) {
 		a.put(i+1, "s")
 	}
-	require.LessOrEqual(t, len(a.young)+len(a.old), 100)
+	require.LessOrEqual(t, len(a.current)+len(a.previous), 100)
 	_, ok := a.get(1000)
 	require.True(t, ok)
 	_, ok = a.get(1)
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// pickPredicted compares a few random candidates and the one that is expected to
-// hold the prefix. Comparing a few keeps the cost flat as the fleet grows, and
-// keeps entries with the same lagging reports from all choosing the same server.
+// pickPredicted compares a few random candidates and the server that is expected to
+// hold the prefix. Comparing only a few keeps the cost constant as the fleet grows,
+// and prevents entries with the same outdated reports from all picking one server.
 func (p *Picker) pickPredicted(now time.Time, pool *pool, q Query, random *rand.Rand) (Decision, bool) {
 	holder, _ := p.affinity.get(q.Prefix)
 	var reason Decision
@@ -29,15 +29,15 @@
 	return reason, best >= 0
 }
 
-// candidates visits up to Candidates usable servers, from a random place on, so
-// that a mostly unusable fleet is still searched to its end.
+// candidates visits up to Options.Candidates usable servers in a random cyclic
+// order, so that the usable ones are found even if most are not.
 func (p *Picker) candidates(now time.Time, pool *pool, q Query, random *rand.Rand, visit func(*server)) {
 	count := len(pool.servers)
 	start, step := random.IntN(count), stride(count, random)
 	visited := 0
 	for i := 0; i < count && visited < p.options.Candidates; i++ {
 		s := pool.servers[(start+i*step)%count]
-		if !usable(now, s, q) || now.Before(s.paceUntil) {
+		if !usable(now, s, q) || now.Before(s.backoffUntil) {
 			continue
 		}
 		visit(s)
@@ -49,8 +49,8 @@
 	p.anyUsable(now, pool, q, start, visit)
 }
 
-// anyUsable ignores the pace: with every server slowed down, the host's own
-// refusal carries the true time to come back.
+// anyUsable visits one usable server regardless of backoff: if every server backs
+// off, a host's own refusal carries the right retry delay.
 func (p *Picker) anyUsable(now time.Time, pool *pool, q Query, start int, visit func(*server)) {
 	for i := range pool.servers {
 		s := pool.servers[(start+i)%len(pool.servers)]
@@ -61,7 +61,7 @@
 	}
 }
 
-// stride returns a step that visits all places of a ring once.
+// stride returns a random step that visits every index of a ring exactly once.
 func stride(count int, random *rand.Rand) int {
 	if count < 3 {
 		return 1
@@ -81,8 +81,9 @@
 	return a == 1
 }
 
-// predict returns the expected time to first token on the server: round trip,
-// prefill work ahead at the same or a higher priority, own prefill.
+// predict returns the expected time to first token on the server: the round trip,
+// the prefill work ahead at the same or a higher priority, the attempt's own prefill,
+// the start delay and the penalties for failures and warm-up.
 func (p *Picker) predict(now time.Time, pool *pool, s *server, q Query, holdsPrefix bool) time.Duration {
 	rate := s.spec.Rate
 	if s.report.Rate > 0 {
@@ -95,12 +96,12 @@
 	if holdsPrefix {
 		own *= 1 - p.options.PrefixSaving
 	}
-	ahead := p.ahead(now, pool, s, q.Rank, rate)
+	ahead := p.prefillAhead(now, pool, s, q.Rank, rate)
 	seconds := ahead/rate + own*float64(max(s.spec.Engines, 1))/rate
 	predicted := time.Duration(seconds*float64(time.Second)) + p.roundTrip(s) + s.report.StartDelay
-	predicted += time.Duration(s.distrustNow(now) * float64(distrustCost))
+	predicted += time.Duration(s.decayedFailureScore(now) * float64(failurePenalty))
 	if q.FirstSeen != nil && now.Sub(q.FirstSeen(s.spec.Name)) < p.options.WarmUp {
-		predicted += warmUpCost
+		predicted += warmUpPenalty
 	}
 	return predicted
 }
@@ -112,12 +113,11 @@
 	return p.options.RemoteRoundTrip
 }
 
-// ahead is the prefill work at the rank or before it, in tokens: what was last
-// reported, relaxed towards the mean of all reports as it grows old, plus own
-// dispatches since. Other entries' dispatches since are not seen here; a report
-// of an idle server that is taken at its word when old makes every entry send its
-// next attempts there.
-func (p *Picker) ahead(now time.Time, pool *pool, s *server, rank int, rate float64) float64 {
+// prefillAhead estimates the prefill work up to the rank, in tokens: the last report,
+// decayed towards the mean of all reports with its age, plus this entry's dispatches
+// since. Dispatches of other entries since are unknown here; if the old report of an
+// idle server kept its full weight, every entry would send its next attempts there.
+func (p *Picker) prefillAhead(now time.Time, pool *pool, s *server, rank int, rate float64) float64 {
 	reported := 0.0
 	for _, c := range s.report.Classes {
 		if c.Rank <= rank {
@@ -126,15 +126,15 @@
 	}
 	weight := 0.0
 	if !s.report.Observed.IsZero() {
-		// Much work takes long to change: the report of it stays true longer.
-		lasting := p.options.ReportDecayTime.Seconds() + reported/rate
-		weight = math.Exp(-now.Sub(s.report.Observed).Seconds() / lasting)
+		// A large backlog changes slowly, so its report stays valid for longer.
+		decay := p.options.ReportDecayTime.Seconds() + reported/rate
+		weight = math.Exp(-now.Sub(s.report.Observed).Seconds() / decay)
 	}
 	mean := pool.meanUpTo(rank)
 	tokens := mean + weight*(reported-mean)
 	for _, d := range s.pending {
-		lasting := p.options.PendingMaxAge + time.Duration(float64(d.tokens)/rate*float64(time.Second))
-		if d.rank <= rank && now.Sub(d.at) < lasting {
+		maxAge := p.options.PendingMaxAge + time.Duration(float64(d.tokens)/rate*float64(time.Second))
+		if d.rank <= rank && now.Sub(d.at) < maxAge {
 			tokens += float64(d.tokens)
 		}
 	}
--- a/core/routing/server.go
+++ b/core/routing/server.go
@@ -4,45 +4,44 @@
 	"time"
 )
 
-// ServerSpec is what the configuration says of a server of one pool.
+// ServerSpec is the configuration of one server of a pool.
 type ServerSpec struct {
 	Name string
 	Zone string
-	// Rate is the expected prefill speed of its engines together, tokens/s.
+	// Rate is the expected total prefill rate of its engines, in tokens per second.
 	Rate float64
-	// Engines is how many engines share that speed.
+	// Engines is the number of engines that share Rate.
 	Engines int
-	// MaxTokens is the longest prompt with answer that one engine holds; zero
-	// means no limit.
+	// MaxTokens bounds prompt and answer together on one engine; 0 means no limit.
 	MaxTokens int64
 }
 
-// ClassTokens is reported prefill work of one class rank.
+// ClassTokens is the reported prefill work of one class rank.
 type ClassTokens struct {
 	Rank   int
 	Tokens int64
 }
 
-// Report is a server's word on its load.
+// Report is a load report of a server.
 type Report struct {
 	Classes  []ClassTokens
 	Rate     float64
 	Waiting  int
 	Running  int
 	Observed time.Time
-	// StartDelay is the wait for a slot and memory.
+	// StartDelay is the predicted wait for a slot and memory.
 	StartDelay time.Duration
 }
 
 type server struct {
-	spec        ServerSpec
-	report      Report
-	pending     []dispatch // sent since the last report
-	outstanding int
-	distrust    float64 // failures of late, decaying
-	distrustAt  time.Time
-	paceUntil   time.Time // overload: no new work before
-	paceStep    time.Duration
+	spec           ServerSpec
+	report         Report
+	pending        []dispatch // sent since the last report
+	outstanding    int
+	failureScore   float64 // failures of late, decaying
+	failureScoreAt time.Time
+	backoffUntil   time.Time // overload: no new work before
+	backoff        time.Duration
 }
 
 type dispatch struct {
@@ -59,13 +58,13 @@
 	mean []float64
 }
 
-// maxRanks bounds the ranks of length classes that are told apart.
+// maxRanks bounds the number of class ranks in the mean of reports.
 const maxRanks = 8
 
 // meanSmoothing is the weight of a new report in the mean.
 const meanSmoothing = 0.02
 
-// observe takes a report into the mean.
+// observe updates the mean with a report.
 func (p *pool) observe(report Report) {
 	if p.mean == nil {
 		p.mean = make([]float64, maxRanks)
@@ -81,7 +80,7 @@
 	}
 }
 
-// meanUpTo is the mean work at the rank or before it, in tokens.
+// meanUpTo returns the mean prefill work up to the rank, in tokens.
 func (p *pool) meanUpTo(rank int) float64 {
 	sum := 0.0
 	for i := 0; i <= rank && i < len(p.mean); i++ {
@@ -90,32 +89,32 @@
 	return sum
 }
 
-// maxPending bounds the own dispatches remembered for one server.
+// maxPending bounds the dispatches remembered for one server.
 const maxPending = 256
 
 const (
-	minPace = 20 * time.Millisecond
-	maxPace = 500 * time.Millisecond
-	// distrustHalfLife is how fast a failure is forgotten.
-	distrustHalfLife = 2 * time.Second
-	// distrustCost is what one recent failure adds to a prediction.
-	distrustCost = 400 * time.Millisecond
-	// warmUpCost is what a server that has just come up adds to a prediction.
-	warmUpCost = 100 * time.Millisecond
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// failureHalfLife is the half-life of a failure in the failure score.
+	failureHalfLife = 2 * time.Second
+	// failurePenalty is added to a prediction for each unit of the failure score.
+	failurePenalty = 400 * time.Millisecond
+	// warmUpPenalty is added to the prediction for a server during its warm-up.
+	warmUpPenalty = 100 * time.Millisecond
 )
 
-func (s *server) distrustNow(now time.Time) float64 {
-	if s.distrust == 0 {
+func (s *server) decayedFailureScore(now time.Time) float64 {
+	if s.failureScore == 0 {
 		return 0
 	}
-	halves := int(now.Sub(s.distrustAt) / distrustHalfLife)
+	halves := int(now.Sub(s.failureScoreAt) / failureHalfLife)
 	if halves > 30 {
 		return 0
 	}
-	return s.distrust / float64(uint64(1)<<halves)
+	return s.failureScore / float64(uint64(1)<<halves)
 }
 
-// ServerLoad is one row for operators.
+// ServerLoad is the known load of one server of a pool, for operators.
 type ServerLoad struct {
 	Pool         string    `json:"pool"`
 	Server       string    `json:"server"`
@@ -127,14 +126,14 @@
 	FailureScore float64   `json:"distrust"`
 }
 
-// Loads lists what is believed of every server.
+// Loads lists the known load of every server.
 func (p *Picker) Loads(now time.Time) []ServerLoad {
 	var rows []ServerLoad
 	for name, pool := range p.pools {
 		for _, s := range pool.servers {
 			rows = append(rows, ServerLoad{Pool: name, Server: s.spec.Name, Outstanding: s.outstanding,
 				Rate: s.report.Rate, Waiting: s.report.Waiting, Running: s.report.Running,
-				Observed: s.report.Observed, FailureScore: s.distrustNow(now)})
+				Observed: s.report.Observed, FailureScore: s.decayedFailureScore(now)})
 		}
 	}
 	return rows
