--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Unix(4_000, 0)
 
-// What can't be served in time is refused at once, with the time that its queue
-// needs to drain.
+// A request that can't be served in time is refused at once, with a retry delay for
+// which the queue drains far enough.
 func TestLimitsRefuseEarly(t *testing.T) {
 	ask := func(change func(*Offer)) Offer {
 		a := Offer{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, Own: 200 * time.Millisecond}
@@ -47,8 +47,8 @@
 	}
 }
 
-// A quota saves up two seconds, refuses with the time until there is room, and
-// lets one prompt larger than the savings through when they are full.
+// A quota has a burst of two seconds, refuses with the delay until the request fits,
+// and admits one prompt larger than the burst when the bucket is full.
 func TestSharesSpendTheQuota(t *testing.T) {
 	s := NewShares(DefaultShareOptions())
 	quota := Quota{RequestsPerSecond: 5, TokensPerSecond: 1000}
@@ -62,11 +62,11 @@
 	require.Nil(t, s.Admit(later, "w", quota, 50_000))
 	refusal = s.Admit(later.Add(time.Second), "w", quota, 10)
 	require.NotNil(t, refusal)
-	require.Greater(t, refusal.RetryAfter, 40*time.Second, "what was taken in advance is paid back")
+	require.Greater(t, refusal.RetryAfter, 40*time.Second, "tokens taken in advance delay later requests")
 	require.Nil(t, s.Admit(later, "free", Quota{}, 1_000_000))
 }
 
-// An entry that hears nothing goes back to an even part.
+// An entry without recent hints falls back to an equal part.
 func TestSharesFallBack(t *testing.T) {
 	s := NewShares(DefaultShareOptions())
 	s.Configure(4, func(string) bool { return true })
--- a/core/admission/bytes_test.go
+++ b/core/admission/bytes_test.go
@@ -12,7 +12,7 @@
 	require.False(t, b.Reserve(5))
 	require.True(t, b.Reserve(4))
 	b.SetLimit(3)
-	require.EqualValues(t, 10, b.Reserved(), "what is held beyond a new limit stays")
+	require.EqualValues(t, 10, b.Reserved(), "bytes reserved beyond a new limit stay reserved")
 	b.Release(8)
 	require.False(t, b.Reserve(2))
 	require.True(t, b.Reserve(1))
--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -7,20 +7,20 @@
 	"arbutusdeck/core/execution"
 )
 
-// LimitOptions are the bounds of Limits.
+// LimitOptions configures Limits.
 type LimitOptions struct {
 	// MaxWaiting bounds the number of queued attempts on the host.
 	MaxWaiting int
-	// WaitTolerance is how far beyond its first-token target a request may be
-	// predicted to start, as a factor of the target, before it is refused.
+	// WaitTolerance bounds the predicted wait before a request's own prefill, as a
+	// factor of its first-token target; beyond it the request is refused.
 	WaitTolerance float64
-	// MinWaitTolerance is the least time allowed by Patience.
+	// MinWaitTolerance is the lower bound of the tolerated wait.
 	MinWaitTolerance time.Duration
-	// DemandHalfLife is how fast the demand of each entry is forgotten.
+	// DemandHalfLife is the half-life of the demand counted for each entry.
 	DemandHalfLife time.Duration
 }
 
-// DefaultLimitOptions returns the options used when the settings name none.
+// DefaultLimitOptions returns the options used where the settings give none.
 func DefaultLimitOptions() LimitOptions {
 	return LimitOptions{MaxWaiting: 512, WaitTolerance: 1, MinWaitTolerance: 100 * time.Millisecond, DemandHalfLife: 10 * time.Second}
 }
@@ -30,57 +30,57 @@
 	at      time.Time
 }
 
-// Limits decides at one host which offers may wait for a place.
+// Limits decides at one host which offers are admitted to its queue.
 type Limits struct {
 	options LimitOptions
 	open    map[string]int
 	demands map[string]*demand
 }
 
-// NewLimits returns limits with nothing open.
+// NewLimits returns Limits without open requests.
 func NewLimits(options LimitOptions) *Limits {
 	return &Limits{options: options, open: map[string]int{}, demands: map[string]*demand{}}
 }
 
-// Offer is one offer as admission sees it.
+// Offer describes one offer to admission control.
 type Offer struct {
 	Workspace string
 	Entry     string
-	// Concurrency is the workspace's bound on open requests here; 0: none.
+	// Concurrency is the workspace's limit on open requests here; 0 means none.
 	Concurrency int
 	Deadline    time.Time
-	// Target is the first-token target.
+	// Target is the target for the time to first token.
 	Target time.Duration
 	// Predicted is the predicted time to first token here.
 	Predicted time.Duration
-	// Own is the part of Predicted that the request's own prefill takes.
+	// Own is the part of Predicted taken by the request's own prefill.
 	Own time.Duration
 	// Waiting is the number of queued attempts here.
 	Waiting int
 }
 
-// Check refuses what cannot be served in time. Refusing early costs the caller
-// one round trip; letting it wait would cost it its whole time and make every
-// request behind it late as well.
+// Check refuses an offer that cannot be served in time, and returns nil otherwise.
+// An early refusal costs the caller one round trip; queueing the request would use
+// up its whole time and delay every request behind it.
 func (l *Limits) Check(now time.Time, ask Offer) *execution.Refusal {
-	ahead := ask.Predicted - ask.Own
+	wait := ask.Predicted - ask.Own
 	if ask.Concurrency > 0 && l.open[ask.Workspace] >= ask.Concurrency {
-		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the workspace has its largest number of open requests here", RetryAfter: retryAfter(ahead)}
+		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the workspace has its largest number of open requests here", RetryAfter: retryAfter(wait)}
 	}
 	if ask.Waiting >= l.options.MaxWaiting {
-		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the queue is full", RetryAfter: retryAfter(ahead)}
+		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the queue is full", RetryAfter: retryAfter(wait)}
 	}
 	if now.Add(ask.Predicted).After(ask.Deadline) {
 		return &execution.Refusal{Code: execution.CodeInfeasible, Detail: "the first token would come after the deadline", RetryAfter: retryAfter(now.Add(ask.Predicted).Sub(ask.Deadline))}
 	}
-	patience := max(time.Duration(l.options.WaitTolerance*float64(ask.Target)), l.options.MinWaitTolerance)
-	if ahead > patience {
-		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the wait would exceed the first-token target", RetryAfter: retryAfter(ahead - patience)}
+	tolerance := max(time.Duration(l.options.WaitTolerance*float64(ask.Target)), l.options.MinWaitTolerance)
+	if wait > tolerance {
+		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the wait would exceed the first-token target", RetryAfter: retryAfter(wait - tolerance)}
 	}
 	return nil
 }
 
-// minRetryAfter keeps refused callers from asking again at once.
+// minRetryAfter prevents refused callers from retrying at once.
 const minRetryAfter = 100 * time.Millisecond
 
 func retryAfter(drain time.Duration) time.Duration { return max(drain, minRetryAfter) }
@@ -99,12 +99,13 @@
 // Open returns the number of open requests by workspace.
 func (l *Limits) Open() map[string]int { return l.open }
 
-// minDemand is the number of recent offers below which nothing is said of parts.
+// minDemand is the number of recent offers below which an entry's part is unknown.
 const minDemand = 3
 
-// Demand counts an offer, accepted or not, and returns which part of the
-// workspace's recent demand here came through the entry; false if too little was
-// seen to say. The part is never 0, since the offer itself counts.
+// Demand counts an offer, accepted or not, and returns the part of the workspace's
+// recent demand here that came through the entry. It reports false if fewer than
+// minDemand recent offers were counted. The part is above 0, since it includes the
+// offer itself.
 func (l *Limits) Demand(now time.Time, workspace, entry string) (part float64, known bool) {
 	d := l.demands[workspace]
 	if d == nil {
@@ -120,8 +121,8 @@
 	return d.byEntry[entry] / sum, sum >= minDemand
 }
 
-// forgotten is the demand below which an entry is dropped.
-const forgotten = 0.01
+// minTrackedDemand is the decayed demand below which an entry is dropped.
+const minTrackedDemand = 0.01
 
 func (d *demand) decay(now time.Time, halfLife time.Duration) {
 	elapsed := now.Sub(d.at)
@@ -129,9 +130,9 @@
 		return
 	}
 	d.at = now
-	factor := halve(elapsed, halfLife)
+	factor := decayFactor(elapsed, halfLife)
 	for entry, count := range d.byEntry {
-		if count*factor < forgotten {
+		if count*factor < minTrackedDemand {
 			delete(d.byEntry, entry)
 			continue
 		}
@@ -139,6 +140,6 @@
 	}
 }
 
-func halve(elapsed, halfLife time.Duration) float64 {
+func decayFactor(elapsed, halfLife time.Duration) float64 {
 	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -1,6 +1,7 @@
-// Package admission decides which requests are taken on. At the entry, Shares
-// spends this entry's part of each workspace's quota. At the host, Limits holds
-// the truth: the demand of all entries, open requests and the bounds of queues.
+// Package admission decides which requests are admitted. At the entry, Shares
+// spends this entry's part of each workspace's quota. At the host, Limits is
+// authoritative: it knows the demand of all entries, the open requests and the
+// limits of the queues.
 package admission
 
 import (
@@ -16,8 +17,8 @@
 	TokensPerSecond   float64
 }
 
-// quotaBurst is how much unused quota is saved, in seconds.
-const quotaBurst = 2.0
+// quotaBurstSeconds is the burst of a quota, in seconds of its rate.
+const quotaBurstSeconds = 2.0
 
 // bucket is a token bucket whose rate may change with each call.
 type bucket struct {
@@ -27,7 +28,7 @@
 }
 
 func (b *bucket) refill(now time.Time, rate float64) {
-	limit := max(rate*quotaBurst, 1)
+	limit := max(rate*quotaBurstSeconds, 1)
 	if !b.ready {
 		b.level, b.ready = limit, true
 	} else {
@@ -36,43 +37,43 @@
 	b.at = now
 }
 
-// wait returns how long until the level reaches the cost. A cost above the
-// bucket's size needs the bucket full: the level then goes below zero, so that a
-// million tokens at once are paid back by the time after them.
+// wait returns the time until the level reaches the cost. A cost above the
+// bucket's size waits for a full bucket; the level then goes below zero, so that
+// the excess of a very long prompt delays the requests after it.
 func (b *bucket) wait(rate, cost float64) time.Duration {
-	need := min(cost, max(rate*quotaBurst, 1))
+	need := min(cost, max(rate*quotaBurstSeconds, 1))
 	if b.level >= need {
 		return 0
 	}
 	return time.Duration((need - b.level) / rate * float64(time.Second))
 }
 
-// ShareOptions are the bounds of Shares.
+// ShareOptions configures Shares.
 type ShareOptions struct {
-	// Smoothing is the weight of a new hint in the share.
+	// Smoothing is the weight of a new hint in the average.
 	Smoothing float64
-	// HintTTL is how long hints count. Without newer ones the share goes back
-	// to an even part.
+	// HintTTL is the validity of the last hint. After it the entry falls back to
+	// an equal part.
 	HintTTL time.Duration
 }
 
-// DefaultShareOptions returns the options used when the settings name none.
+// DefaultShareOptions returns the options used where the settings give none.
 func DefaultShareOptions() ShareOptions {
 	return ShareOptions{Smoothing: 0.1, HintTTL: 10 * time.Second}
 }
 
 type share struct {
-	// inverse is one over this entry's part of the quota.
+	// inverse is the reciprocal of this entry's part of the quota.
 	inverse  float64
-	hinted   time.Time
+	hintedAt time.Time
 	requests bucket
 	tokens   bucket
 }
 
 // Shares spends this entry's part of every workspace's quota. The part follows
-// demand without shared state: each host says with its replies which part of the
-// workspace's recent demand came through this entry, and those parts sum to one
-// over the entries at each host.
+// demand without shared state: each host hints in its replies at the part of the
+// workspace's recent demand that came through this entry. At each host these parts
+// sum to one over the entries.
 type Shares struct {
 	options ShareOptions
 	entries int
@@ -84,7 +85,7 @@
 	return &Shares{options: options, entries: 1, shares: map[string]*share{}}
 }
 
-// Configure takes over the number of entries and drops workspaces that are gone.
+// Configure sets the number of entries and drops workspaces that no longer exist.
 func (s *Shares) Configure(entries int, exists func(workspace string) bool) {
 	s.entries = max(entries, 1)
 	for name := range s.shares {
@@ -94,7 +95,7 @@
 	}
 }
 
-func (s *Shares) of(workspace string) *share {
+func (s *Shares) shareOf(workspace string) *share {
 	found := s.shares[workspace]
 	if found == nil {
 		found = &share{inverse: float64(s.entries)}
@@ -103,43 +104,44 @@
 	return found
 }
 
-// Hint takes in a host's word on this entry's part of the demand, above 0 and up
-// to 1. The inverse is what is averaged: an entry hears more often from hosts to
-// which it sends more, so the plain mean of the parts would be too large, and the
-// sum over the entries would exceed the quota.
+// Hint records a host's hint at this entry's part of the demand, above 0 and up to
+// 1; other values are ignored. It averages the reciprocals: an entry gets more hints
+// from hosts to which it sends more, so the mean of the parts would be too large and
+// their sum over the entries would exceed the quota.
 func (s *Shares) Hint(now time.Time, workspace string, part float64) {
 	if part <= 0 || part > 1 {
 		return
 	}
-	found := s.of(workspace)
+	found := s.shareOf(workspace)
 	found.inverse += s.options.Smoothing * (1/part - found.inverse)
-	found.hinted = now
+	found.hintedAt = now
 }
 
-// floorPart is the least part of an even share that an entry keeps.
-const floorPart = 0.1
+// minFraction is the least part of an equal share that an entry keeps.
+const minFraction = 0.1
 
-// Fraction returns this entry's part of the workspace's quota. An entry that hears
-// no hints falls back to an even part: cut off, it cannot know that the others
-// are idle, and the sum over all entries stays at the quota.
+// Fraction returns this entry's part of the workspace's quota. An entry without
+// recent hints falls back to an equal part: if it is cut off, it cannot know that
+// the others are idle, and the sum over all entries stays within the quota.
 func (s *Shares) Fraction(now time.Time, workspace string) float64 {
-	found := s.of(workspace)
+	found := s.shareOf(workspace)
 	even := 1 / float64(s.entries)
-	if found.hinted.IsZero() || now.Sub(found.hinted) > s.options.HintTTL {
+	if found.hintedAt.IsZero() || now.Sub(found.hintedAt) > s.options.HintTTL {
 		found.inverse = float64(s.entries)
 		return even
 	}
-	// A small floor lets an entry with little demand so far begin at all.
-	return max(1/found.inverse, even*floorPart)
+	// The lower bound lets an entry without demand so far start at all.
+	return max(1/found.inverse, even*minFraction)
 }
 
-// Admit takes a request out of the share, or says when to come back.
+// Admit charges a request to this entry's part of the quota. It returns nil, or a
+// refusal with the delay after which the request fits.
 func (s *Shares) Admit(now time.Time, workspace string, quota Quota, promptTokens int64) *execution.Refusal {
-	found := s.of(workspace)
-	part := s.Fraction(now, workspace)
+	found := s.shareOf(workspace)
+	fraction := s.Fraction(now, workspace)
 	wait := max(
-		waitFor(&found.requests, now, quota.RequestsPerSecond*part, 1),
-		waitFor(&found.tokens, now, quota.TokensPerSecond*part, float64(promptTokens)))
+		waitFor(&found.requests, now, quota.RequestsPerSecond*fraction, 1),
+		waitFor(&found.tokens, now, quota.TokensPerSecond*fraction, float64(promptTokens)))
 	if wait > 0 {
 		return overQuota(wait)
 	}
@@ -161,7 +163,7 @@
 	return &execution.Refusal{Code: execution.CodeOverQuota, Detail: "the workspace's quota is used up", RetryAfter: wait}
 }
 
-// WorkspaceUsage is one row for operators.
+// WorkspaceUsage is the state of one workspace's quota at this entry, for operators.
 type WorkspaceUsage struct {
 	Workspace string  `json:"workspace"`
 	Part      float64 `json:"part"`
@@ -169,7 +171,7 @@
 	Tokens    float64 `json:"tokensLeft"`
 }
 
-// Usage lists the workspaces that were seen.
+// Usage lists the workspaces that sent requests through this entry or got hints.
 func (s *Shares) Usage(now time.Time) []WorkspaceUsage {
 	var rows []WorkspaceUsage
 	for name, found := range s.shares {
--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -25,6 +25,6 @@
 var memoryMutations = []mutation{
 	{"a caller that does not read is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetWriteDeadline, e.deadline.Add(answerSlack))\n", "", gatewayPkg, "TestACallerThatDoesNotRead"},
 	{"a caller that sends slowly is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetReadDeadline, e.deadline)\n", "", gatewayPkg, "TestACallerThatSendsItsBodySlowly"},
-	{"bodies together are bounded", "core/admission/bytes.go", "	if b.held+count > b.limit {\n", "	if false {\n", gatewayPkg, "TestEnormousPromptsTogether"},
+	{"bodies together are bounded", "core/admission/bytes.go", "	if b.reserved+count > b.limit {\n", "	if false {\n", gatewayPkg, "TestEnormousPromptsTogether"},
 	{"the room of a body comes back", "entry/gateway/front.go", "	defer e.held.release()\n", "", gatewayPkg, "TestEnormousPromptsTogether"},
 }
