--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// Part is one engine's share of a group reservation.
+// Part is the memory of one engine in a group reservation.
 type Part struct {
 	Server string
 	Engine string
 	Tokens int64
 }
 
-// GroupAction is something the lead host daemon has to do: Ask or GiveBack.
+// GroupAction is an output of Group that the lead daemon carries out. The types are
+// ReservePart, ReleasePart, GroupReady and GroupRefused.
 type GroupAction interface{ groupAction() }
 
 type (
-	// ReservePart requests one part from its host daemon.
+	// ReservePart asks the part's host daemon to reserve or renew it.
 	ReservePart struct {
 		Reservation string
 		Part        Part
@@ -26,9 +27,9 @@
 		Reservation string
 		Part        Part
 	}
-	// GroupReady says that every part is held.
+	// GroupReady reports that every part is reserved.
 	GroupReady struct{ Reservation string }
-	// GroupRefused says that the reservation has failed and is given back.
+	// GroupRefused reports that the reservation has failed and was released.
 	GroupRefused struct{ Reservation string }
 )
 
@@ -44,32 +45,31 @@
 	expires time.Time
 }
 
-// Group serialises, at its lead daemon, the reservations of engines that serve
-// one prompt together. A reservation asks for all parts at once and gives all
-// back on the first refusal. Nothing waits while holding, so there is no
-// deadlock; and each part is a lease that ends by itself, so a lead that dies
-// leaves nothing behind.
+// Group makes, at its lead daemon, the reservations of engines that serve one prompt
+// together. A reservation asks for all parts at once and releases all of them on the
+// first refusal. It never waits while it holds a part, which rules out deadlock; and
+// each part is a lease that expires, so a lead that crashes leaks no memory.
 type Group struct {
-	life    time.Duration
-	current map[string]*reservation
+	ttl          time.Duration
+	reservations map[string]*reservation
 }
 
-// NewGroup returns a group whose reservations live for life unless renewed.
-func NewGroup(life time.Duration) *Group {
-	return &Group{life: life, current: map[string]*reservation{}}
+// NewGroup returns a group whose reservations expire after ttl unless renewed.
+func NewGroup(ttl time.Duration) *Group {
+	return &Group{ttl: ttl, reservations: map[string]*reservation{}}
 }
 
-// Reserve starts a reservation. A second one of the same name does nothing.
+// Reserve starts a reservation. It is idempotent for the same id.
 func (g *Group) Reserve(now time.Time, id string, parts []Part) []GroupAction {
-	if g.current[id] != nil {
+	if g.reservations[id] != nil {
 		return nil
 	}
-	r := &reservation{parts: parts, granted: make([]bool, len(parts)), expires: now.Add(g.life)}
-	g.current[id] = r
-	return r.ask(id)
+	r := &reservation{parts: parts, granted: make([]bool, len(parts)), expires: now.Add(g.ttl)}
+	g.reservations[id] = r
+	return r.reserveParts(id)
 }
 
-func (r *reservation) ask(id string) []GroupAction {
+func (r *reservation) reserveParts(id string) []GroupAction {
 	var actions []GroupAction
 	for _, part := range r.parts {
 		actions = append(actions, ReservePart{Reservation: id, Part: part, Expires: r.expires})
@@ -77,13 +77,13 @@
 	return actions
 }
 
-// OnReply takes in the answer to one Ask. A lost answer counts as a refusal:
-// the part may be held, and is given back with the others.
+// OnReply handles the reply to a ReservePart. A lost reply counts as a refusal: the
+// part may be reserved, and is released with the others.
 func (g *Group) OnReply(id string, part Part, granted bool) []GroupAction {
-	r := g.current[id]
+	r := g.reservations[id]
 	if r == nil {
 		if granted {
-			// The reservation is over; a late grant must not linger.
+			// The reservation has ended; the late grant has to be released.
 			return []GroupAction{ReleasePart{id, part}}
 		}
 		return nil
@@ -103,13 +103,13 @@
 	return nil
 }
 
-// Release gives a reservation back.
+// Release ends a reservation and releases its parts.
 func (g *Group) Release(id string) []GroupAction {
-	r := g.current[id]
+	r := g.reservations[id]
 	if r == nil {
 		return nil
 	}
-	delete(g.current, id)
+	delete(g.reservations, id)
 	var actions []GroupAction
 	for _, part := range r.parts {
 		actions = append(actions, ReleasePart{id, part})
@@ -117,12 +117,12 @@
 	return actions
 }
 
-// Tick renews the reservations that are held, at a third of their life, and
-// refuses those that were not answered in time.
+// Tick renews complete reservations after a third of their TTL, and ends those that
+// were not complete when they expired.
 func (g *Group) Tick(now time.Time) []GroupAction {
 	var actions []GroupAction
-	for id, r := range g.current {
-		if r.expires.Sub(now) > g.life*2/3 {
+	for id, r := range g.reservations {
+		if r.expires.Sub(now) > g.ttl*2/3 {
 			continue
 		}
 		if r.count < len(r.parts) {
@@ -131,17 +131,17 @@
 			}
 			continue
 		}
-		r.expires = now.Add(g.life)
-		actions = append(actions, r.ask(id)...)
+		r.expires = now.Add(g.ttl)
+		actions = append(actions, r.reserveParts(id)...)
 	}
 	return actions
 }
 
 // Reservations returns the number of open reservations.
-func (g *Group) Reservations() int { return len(g.current) }
+func (g *Group) Reservations() int { return len(g.reservations) }
 
-// Split divides tokens over members in proportion to their sizes. It reports
-// false if the group is too small.
+// Split divides tokens among members in proportion to their sizes. It reports false
+// if the group is too small.
 func Split(tokens int64, members []Part) ([]Part, bool) {
 	var total int64
 	for _, member := range members {
--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -1,6 +1,6 @@
-// Package memory accounts for the KV memory of a host's engines. Every token an
-// engine holds hangs on a lease with an owner and an end, so that no failure
-// leaves memory behind for good. Sizes are in tokens.
+// Package memory accounts for the KV memory of a host's engines. All memory in use
+// is covered by leases with an owner and an expiry, so that no failure leaks memory
+// for good. Sizes are in tokens.
 package memory
 
 import (
@@ -20,46 +20,47 @@
 
 // Lease is memory of one engine held for one owner.
 type Lease struct {
-	// Owner is the attempt, or the reservation of a group.
+	// Owner is an attempt or a group reservation.
 	Owner  string
 	Engine string
 	Tokens int64
 	// Expires is zero while the owner's stream is connected.
 	Expires time.Time
-	// Orphan marks memory that was found on an engine without an owner.
+	// Orphan marks memory of a stream that was found on an engine and has no owner.
 	Orphan bool
 }
 
 type leaseKey struct{ owner, engine string }
 
-// Leases is the book of one host daemon.
+// Leases is the lease table of one host daemon.
 type Leases struct {
 	capacity map[string]int64
 	leases   map[leaseKey]Lease
-	released map[string]time.Time // owners released of late, with when to forget
+	released map[string]time.Time // recently released owners, with the time to drop them
 }
 
-// NewLeases returns an empty book.
+// NewLeases returns an empty lease table.
 func NewLeases() *Leases {
 	return &Leases{capacity: map[string]int64{}, leases: map[leaseKey]Lease{}, released: map[string]time.Time{}}
 }
 
-// Configure takes over the engines' sizes.
+// Configure sets the capacity of each engine in tokens.
 func (l *Leases) Configure(capacity map[string]int64) { l.capacity = maps.Clone(capacity) }
 
-// releasedRetention is how long a release is remembered. A reservation message
-// that was overtaken by its release would otherwise take memory that nobody
-// gives back before the lease runs out; messages live for seconds.
+// releasedRetention is the time for which a release is remembered. Otherwise a
+// reservation message that was overtaken by its release would take memory that
+// nobody releases before the lease expires. Messages are valid for seconds.
 const releasedRetention = time.Minute
 
-// Grant books memory, all or nothing. A second grant to the same owner on the
-// same engine changes the expiry only, so a repeated message does no harm.
+// Grant leases memory, all or nothing. A second grant to the same owner on the same
+// engine changes the expiry only, which makes duplicate messages harmless. Errors
+// wrap ErrUnknownEngine or ErrInsufficientMemory.
 func (l *Leases) Grant(now time.Time, lease Lease) error {
 	capacity, ok := l.capacity[lease.Engine]
 	if !ok {
 		return fmt.Errorf("%w: %s", ErrUnknownEngine, lease.Engine)
 	}
-	if _, gone := l.released[lease.Owner]; gone {
+	if _, wasReleased := l.released[lease.Owner]; wasReleased {
 		return fmt.Errorf("%w: %s was released already", ErrInsufficientMemory, lease.Owner)
 	}
 	key := leaseKey{lease.Owner, lease.Engine}
@@ -75,15 +76,15 @@
 	return nil
 }
 
-// AdoptOrphan books memory that an engine already holds for a stream that was found
-// after a start. It may exceed the capacity, because it is a fact.
+// AdoptOrphan leases memory that an engine already uses for a stream that was found
+// after a start. The lease may exceed the capacity, because the memory is in use.
 func (l *Leases) AdoptOrphan(lease Lease) {
 	lease.Orphan = true
 	l.leases[leaseKey{lease.Owner, lease.Engine}] = lease
 }
 
-// Renew moves the end of all leases of an owner; zero means none. It reports
-// false if the owner holds none.
+// Renew sets the expiry of all leases of an owner; the zero time means no expiry. It
+// reports false if the owner has no lease.
 func (l *Leases) Renew(owner string, expires time.Time) bool {
 	found := false
 	for key, lease := range l.leases {
@@ -96,7 +97,7 @@
 	return found
 }
 
-// Release gives back all leases of an owner. It is idempotent.
+// Release ends all leases of an owner. It is idempotent.
 func (l *Leases) Release(now time.Time, owner string) {
 	for key := range l.leases {
 		if key.owner == owner {
@@ -126,8 +127,8 @@
 	return rows
 }
 
-// Tick ends leases that have run out and returns them; their streams are to be
-// cancelled on the engine.
+// Tick ends the leases that have expired and returns them; the caller has to cancel
+// their streams on the engines.
 func (l *Leases) Tick(now time.Time) []Lease {
 	var expired []Lease
 	for key, lease := range l.leases {
--- a/core/memory/main_test.go
+++ b/core/memory/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed: the same steps are drawn in every run.
+// TestMain fixes the seed of rapid, so that every run draws the same steps.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
--- a/core/memory/memory_test.go
+++ b/core/memory/memory_test.go
@@ -10,9 +10,9 @@
 
 var start = time.Unix(7_000, 0)
 
-// Whatever grants, repeats, renewals, releases and late messages come in whatever
-// order, an engine is never booked beyond its size, and once all leases have run
-// out nothing is booked.
+// For any order of grants, duplicates, renewals, releases and late messages, the
+// leases on an engine never exceed its capacity, and none is left once all have
+// expired.
 func TestLeasesNeverLeak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLeases()
@@ -41,8 +41,8 @@
 	})
 }
 
-// A reservation's message is overtaken by its release. It must not take memory
-// that nobody would give back.
+// A reservation message is overtaken by its release. It must not take memory that
+// nobody would release.
 func TestReleaseOvertakesTheGrant(t *testing.T) {
 	l := NewLeases()
 	l.Configure(map[string]int64{"e0": 100})
@@ -53,9 +53,9 @@
 	require.NoError(t, l.Grant(start.Add(2*time.Minute), Lease{Owner: "r", Engine: "e0", Tokens: 10}))
 }
 
-// A daemon starts and finds a stream of its predecessor. It books its memory at
-// once, cancels it after the grace, and frees the booking when it is gone. A
-// stream that it owns itself is left alone.
+// A daemon starts and finds a stream of the previous incarnation. It leases the
+// stream's memory at once, cancels the stream after the grace period, and releases
+// the lease when the stream is gone. It does not touch a stream of its own.
 func TestRecoveryCancelsWhatNobodyOwns(t *testing.T) {
 	l := NewLeases()
 	l.Configure(map[string]int64{"e0": 100})
--- a/core/memory/recovery.go
+++ b/core/memory/recovery.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// EngineStream is a stream that an engine reports to hold memory.
+// EngineStream is a stream that holds memory according to its engine.
 type EngineStream struct {
 	Engine string
 	ID     string
 	Tokens int64
 }
 
-// Recovery decides over the streams that a daemon finds on its engines after a
-// start. They belong to the attempts of a former incarnation: no entry can reach
-// them any more, since every message names the incarnation it was meant for.
-// They get one grace, in which an owner may still claim them, and are cancelled
-// then. Without it a killed daemon would leave its engines' memory occupied.
+// Recovery cancels orphaned streams, which a daemon finds on its engines after a
+// start. They belong to attempts of a previous incarnation, and no entry can reach
+// them, since every message names its target incarnation. They are cancelled after a
+// grace period in which an owner may still claim them. Without recovery the crash of
+// a daemon would leave its engines' memory occupied.
 type Recovery struct {
 	grace  time.Duration
 	found  map[streamKey]time.Time
@@ -22,14 +22,14 @@
 
 type streamKey struct{ engine, id string }
 
-// NewRecovery returns a recovery that books what it finds in leases.
+// NewRecovery returns a Recovery that leases the memory of orphaned streams.
 func NewRecovery(grace time.Duration, leases *Leases) *Recovery {
 	return &Recovery{grace: grace, found: map[streamKey]time.Time{}, leases: leases}
 }
 
-// Observe takes in what one engine holds and returns the streams to cancel:
-// those that nobody owns and whose grace is over. owned says whether this
-// incarnation knows the stream.
+// Observe takes the streams of one engine and returns those to cancel: the ones that
+// have no owner after the grace period. owned reports whether this incarnation knows
+// a stream.
 func (r *Recovery) Observe(now time.Time, engine string, streams []EngineStream, owned func(id string) bool) []EngineStream {
 	var cancel []EngineStream
 	present := map[streamKey]bool{}
@@ -50,12 +50,12 @@
 			cancel = append(cancel, stream)
 		}
 	}
-	r.forget(now, engine, present)
+	r.releaseVanished(now, engine, present)
 	return cancel
 }
 
-// forget frees the leases of orphans that the engine no longer holds.
-func (r *Recovery) forget(now time.Time, engine string, present map[streamKey]bool) {
+// releaseVanished releases the leases of orphans that the engine no longer has.
+func (r *Recovery) releaseVanished(now time.Time, engine string, present map[streamKey]bool) {
 	for key := range r.found {
 		if key.engine == engine && !present[key] {
 			delete(r.found, key)
@@ -64,5 +64,5 @@
 	}
 }
 
-// Orphans returns the number of streams without an owner.
+// Orphans returns the number of known streams without an owner.
 func (r *Recovery) Orphans() int { return len(r.found) }
