--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -1,7 +1,7 @@
 // Package orders brings the engines of one host to the state that the
-// configuration asks for: model, version, adapters and role. Reconciler is a
-// pure core and level-triggered: it compares the wanted with the observed state
-// and returns at most one order at a time for an engine.
+// configuration asks for: model, version, adapters and role. Reconciler is
+// level-triggered and does no I/O: it compares the desired with the observed state
+// and returns at most one order at a time for each engine.
 package orders
 
 import (
@@ -20,7 +20,7 @@
 	Role     string
 }
 
-// Equal compares two wanted states.
+// Equal reports whether two states are the same.
 func (w EngineState) Equal(other EngineState) bool {
 	return w.Model == other.Model && w.Version == other.Version && w.Role == other.Role &&
 		slices.Equal(w.Adapters, other.Adapters)
@@ -35,7 +35,7 @@
 	State EngineState
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
-	// Busy says that an order is still being carried out.
+	// Busy reports that an order is still being carried out.
 	Busy bool
 }
 
@@ -49,33 +49,33 @@
 	LoadsWeights bool
 }
 
-// Options are the bounds of a Reconciler.
+// Options configures a Reconciler.
 type Options struct {
 	Server string
-	// MaxOrderDuration is the longest time that an order may be under way. A
-	// daemon that has just started waits it out before its first order to an
-	// engine that does not check fencing numbers: an order of the daemon
-	// before it may still arrive and would be carried out after ours.
+	// MaxOrderDuration bounds the time for which an order may be in flight. A
+	// daemon that has just started waits that long before its first order to an
+	// engine that does not check fencing numbers: an order of the previous
+	// incarnation may still arrive and would be carried out after the new one.
 	MaxOrderDuration time.Duration
-	// MaxObservationAge is the oldest observation that an order may rest on.
+	// MaxObservationAge bounds the age of an observation on which an order is based.
 	MaxObservationAge time.Duration
-	// LoadInterval is the least time between two loads that the weight store
-	// is meant to see from the whole fleet.
+	// LoadInterval is the intended interval between two loads from the weight
+	// store by the whole fleet.
 	LoadInterval time.Duration
 	// InitialBackoff is the first wait after a failed order; it doubles up to
-	// BackoffMax.
+	// MaxBackoff.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
 }
 
-// DefaultOptions returns the bounds used when the settings name none.
+// DefaultOptions returns the options used where the settings give none.
 func DefaultOptions() Options {
 	return Options{MaxOrderDuration: 30 * time.Second, MaxObservationAge: 3 * time.Second,
 		LoadInterval: 200 * time.Millisecond, InitialBackoff: time.Second, MaxBackoff: time.Minute}
 }
 
 type engine struct {
-	wanted        EngineState
+	desired       EngineState
 	checksFencing bool
 	observed      Observation
 	observedAt    time.Time
@@ -86,7 +86,7 @@
 	loadSlot      time.Time
 }
 
-// Reconciler holds the engines of one host.
+// Reconciler tracks the desired and observed state of the engines of one host.
 type Reconciler struct {
 	options  Options
 	started  time.Time
@@ -94,20 +94,20 @@
 	engines  map[string]*engine
 }
 
-// New returns a reconciler of a daemon that started now.
+// New returns a Reconciler for a daemon that started at now.
 func New(now time.Time, options Options) *Reconciler {
 	return &Reconciler{options: options, started: now, engines: map[string]*engine{}}
 }
 
-// Spec is one engine as configured.
+// Spec is the configuration of one engine.
 type Spec struct {
 	Desired       EngineState
 	ChecksFencing bool
 }
 
-// Configure takes over a snapshot. fleet lists, in any order, all engines that
-// the snapshot names, as server/engine: it spreads weight loads over time
-// without any message between hosts. A revision below the last is ignored.
+// Configure applies a snapshot. fleet lists all engines of the snapshot in any
+// order, as server/engine; it serves to spread weight loads over time without
+// communication between hosts. A revision below the last is ignored.
 func (r *Reconciler) Configure(now time.Time, revision uint64, specs map[string]Spec, fleet []string) {
 	if revision < r.revision {
 		return
@@ -119,10 +119,10 @@
 			e = &engine{}
 			r.engines[name] = e
 		}
-		if !e.wanted.Equal(spec.Desired) {
-			e.loadSlot = now.Add(r.slot(name, revision, fleet))
+		if !e.desired.Equal(spec.Desired) {
+			e.loadSlot = now.Add(r.loadDelay(name, revision, fleet))
 		}
-		e.wanted, e.checksFencing = spec.Desired, spec.ChecksFencing
+		e.desired, e.checksFencing = spec.Desired, spec.ChecksFencing
 	}
 	for name, e := range r.engines {
 		if _, ok := specs[name]; !ok && !e.inFlight {
@@ -131,28 +131,28 @@
 	}
 }
 
-// slot returns how long this engine waits before it reads the weight store. All
-// hosts order the fleet's engines in the same way, by a hash with the revision,
-// and take their turns one LoadInterval apart.
-func (r *Reconciler) slot(name string, revision uint64, fleet []string) time.Duration {
+// loadDelay returns the delay before this engine may load from the weight store. All
+// hosts sort the fleet's engines by the same hash, which includes the revision, and
+// load one LoadInterval apart.
+func (r *Reconciler) loadDelay(name string, revision uint64, fleet []string) time.Duration {
 	own := r.options.Server + "/" + name
-	mine := turn(own, revision)
+	mine := slotHash(own, revision)
 	before := 0
 	for _, other := range fleet {
-		if t := turn(other, revision); t < mine || (t == mine && other < own) {
+		if t := slotHash(other, revision); t < mine || (t == mine && other < own) {
 			before++
 		}
 	}
 	return time.Duration(before) * r.options.LoadInterval
 }
 
-func turn(engine string, revision uint64) uint64 {
+func slotHash(engine string, revision uint64) uint64 {
 	sum := fnv.New64a()
 	fmt.Fprintf(sum, "%d %s", revision, engine)
 	return sum.Sum64()
 }
 
-// Observe takes in what an engine reports.
+// Observe records an engine's report.
 func (r *Reconciler) Observe(now time.Time, name string, observed Observation) {
 	e := r.engines[name]
 	if e == nil {
@@ -162,22 +162,23 @@
 	e.fence = max(e.fence, observed.Fence)
 }
 
-// Result is how an order ended.
+// Result classifies the end of an order.
 type Result uint8
 
 const (
 	// Done: the engine has carried it out.
 	Done Result = iota + 1
-	// Fenced: the engine has seen a higher number.
+	// Fenced: the engine has seen a higher fencing number.
 	Fenced
-	// Throttled: the weight store has refused for now.
+	// Throttled: the weight store has refused the load for now.
 	Throttled
-	// OrderFailed: anything else, also no answer.
+	// OrderFailed: any other failure, including a missing reply.
 	OrderFailed
 )
 
-// OrderEnded takes in the end of an order. Every order ends with a fresh look at
-// the engine: what it reports decides, not what was asked of it.
+// OrderEnded records the end of an order. It requires a new observation of the
+// engine, because the next step depends on the engine's report and not on what was
+// ordered.
 func (r *Reconciler) OrderEnded(now time.Time, name string, result Result, retryAfter time.Duration) {
 	e := r.engines[name]
 	if e == nil {
@@ -192,12 +193,13 @@
 	e.backoff = min(max(e.backoff*2, r.options.InitialBackoff), r.options.MaxBackoff)
 	e.notBefore = now.Add(max(e.backoff, retryAfter))
 	if result == OrderFailed && !e.checksFencing {
-		// The order may still be on its way; wait it out.
+		// The order may still be in flight.
 		e.notBefore = now.Add(r.options.MaxOrderDuration)
 	}
 }
 
-// DiscardObservations makes every engine be observed afresh, after the process was paused.
+// DiscardObservations requires a new observation of every engine. It is called after
+// the process was paused.
 func (r *Reconciler) DiscardObservations(now time.Time) {
 	for _, e := range r.engines {
 		e.observedAt = time.Time{}
@@ -212,12 +214,12 @@
 		if !r.ready(now, e) {
 			continue
 		}
-		// The number is above all this daemon has used, all the engine has
-		// seen and the revision, so that an order of an older configuration
-		// or of a former daemon is refused where numbers are checked.
+		// The number exceeds all that this daemon has used, all that the engine
+		// has seen and the revision, so that an engine that checks numbers
+		// refuses orders of an older configuration or a previous incarnation.
 		e.fence = max(e.fence, e.observed.Fence, r.revision) + 1
 		e.inFlight = true
-		due = append(due, Order{Engine: name, Fence: e.fence, Revision: r.revision, Desired: e.wanted, LoadsWeights: e.loads()})
+		due = append(due, Order{Engine: name, Fence: e.fence, Revision: r.revision, Desired: e.desired, LoadsWeights: e.needsLoad()})
 	}
 	return due
 }
@@ -228,24 +230,24 @@
 		return false
 	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.MaxObservationAge:
 		return false
-	case e.observed.State.Equal(e.wanted):
+	case e.observed.State.Equal(e.desired):
 		return false
 	case now.Before(e.notBefore):
 		return false
 	case !e.checksFencing && now.Sub(r.started) < r.options.MaxOrderDuration:
 		return false
-	case e.loads() && now.Before(e.loadSlot):
+	case e.needsLoad() && now.Before(e.loadSlot):
 		return false
 	}
 	return true
 }
 
-func (e *engine) loads() bool {
-	return e.observed.State.Model != e.wanted.Model || e.observed.State.Version != e.wanted.Version ||
-		!slices.Equal(e.observed.State.Adapters, e.wanted.Adapters)
+func (e *engine) needsLoad() bool {
+	return e.observed.State.Model != e.desired.Model || e.observed.State.Version != e.desired.Version ||
+		!slices.Equal(e.observed.State.Adapters, e.desired.Adapters)
 }
 
-// Status is one row for operators.
+// Status is the state of one engine, for operators.
 type Status struct {
 	Engine   string `json:"engine"`
 	Desired  string `json:"wanted"`
@@ -255,18 +257,18 @@
 	Matches  bool   `json:"matches"`
 }
 
-// Matches says whether the engine is known to be as wanted.
+// Matches reports whether the engine is known to be in its desired state.
 func (r *Reconciler) Matches(name string) bool {
 	e := r.engines[name]
-	return e != nil && e.observed.State.Equal(e.wanted) && !e.inFlight
+	return e != nil && e.observed.State.Equal(e.desired) && !e.inFlight
 }
 
-// Statuses lists the engines by name.
+// Statuses lists the status of every engine, sorted by name.
 func (r *Reconciler) Statuses() []Status {
 	var rows []Status
 	for _, name := range slices.Sorted(maps.Keys(r.engines)) {
 		e := r.engines[name]
-		rows = append(rows, Status{Engine: name, Desired: e.wanted.String(), Observed: e.observed.State.String(),
+		rows = append(rows, Status{Engine: name, Desired: e.desired.String(), Observed: e.observed.State.String(),
 			Fence: e.fence, InFlight: e.inFlight, Matches: r.Matches(name)})
 	}
 	return rows
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -90,7 +90,7 @@
 	{"orders rest on a fresh look", "core/orders/reconciler.go", "	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.MaxObservationAge:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
 	{"a predecessor's order is waited out", "core/orders/reconciler.go", "	case !e.checksFencing && now.Sub(r.started) < r.options.MaxOrderDuration:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
 	{"the number is above the last seen", "core/orders/reconciler.go", "max(e.fence, e.observed.Fence, r.revision) + 1", "r.revision", "arbutusdeck/core/orders", "TestReconciler"},
-	{"weight loads take turns", "core/orders/reconciler.go", "	case e.loads() && now.Before(e.loadSlot):", "	case false:", "arbutusdeck/core/orders", "TestWeightStore"},
+	{"weight loads take turns", "core/orders/reconciler.go", "	case e.needsLoad() && now.Before(e.loadSlot):", "	case false:", "arbutusdeck/core/orders", "TestWeightStore"},
 	{"an older snapshot gives no orders", "core/orders/reconciler.go", "	if revision < r.revision {", "	if false {", "arbutusdeck/core/orders", "TestReconciler"},
 }
 
