--- a/core/lifecycle/manager.go
+++ b/core/lifecycle/manager.go
@@ -1,5 +1,5 @@
-// Package lifecycle owns a daemon's state from its start to its exit: starting,
-// serving, draining, stopped. Nothing else decides whether new work is taken.
+// Package lifecycle tracks a daemon's state from its start to its exit: starting,
+// serving, draining, stopped. It alone decides whether new requests are admitted.
 package lifecycle
 
 import (
@@ -21,24 +21,25 @@
 	Stopped  State = "stopped"
 )
 
-// ErrAborted is wrapped by the error of a stop that had to cut requests off.
+// ErrAborted is wrapped by the error of a shutdown that aborted open requests.
 var ErrAborted = errors.New("stopped with requests still open")
 
-// ErrNotServing is returned by Begin while no new work is taken.
+// ErrNotServing is wrapped by the error of Begin in any state but Serving.
 var ErrNotServing = errors.New("not serving")
 
-// Manager is safe for concurrent use.
+// Manager holds a daemon's state and counts its open requests. It is safe for
+// concurrent use.
 type Manager struct {
 	mu       sync.Mutex
 	state    State
 	open     int
-	idle     chan struct{} // closed when draining and nothing is open
-	ending   context.Context
-	end      context.CancelFunc
+	idle     chan struct{} // closed when draining and no request is open
+	aborting context.Context
+	abort    context.CancelFunc
 	onChange func(from, to State)
 }
 
-// FinalReplyTime is how long open requests have to answer their callers once Ending is done.
+// FinalReplyTime bounds the time that open requests have for a final reply to their callers once Aborting is done.
 const FinalReplyTime = 250 * time.Millisecond
 
 // NewManager returns a manager in Starting. onChange may be nil; it is called
@@ -48,17 +49,17 @@
 		onChange = func(State, State) {}
 	}
 	ending, end := context.WithCancel(context.Background())
-	return &Manager{state: Starting, idle: make(chan struct{}), ending: ending, end: end, onChange: onChange}
+	return &Manager{state: Starting, idle: make(chan struct{}), aborting: ending, abort: end, onChange: onChange}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Manager) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// Open returns the number of requests that have begun and not ended.
+// Open returns the number of open requests.
 func (m *Manager) Open() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +83,7 @@
 	return moved
 }
 
-// Begin counts a new request, or returns ErrNotServing.
+// Begin counts a new request. Its error wraps ErrNotServing.
 func (m *Manager) Begin() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// Join counts a request that was accepted by other means, also while draining.
+// Join counts a request that was accepted by other means, in any state.
 func (m *Manager) Join() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,8 +116,8 @@
 	}
 }
 
-// Drain refuses new work from now on. What onChange joins is open in any case: without the count held
-// here the stop would be over if the last open request ended before that.
+// Drain refuses new requests from now on. It counts itself as open while onChange runs: otherwise the shutdown would
+// be complete if the last open request ended before onChange had called Join.
 func (m *Manager) Drain() {
 	m.Join()
 	defer m.End()
@@ -125,35 +126,35 @@
 	}
 }
 
-// Aborting is done when the limit of a stop has passed: what is still open has AnswerTime to give
-// its caller a final answer.
-func (m *Manager) Aborting() context.Context { return m.ending }
+// Aborting returns a context that is done once the shutdown timeout has passed or the shutdown was interrupted: open
+// requests then have FinalReplyTime for a final reply to their callers.
+func (m *Manager) Aborting() context.Context { return m.aborting }
 
-// Wait returns once nothing is open after Drain. It gives up when the context
-// ends or the limit has passed: Ending is done then, and Wait returns within AnswerTime.
-// The error wraps ErrCut and says how many requests have to end before their time.
-func (m *Manager) Wait(ctx context.Context, limit time.Duration) error {
-	timer := time.NewTimer(limit)
+// Wait returns nil once no request is open after Drain. When ctx is done or the timeout has passed it ends the context
+// of Aborting and returns within FinalReplyTime. The error then wraps ErrAborted and names the number of requests that
+// were open.
+func (m *Manager) Wait(ctx context.Context, timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	var why string
+	var reason string
 	select {
 	case <-m.idle:
 		m.move(Draining, Stopped)
 		return nil
 	case <-ctx.Done():
-		why = "SIGINT came during the stop"
+		reason = "received SIGINT during the shutdown"
 	case <-timer.C:
-		why = fmt.Sprintf("the limit of %s has passed", limit)
+		reason = fmt.Sprintf("shutdown timeout of %s exceeded", timeout)
 	}
 	open := m.Open()
-	m.end()
-	m.awaitAnswers()
+	m.abort()
+	m.awaitReplies()
 	m.move(Draining, Stopped)
-	return fmt.Errorf("%w: %s, %d open", ErrAborted, why, open)
+	return fmt.Errorf("%w: %s, %d open", ErrAborted, reason, open)
 }
 
-// awaitAnswers returns when nothing is open any more, or after AnswerTime.
-func (m *Manager) awaitAnswers() {
+// awaitReplies returns when no request is open any more, or after FinalReplyTime.
+func (m *Manager) awaitReplies() {
 	timer := time.NewTimer(FinalReplyTime)
 	defer timer.Stop()
 	select {
--- a/core/lifecycle/manager_test.go
+++ b/core/lifecycle/manager_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request is open at the limit of a stop. The stop waits until its caller has the final answer.
-func TestTheLimitOfAStopLeavesTimeForAnswers(t *testing.T) {
+// A request is open at the shutdown timeout. The shutdown waits until its caller has the final reply.
+func TestTheShutdownTimeoutLeavesTimeForFinalReplies(t *testing.T) {
 	m := NewManager(nil)
 	m.Serve()
 	require.NoError(t, m.Begin())
@@ -26,21 +26,20 @@
 	require.True(t, answered)
 }
 
-// A request never ends, not even after the limit of a stop. The stop does.
-func TestAStopEndsWhateverIsOpen(t *testing.T) {
+// A request never ends, not even after the shutdown timeout. The shutdown still completes.
+func TestAShutdownCompletesWithRequestsOpen(t *testing.T) {
 	m := NewManager(nil)
 	m.Join()
 	m.Drain()
-	began := time.Now()
+	startedAt := time.Now()
 	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted)
-	require.GreaterOrEqual(t, time.Since(began), FinalReplyTime)
+	require.GreaterOrEqual(t, time.Since(startedAt), FinalReplyTime)
 	require.Equal(t, Stopped, m.State())
 }
 
-// Callers' connections were refused or closed right after SIGTERM, for the two seconds until the balancer
-// noticed. The last open request ended after the change to draining and before the daemon had counted its
-// own wait; nothing was open, and the process exited at once. Evidence: with that order of events the stop
-// is over each time.
+// The last open request ends after the change to draining and before onChange has called Join for the time
+// that the load balancer needs to notice. If nothing counted as open at that moment, the process would exit
+// at once, and connections of callers would be refused or closed for two seconds after SIGTERM.
 func TestAStopThatBeginsIsNotOverAtOnce(t *testing.T) {
 	var m *Manager
 	m = NewManager(func(_, to State) {
@@ -52,6 +51,6 @@
 	m.Serve()
 	require.NoError(t, m.Begin())
 	m.Drain()
-	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted, "what Draining has begun is waited for")
+	require.ErrorIs(t, m.Wait(t.Context(), time.Millisecond), ErrAborted, "the shutdown waits for what onChange has joined")
 	m.End()
 }
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -142,7 +142,7 @@
 	{"without a configuration nothing is denied", "entry/gateway/front.go", "	if e.table == nil {\n		e.refuse(http.StatusServiceUnavailable", "	if e.table == nil {\n		e.refuse(http.StatusNotFound", gatewayPkg, "TestWithoutAConfiguration"},
 	{"the limit of a stop is answered", "entry/gateway/run.go", "func() { stop(errStopLimit) })", "func() {})", gatewayPkg, "TestAtTheLimitOfAStopCallers"},
 	{"the limit of a stop ends the wait for a body", "entry/gateway/front.go", "func() { e.setDeadline((*http.ResponseController).SetReadDeadline, time.Now()) })", "func() {})", gatewayPkg, "TestAtTheLimitOfAStopNoBody"},
-	{"a stop leaves time for answers", "core/lifecycle/manager.go", "	m.awaitAnswers()\n", "", "arbutusdeck/core/lifecycle", "TestTheLimitOfAStop"},
+	{"a stop leaves time for answers", "core/lifecycle/manager.go", "	m.awaitReplies()\n", "", "arbutusdeck/core/lifecycle", "TestTheShutdownTimeout"},
 	{"the last bytes are written before the exit", "core/process/run.go", "server.Shutdown(ctx)", "ctx.Err()", "arbutusdeck/core/process", "TestTheLastAnswer"},
 	{"no answer outlasts the entry", "core/placement/choose.go", "refusal == \"\" && outlasts(best, q)", "false", placementPkg, "TestAnAnswerThatMayOutlast"},
 	{"an entry that stops knows how long it lives", "entry/gateway/run.go", "Life: e.s.life(now), ", "", gatewayPkg, "TestAnEntryThatStopsRefuses"},
