--- a/core/scheduling/load.go
+++ b/core/scheduling/load.go
@@ -19,7 +19,7 @@
 	Classes []ClassLoad
 	// PrefillRate is the total prefill rate of the hall's engines on this server,
 	// in tokens per second.
-	PrefillRate float64
+	PrefillRate float64 `json:"Rate"`
 	Running     int
 	Waiting     int
 	FreeMemory  int64
