--- a/core/execution/forward.go
+++ b/core/execution/forward.go
@@ -102,9 +102,9 @@
 // Sent returns the number of servers to which the request was sent.
 func (f *Forward) Sent() int { return f.sent }
 
-// MayFailOver reports whether the attempt in progress, which may have run, can be abandoned
+// MayRedispatch reports whether the attempt in progress, which may have run, can be abandoned
 // for one on another server: the policy has to allow another run, and MaxAttempts another server.
-func (f *Forward) MayFailOver() bool {
+func (f *Forward) MayRedispatch() bool {
 	return f.options.RetryPolicy != RetryNever && f.sent+1 < f.options.MaxAttempts
 }
 
--- a/entry/gateway/stall.go
+++ b/entry/gateway/stall.go
@@ -52,7 +52,7 @@
 func (e *exchange) watchStall(ctx context.Context, choice placement.Choice, cancel context.CancelFunc) *stallWatch {
 	watch := &stallWatch{}
 	check := placement.MoveCheck(choice, e.service.Engine)
-	if check == 0 || e.begun || !e.core.MayFailOver() {
+	if check == 0 || e.begun || !e.core.MayRedispatch() {
 		return watch
 	}
 	excluded := slices.Clone(e.core.Excluded())
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -134,7 +134,7 @@
 	{"a stalled server is left", "entry/gateway/stall.go", "	watch.after(check, look)\n", "", gatewayPkg, "TestAShortPromptLeaves"},
 	{"only within the budget", "entry/gateway/stall.go", " || !e.s.budget(e.service.Name).Take(now)", "", gatewayPkg, "TestWhatMayNotRunTwice"},
 	{"a move pays before it breaks off", "entry/gateway/stall.go", " || !e.s.budget(e.service.Name).Take(now)", " || e.s.budget(e.service.Name) == nil", gatewayPkg, "TestNobodyIsBrokenOff"},
-	{"what may not run twice stays", "entry/gateway/stall.go", " || !e.core.MayFailOver()", "", gatewayPkg, "TestWhatMayNotRunTwice"},
+	{"what may not run twice stays", "entry/gateway/stall.go", " || !e.core.MayRedispatch()", "", gatewayPkg, "TestWhatMayNotRunTwice"},
 	{"a stop's refusal names the return of an entry", "entry/gateway/stop.go", "	if known && wait == 0 {", "	if true {", gatewayPkg, "TestARefusalDuring"},
 	{"used memory is given back", "entry/gateway/try.go", "		released := reservation.end()\n", "		released := make(chan struct{})\n		close(released)\n", gatewayPkg, "TestAHugePrompt"},
 	{"the configuration never goes back", "entry/gateway/platformloop.go", "current.Version() >= table.Version()", "current.Version() == table.Version()", gatewayPkg, "TestATakenKey"},
