--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -167,7 +167,7 @@
 	var effects []Effect
 	for _, action := range actions {
 		switch a := action.(type) {
-		case memory.ReservePart:
+		case memory.RequestPart:
 			effects = append(effects, AskPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
 		case memory.ReleasePart:
 			effects = append(effects, GiveBackPart(a))
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -16,8 +16,8 @@
 type GroupAction interface{ groupAction() }
 
 type (
-	// ReservePart asks the part's host daemon to reserve or renew it.
-	ReservePart struct {
+	// RequestPart asks the part's host daemon to reserve or renew it.
+	RequestPart struct {
 		Reservation string
 		Part        Part
 		Expires     time.Time
@@ -33,7 +33,7 @@
 	GroupRefused struct{ Reservation string }
 )
 
-func (ReservePart) groupAction()  {}
+func (RequestPart) groupAction()  {}
 func (ReleasePart) groupAction()  {}
 func (GroupReady) groupAction()   {}
 func (GroupRefused) groupAction() {}
@@ -72,7 +72,7 @@
 func (r *reservation) reserveParts(id string) []GroupAction {
 	var actions []GroupAction
 	for _, part := range r.parts {
-		actions = append(actions, ReservePart{Reservation: id, Part: part, Expires: r.expires})
+		actions = append(actions, RequestPart{Reservation: id, Part: part, Expires: r.expires})
 	}
 	return actions
 }
