--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -106,7 +106,7 @@
 	case FrameArrived:
 		return r.onFrame(now, e.Frame)
 	case StreamBroken:
-		return r.onStreamEnded(now, e)
+		return r.onStreamBroken(now, e)
 	case CancelAnswered:
 		return r.onCancelled(now, e.Attempt, e.Outcome)
 	case CancelLost:
@@ -268,8 +268,8 @@
 	return r.settle(now, frame.Outcome, r.lastCause)
 }
 
-// onStreamEnded handles a stream that broke before its last frame.
-func (r *Request) onStreamEnded(now time.Time, e StreamBroken) []Action {
+// onStreamBroken handles a stream that broke before its last frame.
+func (r *Request) onStreamBroken(now time.Time, e StreamBroken) []Action {
 	if r.stage != stageStreaming || e.Attempt != r.attempt {
 		return nil
 	}
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -12,7 +12,7 @@
 }
 
 // GroupAction is an output of Group that the lead daemon carries out. The types are
-// ReservePart, ReleasePart, GroupReady and GroupRefused.
+// RequestPart, ReleasePart, GroupReady and GroupRefused.
 type GroupAction interface{ groupAction() }
 
 type (
@@ -77,7 +77,7 @@
 	return actions
 }
 
-// OnReply handles the reply to a ReservePart. A lost reply counts as a refusal: the
+// OnReply handles the reply to a RequestPart. A lost reply counts as a refusal: the
 // part may be reserved, and is released with the others.
 func (g *Group) OnReply(id string, part Part, granted bool) []GroupAction {
 	r := g.reservations[id]
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// EngineState is the state that the configuration asks of an engine.
+// EngineState is the desired or observed state of an engine.
 type EngineState struct {
 	Model    string
 	Version  string
@@ -39,13 +39,13 @@
 	Busy bool
 }
 
-// Order asks an engine to become as wanted.
+// Order asks an engine to change to the desired state.
 type Order struct {
 	Engine   string
 	Fence    uint64
 	Revision uint64
 	Desired  EngineState
-	// LoadsWeights says that weights have to be read from the weight store.
+	// LoadsWeights reports that the order loads weights from the weight store.
 	LoadsWeights bool
 }
 
@@ -80,7 +80,7 @@
 	observed      Observation
 	observedAt    time.Time
 	inFlight      bool
-	fence         uint64 // highest number used or seen
+	fence         uint64 // highest fencing number used or seen
 	notBefore     time.Time
 	backoff       time.Duration
 	loadSlot      time.Time
--- a/core/routing/server.go
+++ b/core/routing/server.go
@@ -36,11 +36,11 @@
 type server struct {
 	spec           ServerSpec
 	report         Report
-	pending        []dispatch // sent since the last report
+	pending        []dispatch // not included in the last report
 	outstanding    int
-	failureScore   float64 // failures of late, decaying
+	failureScore   float64 // recent failures, decaying exponentially
 	failureScoreAt time.Time
-	backoffUntil   time.Time // overload: no new work before
+	backoffUntil   time.Time // after an overload, no dispatch before this time
 	backoff        time.Duration
 }
 
@@ -54,7 +54,7 @@
 	servers []*server
 	byName  map[string]*server
 	next    int
-	// mean is the smoothed work of all reports, by rank.
+	// mean is the smoothed prefill work of all reports, by rank.
 	mean []float64
 }
 
