--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -62,18 +62,18 @@
 // Check refuses an offer that cannot be served in time, and returns nil otherwise.
 // An early refusal costs the caller one round trip; queueing the request would use
 // up its whole time and delay every request behind it.
-func (l *Limits) Check(now time.Time, ask Offer) *execution.Refusal {
-	wait := ask.Predicted - ask.Own
-	if ask.Concurrency > 0 && l.open[ask.Workspace] >= ask.Concurrency {
+func (l *Limits) Check(now time.Time, offer Offer) *execution.Refusal {
+	wait := offer.Predicted - offer.Own
+	if offer.Concurrency > 0 && l.open[offer.Workspace] >= offer.Concurrency {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the workspace has its largest number of open requests here", RetryAfter: retryAfter(wait)}
 	}
-	if ask.Waiting >= l.options.MaxWaiting {
+	if offer.Waiting >= l.options.MaxWaiting {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the queue is full", RetryAfter: retryAfter(wait)}
 	}
-	if now.Add(ask.Predicted).After(ask.Deadline) {
-		return &execution.Refusal{Code: execution.CodeInfeasible, Detail: "the first token would come after the deadline", RetryAfter: retryAfter(now.Add(ask.Predicted).Sub(ask.Deadline))}
+	if now.Add(offer.Predicted).After(offer.Deadline) {
+		return &execution.Refusal{Code: execution.CodeInfeasible, Detail: "the first token would come after the deadline", RetryAfter: retryAfter(now.Add(offer.Predicted).Sub(offer.Deadline))}
 	}
-	tolerance := max(time.Duration(l.options.WaitTolerance*float64(ask.Target)), l.options.MinWaitTolerance)
+	tolerance := max(time.Duration(l.options.WaitTolerance*float64(offer.Target)), l.options.MinWaitTolerance)
 	if wait > tolerance {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the wait would exceed the first-token target", RetryAfter: retryAfter(wait - tolerance)}
 	}
--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -125,13 +125,13 @@
 // the others are idle, and the sum over all entries stays within the quota.
 func (s *Shares) Fraction(now time.Time, workspace string) float64 {
 	found := s.shareOf(workspace)
-	even := 1 / float64(s.entries)
+	equal := 1 / float64(s.entries)
 	if found.hintedAt.IsZero() || now.Sub(found.hintedAt) > s.options.HintTTL {
 		found.inverse = float64(s.entries)
-		return even
+		return equal
 	}
 	// The lower bound lets an entry without demand so far start at all.
-	return max(1/found.inverse, even*minFraction)
+	return max(1/found.inverse, equal*minFraction)
 }
 
 // Admit charges a request to this entry's part of the quota. It returns nil, or a
--- a/core/lifecycle/manager.go
+++ b/core/lifecycle/manager.go
@@ -48,8 +48,8 @@
 	if onChange == nil {
 		onChange = func(State, State) {}
 	}
-	ending, end := context.WithCancel(context.Background())
-	return &Manager{state: Starting, idle: make(chan struct{}), aborting: ending, abort: end, onChange: onChange}
+	aborting, abort := context.WithCancel(context.Background())
+	return &Manager{state: Starting, idle: make(chan struct{}), aborting: aborting, abort: abort, onChange: onChange}
 }
 
 // State returns the current state.
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -66,10 +66,10 @@
 	}
 	r := &reservation{parts: parts, granted: make([]bool, len(parts)), expires: now.Add(g.ttl)}
 	g.reservations[id] = r
-	return r.reserveParts(id)
+	return r.requestParts(id)
 }
 
-func (r *reservation) reserveParts(id string) []GroupAction {
+func (r *reservation) requestParts(id string) []GroupAction {
 	var actions []GroupAction
 	for _, part := range r.parts {
 		actions = append(actions, RequestPart{Reservation: id, Part: part, Expires: r.expires})
@@ -132,7 +132,7 @@
 			continue
 		}
 		r.expires = now.Add(g.ttl)
-		actions = append(actions, r.reserveParts(id)...)
+		actions = append(actions, r.requestParts(id)...)
 	}
 	return actions
 }
--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -137,8 +137,8 @@
 			delete(l.leases, key)
 		}
 	}
-	for owner, forgetAt := range l.released {
-		if !now.Before(forgetAt) {
+	for owner, expiresAt := range l.released {
+		if !now.Before(expiresAt) {
 			delete(l.released, owner)
 		}
 	}
--- a/core/memory/memory_test.go
+++ b/core/memory/memory_test.go
@@ -56,7 +56,7 @@
 // A daemon starts and finds a stream of the previous incarnation. It leases the
 // stream's memory at once, cancels the stream after the grace period, and releases
 // the lease when the stream is gone. It does not touch a stream of its own.
-func TestRecoveryCancelsWhatNobodyOwns(t *testing.T) {
+func TestRecoveryCancelsOrphanedStreams(t *testing.T) {
 	l := NewLeases()
 	l.Configure(map[string]int64{"e0": 100})
 	r := NewRecovery(2*time.Second, l)
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -21,13 +21,13 @@
 }
 
 // Equal reports whether two states are the same.
-func (w EngineState) Equal(other EngineState) bool {
-	return w.Model == other.Model && w.Version == other.Version && w.Role == other.Role &&
-		slices.Equal(w.Adapters, other.Adapters)
+func (s EngineState) Equal(other EngineState) bool {
+	return s.Model == other.Model && s.Version == other.Version && s.Role == other.Role &&
+		slices.Equal(s.Adapters, other.Adapters)
 }
 
-func (w EngineState) String() string {
-	return fmt.Sprintf("%s@%s %v %s", w.Model, w.Version, w.Adapters, w.Role)
+func (s EngineState) String() string {
+	return fmt.Sprintf("%s@%s %v %s", s.Model, s.Version, s.Adapters, s.Role)
 }
 
 // Observation is what an engine reports.
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -105,7 +105,7 @@
 
 // The old report of an idle server decays towards the mean of all reports. If that
 // mean is far higher, a server with a fresh report of less work is preferred.
-func TestPickDistrustsOldReports(t *testing.T) {
+func TestPickDecaysOldReports(t *testing.T) {
 	p := twoServers()
 	for i := range 400 {
 		p.Observe("hall", "busy", Report{Classes: []ClassTokens{{0, 5000}}, Rate: 1000, Observed: now.Add(time.Duration(i+1) * time.Millisecond)})
--- a/core/routing/predict.go
+++ b/core/routing/predict.go
@@ -11,22 +11,22 @@
 // and prevents entries with the same outdated reports from all picking one server.
 func (p *Picker) pickPredicted(now time.Time, pool *pool, q Query, random *rand.Rand) (Decision, bool) {
 	holder, _ := p.affinity.get(q.Prefix)
-	var reason Decision
+	var decision Decision
 	best := time.Duration(-1)
 	consider := func(s *server) {
 		predicted := p.predict(now, pool, s, q, s.spec.Name == holder)
-		reason.Candidates = append(reason.Candidates, Candidate{Server: s.spec.Name, Predicted: predicted})
+		decision.Candidates = append(decision.Candidates, Candidate{Server: s.spec.Name, Predicted: predicted})
 		if best < 0 || predicted < best {
 			best = predicted
-			reason.Server, reason.Predicted = s.spec.Name, predicted
-			reason.Affinity = s.spec.Name == holder
+			decision.Server, decision.Predicted = s.spec.Name, predicted
+			decision.Affinity = s.spec.Name == holder
 		}
 	}
 	if s := pool.byName[holder]; s != nil && usable(now, s, q) {
 		consider(s)
 	}
 	p.candidates(now, pool, q, random, consider)
-	return reason, best >= 0
+	return decision, best >= 0
 }
 
 // candidates visits up to Options.Candidates usable servers in a random cyclic
--- a/core/scheduling/scheduler_test.go
+++ b/core/scheduling/scheduler_test.go
@@ -72,7 +72,7 @@
 
 // A medium prompt waits for memory that a long one holds. Short ones behind it are
 // not delayed.
-func TestAWaitForMemoryHoldsUpItsOwnClassOnly(t *testing.T) {
+func TestAWaitForMemoryDelaysItsOwnClassOnly(t *testing.T) {
 	s := oneEngine(8)
 	s.Enqueue(start, job("long", 2, 290_000))
 	s.Schedule(start)
