--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Unix(4_000, 0)
 
-// A request that can't be served in time is refused at once, with a retry delay for
-// which the queue drains far enough.
+// A request that can't be served in time is refused at once, with a retry delay after
+// which the queue has drained far enough.
 func TestLimitsRefuseEarly(t *testing.T) {
 	ask := func(change func(*Offer)) Offer {
 		a := Offer{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, Own: 200 * time.Millisecond}
