--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -15,7 +15,7 @@
 // which the queue has drained far enough.
 func TestLimitsRefuseEarly(t *testing.T) {
 	ask := func(change func(*Offer)) Offer {
-		a := Offer{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, Own: 200 * time.Millisecond}
+		a := Offer{Workspace: "w", Deadline: start.Add(10 * time.Second), Target: time.Second, Predicted: 300 * time.Millisecond, OwnPrefill: 200 * time.Millisecond}
 		change(&a)
 		return a
 	}
@@ -26,9 +26,9 @@
 		after time.Duration
 	}{
 		{"room", ask(func(*Offer) {}), "", 0},
-		{"long own work is no wait", ask(func(a *Offer) { a.Predicted, a.Own = 5*time.Second, 5*time.Second }), "", 0},
+		{"long own work is no wait", ask(func(a *Offer) { a.Predicted, a.OwnPrefill = 5*time.Second, 5*time.Second }), "", 0},
 		{"past the target", ask(func(a *Offer) { a.Predicted = 3200 * time.Millisecond }), execution.CodeQueueFull, 2 * time.Second},
-		{"past the deadline", ask(func(a *Offer) { a.Predicted, a.Own = 14*time.Second, 14*time.Second }), execution.CodeInfeasible, 4 * time.Second},
+		{"past the deadline", ask(func(a *Offer) { a.Predicted, a.OwnPrefill = 14*time.Second, 14*time.Second }), execution.CodeInfeasible, 4 * time.Second},
 		{"queue full", ask(func(a *Offer) { a.Waiting = 512 }), execution.CodeQueueFull, minRetryAfter},
 		{"too many open", ask(func(a *Offer) { a.Concurrency = 1 }), execution.CodeQueueFull, minRetryAfter},
 	}
--- a/core/admission/limits.go
+++ b/core/admission/limits.go
@@ -53,8 +53,8 @@
 	Target time.Duration
 	// Predicted is the predicted time to first token here.
 	Predicted time.Duration
-	// Own is the part of Predicted taken by the request's own prefill.
-	Own time.Duration
+	// OwnPrefill is the part of Predicted taken by the request's own prefill.
+	OwnPrefill time.Duration
 	// Waiting is the number of queued attempts here.
 	Waiting int
 }
@@ -63,7 +63,7 @@
 // An early refusal costs the caller one round trip; queueing the request would use
 // up its whole time and delay every request behind it.
 func (l *Limits) Check(now time.Time, offer Offer) *execution.Refusal {
-	wait := offer.Predicted - offer.Own
+	wait := offer.Predicted - offer.OwnPrefill
 	if offer.Concurrency > 0 && l.open[offer.Workspace] >= offer.Concurrency {
 		return &execution.Refusal{Code: execution.CodeQueueFull, Detail: "the workspace has its largest number of open requests here", RetryAfter: retryAfter(wait)}
 	}
--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -102,7 +102,7 @@
 func (c *Core) checkLimits(now time.Time, offer Offer, job scheduling.Job, predicted, own time.Duration) *execution.Refusal {
 	return c.limits.Check(now, admission.Offer{
 		Workspace: offer.Workspace, Concurrency: c.snapshot.Workspaces[offer.Workspace].Concurrency,
-		Deadline: offer.Deadline, Target: job.FirstTokenBy.Sub(now), Predicted: predicted, Own: own, Waiting: c.scheduler.Waiting(),
+		Deadline: offer.Deadline, Target: job.FirstTokenBy.Sub(now), Predicted: predicted, OwnPrefill: own, Waiting: c.scheduler.Waiting(),
 	})
 }
 
