--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -64,7 +64,7 @@
 
 // New returns the core of a daemon that starts now, without a configuration.
 func New(now time.Time, options Options) *Core {
-	options.Ledger.Server, options.Ledger.Incarnation, options.Ledger.Began = options.Server, options.Incarnation, now
+	options.Ledger.Server, options.Ledger.Incarnation, options.Ledger.StartedAt = options.Server, options.Incarnation, now
 	options.Orders.Server = options.Server
 	c := &Core{
 		options:   options,
@@ -111,7 +111,7 @@
 func (c *Core) Draining() bool { return c.ledger.Draining() }
 
 // Began returns when this daemon started.
-func (c *Core) Began() time.Time { return c.ledger.Began() }
+func (c *Core) Began() time.Time { return c.ledger.StartedAt() }
 
 // Incarnation returns this start's name.
 func (c *Core) Incarnation() execution.Incarnation { return c.options.Incarnation }
@@ -145,7 +145,7 @@
 	for name, e := range own.Engines {
 		hall := snapshot.Halls[e.Hall]
 		specs[name] = orders.Spec{ChecksFencing: e.ChecksFencing,
-			Wanted: orders.Wanted{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: e.Role}}
+			Desired: orders.EngineState{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: e.Role}}
 	}
 	return specs
 }
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -64,10 +64,10 @@
 	if !ok || group.Lead != c.options.Server {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "this daemon does not lead the group"}
 	}
-	if _, fits := memory.Split(job.Memory(), GroupParts(c.snapshot, group)); !fits {
+	if _, fits := memory.Split(job.MemoryTokens(), GroupParts(c.snapshot, group)); !fits {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "the group's engines don't hold the prompt and its answer"}
 	}
-	rate := c.scheduler.Rate(group.Hall) * float64(len(group.Members))
+	rate := c.scheduler.MeanPrefillRate(group.Hall) * float64(len(group.Members))
 	own := prefillTime(job.PromptTokens, rate)
 	return c.checkLimits(now, offer, job, own+prefillTime(c.groupTokens(c.groups[offer.Group]), rate), own)
 }
@@ -80,7 +80,7 @@
 		if group.Hall != hall {
 			continue
 		}
-		load.Rate += c.scheduler.Rate(hall) * float64(len(group.Members))
+		load.PrefillRate += c.scheduler.MeanPrefillRate(hall) * float64(len(group.Members))
 		load.Waiting += len(queue.waiting)
 		for _, id := range append(slices.Clone(queue.waiting), queue.asking, queue.running) {
 			if w := c.work[id]; w != nil {
@@ -117,10 +117,10 @@
 	queue.asking = queue.waiting[0]
 	queue.waiting = queue.waiting[1:]
 	w := c.work[queue.asking]
-	parts, _ := memory.Split(w.job.Memory(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
+	parts, _ := memory.Split(w.job.MemoryTokens(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
 	queue.tries++
 	queue.reservation = reservationName(queue.asking, queue.tries)
-	return c.groupEffects(now, name, queue.reservations.Begin(now, queue.reservation, parts))
+	return c.groupEffects(now, name, queue.reservations.Reserve(now, queue.reservation, parts))
 }
 
 // endGroup takes an attempt out of its group and gives its parts back.
@@ -135,7 +135,7 @@
 		return nil
 	}
 	queue.asking, queue.running = "", ""
-	effects := c.groupEffects(now, w.offer.Group, queue.reservations.End(queue.reservation))
+	effects := c.groupEffects(now, w.offer.Group, queue.reservations.Release(queue.reservation))
 	return append(effects, c.nextOfGroup(now, w.offer.Group)...)
 }
 
@@ -150,7 +150,7 @@
 
 // reserved says whether a stream's owner holds a part of an engine here.
 func (c *Core) reserved(engine, stream string) bool {
-	for _, lease := range c.leases.Held() {
+	for _, lease := range c.leases.List() {
 		if lease.Engine == engine && !lease.Orphan && attemptOf(lease.Owner) == execution.AttemptID(stream) {
 			return true
 		}
@@ -160,16 +160,16 @@
 
 // PartAnswered takes in a member's answer to AskPart; a lost one is a refusal.
 func (c *Core) PartAnswered(now time.Time, ask AskPart, granted bool) []Effect {
-	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.Answered(ask.Reservation, ask.Part, granted))
+	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.OnReply(ask.Reservation, ask.Part, granted))
 }
 
 func (c *Core) groupEffects(now time.Time, group string, actions []memory.GroupAction) []Effect {
 	var effects []Effect
 	for _, action := range actions {
 		switch a := action.(type) {
-		case memory.Ask:
+		case memory.RequestPart:
 			effects = append(effects, AskPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
-		case memory.GiveBack:
+		case memory.ReleasePart:
 			effects = append(effects, GiveBackPart(a))
 		case memory.GroupReady:
 			effects = append(effects, c.startGroup(a.Reservation)...)
@@ -219,12 +219,12 @@
 
 // HoldPart books a part of a group reservation on an engine of this server.
 func (c *Core) HoldPart(now time.Time, reservation string, part memory.Part, expires time.Time) error {
-	if err := c.scheduler.Hold(now, part.Engine, reservation, part.Tokens); err != nil {
+	if err := c.scheduler.Reserve(now, part.Engine, reservation, part.Tokens); err != nil {
 		return err
 	}
 	err := c.leases.Grant(now, memory.Lease{Owner: reservation, Engine: part.Engine, Tokens: part.Tokens, Expires: expires})
 	if err != nil {
-		c.scheduler.Unhold(now, reservation)
+		c.scheduler.Release(now, reservation)
 	}
 	return err
 }
@@ -232,6 +232,6 @@
 // ReleasePart gives a part back; it is idempotent.
 func (c *Core) ReleasePart(now time.Time, reservation string) []Effect {
 	c.leases.Release(now, reservation)
-	c.scheduler.Unhold(now, reservation)
+	c.scheduler.Release(now, reservation)
 	return c.schedule(now)
 }
--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -92,17 +92,17 @@
 	if !c.scheduler.Fits(job) {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "no engine here holds the prompt and its answer"}
 	}
-	predicted, ok := c.scheduler.Wait(now, job)
+	predicted, ok := c.scheduler.PredictFirstToken(now, job)
 	if !ok {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "no engine of the hall is here"}
 	}
-	return c.checkLimits(now, offer, job, predicted, prefillTime(job.PromptTokens, c.scheduler.Rate(job.Hall)))
+	return c.checkLimits(now, offer, job, predicted, prefillTime(job.PromptTokens, c.scheduler.MeanPrefillRate(job.Hall)))
 }
 
 func (c *Core) checkLimits(now time.Time, offer Offer, job scheduling.Job, predicted, own time.Duration) *execution.Refusal {
-	return c.limits.Check(now, admission.Ask{
+	return c.limits.Check(now, admission.Offer{
 		Workspace: offer.Workspace, Concurrency: c.snapshot.Workspaces[offer.Workspace].Concurrency,
-		Deadline: offer.Deadline, Target: job.FirstTokenBy.Sub(now), Predicted: predicted, Own: own, Waiting: c.scheduler.Waiting(),
+		Deadline: offer.Deadline, Target: job.FirstTokenBy.Sub(now), Predicted: predicted, OwnPrefill: own, Waiting: c.scheduler.Waiting(),
 	})
 }
 
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if w.offer.Service == "" {
-		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: w.job.Memory()}
+		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: w.job.MemoryTokens()}
 		if err := c.leases.Grant(now, lease); err != nil {
 			c.cancelOwn(now, w)
 			return c.end(now, dispatch.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull,
@@ -70,7 +70,7 @@
 
 // FirstToken tells that an attempt's answer has begun.
 func (c *Core) FirstToken(now time.Time, id execution.AttemptID) []Effect {
-	c.scheduler.FirstToken(now, id)
+	c.scheduler.RecordFirstToken(now, id)
 	return c.schedule(now)
 }
 
@@ -179,7 +179,7 @@
 		effects = append(effects, c.end(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
 	}
 	for _, lease := range c.leases.Tick(now) {
-		c.scheduler.Unhold(now, lease.Owner)
+		c.scheduler.Release(now, lease.Owner)
 		effects = append(effects, LeaseExpired{lease})
 	}
 	effects = append(effects, c.tickGroups(now)...)
@@ -188,7 +188,7 @@
 
 // ObserveEngine takes in what an engine reports of itself and returns the
 // streams to cancel that no living daemon owns.
-func (c *Core) ObserveEngine(asked time.Time, engine string, observed orders.Observed, streams []memory.EngineStream) []Effect {
+func (c *Core) ObserveEngine(asked time.Time, engine string, observed orders.Observation, streams []memory.EngineStream) []Effect {
 	c.orders.Observe(asked, engine, observed)
 	var effects []Effect
 	owned := func(stream string) bool { return c.owns(engine, stream) }
@@ -214,8 +214,8 @@
 
 // OrderSettled takes in the end of an order.
 func (c *Core) OrderSettled(now time.Time, engine string, result orders.Result, retryAfter time.Duration) {
-	c.orders.Settled(now, engine, result, retryAfter)
+	c.orders.OrderEnded(now, engine, result, retryAfter)
 }
 
 // Awoke drops what was believed before the process was paused.
-func (c *Core) Awoke(now time.Time) { c.orders.Expire(now) }
+func (c *Core) Awoke(now time.Time) { c.orders.DiscardObservations(now) }
--- a/core/execution/forward_test.go
+++ b/core/execution/forward_test.go
@@ -10,8 +10,8 @@
 
 var forwardStart = time.Unix(1000, 0)
 
-func forward(repeat Repeat, attempts int, retries *int) *Forward {
-	return NewForward(ForwardOptions{Repeat: repeat, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
+func forward(policy RetryPolicy, attempts int, retries *int) *Forward {
+	return NewForward(ForwardOptions{RetryPolicy: policy, MaxAttempts: attempts, Deadline: forwardStart.Add(10 * time.Second),
 		TakeRetry: func(time.Time) bool {
 			*retries--
 			return *retries >= 0
@@ -22,103 +22,103 @@
 	return ForwardResult{Server: server, Kind: ForwardBroken, Refusal: Refusal{Code: CodeConnectionLost}}
 }
 
-// The caller of an order gets an error that promises nothing, at once. Its one try
-// was sent and the connection broke before an answer; a second one could charge a
-// pensioner twice, and "not run" could be false.
-func TestAnOrderThatMayHaveRunIsNeitherRepeatedNorCalledNotRun(t *testing.T) {
+// The only attempt of a non-idempotent request was sent and the connection broke
+// before an answer. A retry could run it twice and NotRun could be false, so the
+// outcome is Unknown at once.
+func TestANonIdempotentRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	retries := 5
-	f := forward(Never, 3, &retries)
-	f.Sending()
-	step := f.Ended(forwardStart, broken("a"))
-	require.False(t, step.Again)
+	f := forward(RetryNever, 3, &retries)
+	f.RecordSend()
+	step := f.AttemptEnded(forwardStart, broken("a"))
+	require.False(t, step.Retry)
 	require.Equal(t, Unknown, step.Conclusion.Outcome)
 	require.Equal(t, 5, retries, "no retry was taken from the budget")
 }
 
 func TestWhatAServerSaysItDidNotRunMayGoElsewhere(t *testing.T) {
 	retries := 5
-	f := forward(Never, 2, &retries)
-	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Again)
+	f := forward(RetryNever, 2, &retries)
+	f.RecordSend()
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}}).Retry)
 	require.Equal(t, []string{"a"}, f.Excluded())
-	f.Sending()
-	step := f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
-	require.False(t, step.Again, "it was sent to as many servers as its route allows")
+	f.RecordSend()
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardNotExecuted, Refusal: Refusal{Code: CodeQueueFull}})
+	require.False(t, step.Retry, "it was sent to as many servers as its route allows")
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-// Two workers refuse, one after the other, and the budget of retries is empty: the
-// caller is told at once that nothing ran.
-func TestAnEmptyBudgetEndsTheRequest(t *testing.T) {
+// A server refuses the request and the retry budget is empty: the outcome is NotRun
+// without a further attempt.
+func TestAnEmptyRetryBudgetEndsTheRequest(t *testing.T) {
 	retries := 0
-	f := forward(Always, 5, &retries)
-	f.Sending()
-	step := f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
+	f := forward(RetryAlways, 5, &retries)
+	f.RecordSend()
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardNotExecuted})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-func TestAServerThatCanNotBeReachedCostsNoAttempt(t *testing.T) {
+func TestAnUnreachableServerCostsNoAttempt(t *testing.T) {
 	retries := 0
-	f := forward(Never, 1, &retries)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Again)
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Again)
-	step := f.Ended(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
+	f := forward(RetryNever, 1, &retries)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardUnsent}).Retry)
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardUnsent}).Retry)
+	step := f.AttemptEnded(forwardStart, ForwardResult{Server: "c", Kind: ForwardUnsent, Refusal: Refusal{Code: CodeConnectionLost}})
 	require.Equal(t, NotRun, step.Conclusion.Outcome)
 }
 
-func TestAnIdempotentFailureIsRepeatedAndThenHandedOn(t *testing.T) {
+func TestAnIdempotentFailureIsRetriedAndThenRelayed(t *testing.T) {
 	retries := 5
-	f := forward(Always, 2, &retries)
-	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, Answer: true}).Again)
-	f.Sending()
-	require.True(t, f.Ended(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, Answer: true}).UseAnswer)
+	f := forward(RetryAlways, 2, &retries)
+	f.RecordSend()
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "a", Kind: ForwardFailed, HasAnswer: true}).Retry)
+	f.RecordSend()
+	require.True(t, f.AttemptEnded(forwardStart, ForwardResult{Server: "b", Kind: ForwardFailed, HasAnswer: true}).UseAnswer)
 }
 
-// A stream breaks after its third event. A resumable one goes on elsewhere; one
-// that is only idempotent must not be begun anew, because its caller would get the
-// pieces of two runs.
+// A stream breaks after a part of its answer was delivered. A resumable request
+// continues on another server. One that is only idempotent must not be retried,
+// because its caller would get parts of two runs.
 func TestADeliveredPartForbidsAFreshRunButNotAResumedOne(t *testing.T) {
-	for repeat, again := range map[Repeat]bool{Resumable: true, Always: false, Never: false} {
+	for policy, retry := range map[RetryPolicy]bool{RetryResumable: true, RetryAlways: false, RetryNever: false} {
 		retries := 5
-		f := forward(repeat, 2, &retries)
-		f.Sending()
+		f := forward(policy, 2, &retries)
+		f.RecordSend()
 		result := broken("a")
 		result.Delivered = true
-		require.Equal(t, again, f.Ended(forwardStart, result).Again, repeat)
+		require.Equal(t, retry, f.AttemptEnded(forwardStart, result).Retry, policy)
 	}
 }
 
-func TestNothingIsTriedPastTheDeadline(t *testing.T) {
+func TestNoAttemptAfterTheDeadline(t *testing.T) {
 	retries := 5
-	f := forward(Always, 5, &retries)
-	require.NotNil(t, f.Ended(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
+	f := forward(RetryAlways, 5, &retries)
+	require.NotNil(t, f.AttemptEnded(forwardStart.Add(time.Minute), ForwardResult{Server: "a", Kind: ForwardUnsent}).Conclusion)
 }
 
-// Whatever the order of results: "not run" is said only if no try that was sent
-// ended without the server's word that it did not run it.
+// For any sequence of results the outcome is NotRun only if the servers state of
+// every attempt that was sent that they did not run it.
 func TestNotRunIsAlwaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retries := rapid.IntRange(0, 5).Draw(t, "retries")
-		repeat := rapid.SampledFrom([]Repeat{Never, Always, Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]RetryPolicy{RetryNever, RetryAlways, RetryResumable}).Draw(t, "repeat")
 		f := forward(repeat, rapid.IntRange(1, 4).Draw(t, "attempts"), &retries)
 		mayHaveRun := 0
 		for {
 			kind := rapid.SampledFrom([]ForwardKind{ForwardUnsent, ForwardNotExecuted, ForwardFailed, ForwardBroken}).Draw(t, "kind")
 			if kind != ForwardUnsent {
-				f.Sending()
+				f.RecordSend()
 			}
 			if kind == ForwardFailed || kind == ForwardBroken {
 				mayHaveRun++
 			}
-			step := f.Ended(forwardStart, ForwardResult{Server: "s", Kind: kind})
-			if step.Again {
+			step := f.AttemptEnded(forwardStart, ForwardResult{Server: "s", Kind: kind})
+			if step.Retry {
 				continue
 			}
 			if step.Conclusion != nil && step.Conclusion.Outcome == NotRun && mayHaveRun > 0 {
 				t.Fatal("called not run although a try may have run")
 			}
-			if repeat == Never && mayHaveRun > 1 {
+			if repeat == RetryNever && mayHaveRun > 1 {
 				t.Fatal("ran twice")
 			}
 			return
@@ -138,8 +138,8 @@
 	require.LessOrEqual(t, taken, 10, "the burst and ten seconds of refill")
 }
 
-// Hundreds of entries share a budget, and each one's part of what may be spent at once was less than one retry: none of
-// them ever made any. Callers got servers' own failures, and waited for servers that had gone dark, with the budget unspent.
+// With hundreds of sharers the burst of a share would be less than one retry, so that no entry could ever retry:
+// callers got the servers' errors, or waited for unreachable servers, with the budget unspent.
 func TestASmallPartOfABudgetSufficesForARetry(t *testing.T) {
 	const extra, window = 728, 10 * time.Second
 	for _, sharers := range []int{1, 100, 424, 700} {
@@ -161,11 +161,11 @@
 	}
 }
 
-// An entry that has just started knows few others, and takes more of the shared budget than is its part. It gives it up
-// when it hears of them.
-func TestAPartShrinksWithTheSharersThatBecomeKnown(t *testing.T) {
+// An entry that has just started knows few others and takes more than its share of the budget. The share has to shrink
+// once the others are discovered.
+func TestABudgetShareShrinksWhenSharersAreDiscovered(t *testing.T) {
 	b := NewSharedRetryBudget(0, 100, 10*time.Second, 1)
-	b.Share(50)
+	b.SetSharers(50)
 	taken := 0
 	for b.Take(forwardStart) {
 		taken++
--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -11,7 +11,7 @@
 
 func testLedger() *Ledger {
 	options := DefaultLedgerOptions()
-	options.Server, options.Incarnation, options.Began = "a", "a#1", ledgerStart
+	options.Server, options.Incarnation, options.StartedAt = "a", "a#1", ledgerStart
 	return NewLedger(options, fixedHomes{home: true})
 }
 
@@ -20,13 +20,13 @@
 func full() *Refusal { return &Refusal{Code: CodeQueueFull, RetryAfter: time.Second} }
 
 func offerAt(now time.Time, attempt string, key Key) Offer {
-	return Offer{Attempt: AttemptID(attempt), Request: "r", Target: "a#1", Workspace: "w", Key: key, Expires: now.Add(DefaultOfferLife)}
+	return Offer{Attempt: AttemptID(attempt), Request: "r", Target: "a#1", Workspace: "w", Key: key, Expires: now.Add(DefaultOfferTTL)}
 }
 
-// A key is refused with the code that says what its caller may still hope for.
+// Each rule of the ledger refuses with its own code and verdict.
 func TestLedgerRules(t *testing.T) {
 	now := ledgerStart.Add(time.Hour)
-	made := func(at time.Time) Key { return Key{ID: "k", Fingerprint: 1, Made: at} }
+	made := func(at time.Time) Key { return Key{ID: "k", Fingerprint: 1, CreatedAt: at} }
 	issued := made(now)
 	issued.Issued = true
 	cases := []struct {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A leaving server refuses every offer, whatever an entry with an old view sends.
+// A draining server refuses every offer, including those of entries with an outdated view.
 func TestLedgerDrains(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	l.Drain()
@@ -70,7 +70,7 @@
 }
 
 // An offer is refused because the queue is full; a delayed copy of it arrives
-// when there is room. The caller was told notRun, so the copy must not run.
+// when there is capacity. The caller was told notRun, so the copy must not run.
 func TestLedgerKeepsATombstoneOfARefusal(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	require.Equal(t, Refused, l.Offer(now, offerAt(now, "x", Key{}), full).Verdict)
@@ -80,8 +80,8 @@
 	require.Equal(t, NotRun, outcome)
 }
 
-// A cancel overtakes its offer, or comes between the queue and the dispatch. The
-// caller was told notRun, so neither the late offer nor the dispatch goes on.
+// A cancel overtakes its offer, or arrives between queueing and dispatch. The
+// caller was told notRun, so neither the late offer nor the dispatch may proceed.
 func TestLedgerKeepsATombstoneOfACancel(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	cancel := CancelRequest{Attempt: "x", Target: "a#1", OfferExpires: now}
@@ -99,11 +99,10 @@
 	require.Equal(t, Unknown, l.Cancel(now, cancel).Outcome, "past the retention nothing is known")
 }
 
-// A key is sent again with another body: the first body's record is not touched,
-// the second is told that it was not run.
+// A key is resent with another body: the second body is refused as not run.
 func TestLedgerRefusesAnotherBody(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
-	key := Key{ID: "k", Fingerprint: 1, Made: now}
+	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
 	require.Equal(t, Accepted, l.Offer(now, offerAt(now, "x", key), free).Verdict)
 	key.Fingerprint = 2
 	result := l.Offer(now, offerAt(now, "y", key), free)
@@ -111,11 +110,11 @@
 	require.Equal(t, CodeKeyMismatch, result.Refusal.Code)
 }
 
-// The record answers a resend for the whole retention, also on a leaving server,
-// and is forgotten after it.
+// Resends are answered from the record for the whole retention, also on a draining
+// server; the record is dropped afterwards.
 func TestLedgerAnswersResends(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
-	key := Key{ID: "k", Fingerprint: 1, Made: now}
+	key := Key{ID: "k", Fingerprint: 1, CreatedAt: now}
 	l.Offer(now, offerAt(now, "x", key), free)
 	_, refusal := l.OpenStream(now, "x", "a#1")
 	require.Nil(t, refusal)
@@ -155,11 +154,11 @@
 		{"whole", frames, FrameNext},
 		{"another attempt", []Frame{changed(frames[0], func(f *Frame) { f.Attempt = "b" })}, FrameForeign},
 		{"another request", []Frame{changed(frames[0], func(f *Frame) { f.Request = "s" })}, FrameForeign},
-		{"repeated", []Frame{frames[0], frames[0]}, FrameRepeated},
+		{"repeated", []Frame{frames[0], frames[0]}, FrameDuplicate},
 		{"gap", []Frame{frames[0], frames[2]}, FrameCorrupt},
 		{"cut short", []Frame{frames[0], changed(frames[3], func(f *Frame) { f.Sequence = 2 })}, FrameCorrupt},
 		{"altered", []Frame{frames[0], changed(frames[1], func(f *Frame) { f.Payload = []byte("TWO") }), frames[2], frames[3]}, FrameCorrupt},
-		{"heartbeat", []Frame{frames[0], {Request: "r", Attempt: "a"}}, FrameRepeated},
+		{"heartbeat", []Frame{frames[0], {Request: "r", Attempt: "a"}}, FrameDuplicate},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -173,8 +172,8 @@
 	}
 }
 
-// FuzzFrames: whatever order, loss, repetition or change of frames arrives, a
-// caller is told of a finished answer only if it got exactly the writer's bytes.
+// FuzzFrames checks that, whatever frames are lost, reordered, duplicated or
+// altered, an answer counts as finished only if it has exactly the writer's bytes.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, byte(0))
 	f.Add([]byte{0, 0, 2, 1, 3}, byte(7))
@@ -206,19 +205,19 @@
 
 func TestKeys(t *testing.T) {
 	keys := NewKeys([]byte("secret"))
-	text := keys.Issue(IssuedKey{Service: "s", Server: "a", Incarnation: "a#1", MadeUnixMS: 1234, Nonce: "n"})
+	text := keys.Issue(IssuedKey{Service: "s", Server: "a", Incarnation: "a#1", CreatedUnixMS: 1234, Nonce: "n"})
 	parsed, err := keys.Parse(text)
 	require.NoError(t, err)
 	require.Equal(t, "a", parsed.Issued.Server)
 	for name, bad := range map[string]string{"another secret's": NewKeys([]byte("other")).Issue(IssuedKey{}), "cut": text[:len(text)-3],
 		"no mac": "ark1.abc", "random": "hello", "old UUID": "4b5e1c1e-3a66-4e39-8b7c-1f4c8ed3c9a1", "altered": "ark1.A" + text[6:]} {
 		_, err := keys.Parse(bad)
-		require.ErrorIs(t, err, ErrBadKey, name)
+		require.ErrorIs(t, err, ErrInvalidKey, name)
 	}
 	made, err := keys.Parse("01a237e5-d293-7eab-8636-93ac79049b86")
 	require.NoError(t, err)
 	require.Nil(t, made.Issued)
-	require.Equal(t, 2026, made.Made.UTC().Year())
+	require.Equal(t, 2026, made.CreatedAt.UTC().Year())
 }
 
 func TestRetryBudget(t *testing.T) {
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry ends while a request waits in a host's queue. The host is asked whether it has run, and nothing
-// is tried again; where the host doesn't answer in time the caller is told that nobody knows.
+// An entry stops while a request waits in a host's queue. It asks the host for the outcome and does not
+// retry; without a reply in time the outcome is Unknown.
 func TestAnEntryThatEndsAsksWhetherARequestHasRun(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ends := EntryEnds{Refusal{Code: CodeDraining}}
+	ends := EntryStopping{Refusal{Code: CodeDraining}}
 	waiting := func() *Request {
-		r := NewRequest(RequestOptions{ID: "r", Repeatable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
+		r := NewRequest(RequestOptions{ID: "r", Retryable: true, Deadline: now.Add(time.Minute), NewAttempt: func() AttemptID { return "a" },
 			TakeRetry: func(time.Time) bool { return true }})
-		r.Step(now, Begun{})
+		r.Step(now, RequestStarted{})
 		r.Step(now, Picked{Target{Server: "s"}})
 		require.IsType(t, OpenStream{}, r.Step(now, OfferAnswered{Attempt: "a", Result: OfferResult{Verdict: Accepted}})[0])
 		require.IsType(t, SendCancel{}, r.Step(now, ends)[0])
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -93,13 +93,13 @@
 // Failed takes in that a server could not be reached or broke off; pool may be
 // empty.
 func (c *Core) Failed(now time.Time, server, pool string) []membership.Change {
-	c.picker.Failed(now, pool, server)
+	c.picker.RecordFailure(now, pool, server)
 	return c.view.RecordFailure(now, server)
 }
 
 // Awoke drops what was believed before the process was paused.
 func (c *Core) Awoke(now time.Time) []membership.Change {
-	c.picker.Expire()
+	c.picker.DiscardReports()
 	return c.view.ResetAfterPause(now)
 }
 
@@ -120,19 +120,19 @@
 func (c *Core) TakeRetry(now time.Time) bool { return c.budget.Take(now) }
 
 // Pick chooses a server and counts the work that it is about to be offered.
-func (c *Core) Pick(now time.Time, q routing.Query) (routing.Reason, execution.Target, bool) {
-	q.Eligible, q.Since = c.view.Eligible, c.view.FirstObserved
+func (c *Core) Pick(now time.Time, q routing.Query) (routing.Decision, execution.Target, bool) {
+	q.Eligible, q.FirstSeen = c.view.Eligible, c.view.FirstObserved
 	reason, ok := c.picker.Pick(now, q, c.random)
 	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
 }
 
 // Sent counts an attempt that is offered to a server.
 func (c *Core) Sent(now time.Time, q routing.Query, server string) {
-	c.picker.Sent(now, q.Pool, server, q)
+	c.picker.RecordSent(now, q.Pool, server, q)
 }
 
 // Ended counts the end of an attempt that Sent has counted.
-func (c *Core) Ended(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
+func (c *Core) Ended(q routing.Query, server string) { c.picker.RecordEnded(q.Pool, server) }
 
 // Observe takes in a load report.
 func (c *Core) Observe(pool, server string, report routing.Report) {
@@ -162,12 +162,12 @@
 		c.picker.Observe(q.Pool, server, *answer.Report)
 	}
 	if answer.Verdict == execution.Accepted {
-		c.picker.Accepted(q.Pool, server)
+		c.picker.RecordAccepted(q.Pool, server)
 		return
 	}
-	c.picker.Ended(q.Pool, server)
+	c.picker.RecordEnded(q.Pool, server)
 	if answer.Refusal != nil && answer.Refusal.Code == execution.CodeQueueFull {
-		c.picker.Overloaded(now, q.Pool, server, answer.Refusal.RetryAfter)
+		c.picker.RecordOverload(now, q.Pool, server, answer.Refusal.RetryAfter)
 	}
 }
 
@@ -233,4 +233,4 @@
 func (c *Core) Loads(now time.Time) []routing.ServerLoad { return c.picker.Loads(now) }
 
 // Uses lists how the workspaces' quotas are used here.
-func (c *Core) Uses(now time.Time) []admission.Use { return c.shares.Uses(now) }
+func (c *Core) Uses(now time.Time) []admission.WorkspaceUsage { return c.shares.Usage(now) }
--- a/core/memory/group.go
+++ b/core/memory/group.go
@@ -4,36 +4,37 @@
 	"time"
 )
 
-// Part is one engine's share of a group reservation.
+// Part is the memory of one engine in a group reservation.
 type Part struct {
 	Server string
 	Engine string
 	Tokens int64
 }
 
-// GroupAction is something the lead host daemon has to do: Ask or GiveBack.
+// GroupAction is an output of Group that the lead daemon carries out. The types are
+// RequestPart, ReleasePart, GroupReady and GroupRefused.
 type GroupAction interface{ groupAction() }
 
 type (
-	// Ask requests one part from its host daemon.
-	Ask struct {
+	// RequestPart asks the part's host daemon to reserve or renew it.
+	RequestPart struct {
 		Reservation string
 		Part        Part
 		Expires     time.Time
 	}
-	// GiveBack releases one part; it is idempotent.
-	GiveBack struct {
+	// ReleasePart releases one part; it is idempotent.
+	ReleasePart struct {
 		Reservation string
 		Part        Part
 	}
-	// GroupReady says that every part is held.
+	// GroupReady reports that every part is reserved.
 	GroupReady struct{ Reservation string }
-	// GroupRefused says that the reservation has failed and is given back.
+	// GroupRefused reports that the reservation has failed and was released.
 	GroupRefused struct{ Reservation string }
 )
 
-func (Ask) groupAction()          {}
-func (GiveBack) groupAction()     {}
+func (RequestPart) groupAction()  {}
+func (ReleasePart) groupAction()  {}
 func (GroupReady) groupAction()   {}
 func (GroupRefused) groupAction() {}
 
@@ -44,52 +45,51 @@
 	expires time.Time
 }
 
-// Group serialises, at its lead daemon, the reservations of engines that serve
-// one prompt together. A reservation asks for all parts at once and gives all
-// back on the first refusal. Nothing waits while holding, so there is no
-// deadlock; and each part is a lease that ends by itself, so a lead that dies
-// leaves nothing behind.
+// Group makes, at its lead daemon, the reservations of engines that serve one prompt
+// together. A reservation asks for all parts at once and releases all of them on the
+// first refusal. It never waits while it holds a part, which rules out deadlock; and
+// each part is a lease that expires, so a lead that crashes leaks no memory.
 type Group struct {
-	life    time.Duration
-	current map[string]*reservation
+	ttl          time.Duration
+	reservations map[string]*reservation
 }
 
-// NewGroup returns a group whose reservations live for life unless renewed.
-func NewGroup(life time.Duration) *Group {
-	return &Group{life: life, current: map[string]*reservation{}}
+// NewGroup returns a group whose reservations expire after ttl unless renewed.
+func NewGroup(ttl time.Duration) *Group {
+	return &Group{ttl: ttl, reservations: map[string]*reservation{}}
 }
 
-// Begin starts a reservation. A second one of the same name does nothing.
-func (g *Group) Begin(now time.Time, id string, parts []Part) []GroupAction {
-	if g.current[id] != nil {
+// Reserve starts a reservation. It is idempotent for the same id.
+func (g *Group) Reserve(now time.Time, id string, parts []Part) []GroupAction {
+	if g.reservations[id] != nil {
 		return nil
 	}
-	r := &reservation{parts: parts, granted: make([]bool, len(parts)), expires: now.Add(g.life)}
-	g.current[id] = r
-	return r.ask(id)
+	r := &reservation{parts: parts, granted: make([]bool, len(parts)), expires: now.Add(g.ttl)}
+	g.reservations[id] = r
+	return r.requestParts(id)
 }
 
-func (r *reservation) ask(id string) []GroupAction {
+func (r *reservation) requestParts(id string) []GroupAction {
 	var actions []GroupAction
 	for _, part := range r.parts {
-		actions = append(actions, Ask{Reservation: id, Part: part, Expires: r.expires})
+		actions = append(actions, RequestPart{Reservation: id, Part: part, Expires: r.expires})
 	}
 	return actions
 }
 
-// Answered takes in the answer to one Ask. A lost answer counts as a refusal:
-// the part may be held, and is given back with the others.
-func (g *Group) Answered(id string, part Part, granted bool) []GroupAction {
-	r := g.current[id]
+// OnReply handles the reply to a RequestPart. A lost reply counts as a refusal: the
+// part may be reserved, and is released with the others.
+func (g *Group) OnReply(id string, part Part, granted bool) []GroupAction {
+	r := g.reservations[id]
 	if r == nil {
 		if granted {
-			// The reservation is over; a late grant must not linger.
-			return []GroupAction{GiveBack{id, part}}
+			// The reservation has ended; the late grant has to be released.
+			return []GroupAction{ReleasePart{id, part}}
 		}
 		return nil
 	}
 	if !granted {
-		return append(g.End(id), GroupRefused{id})
+		return append(g.Release(id), GroupRefused{id})
 	}
 	for i := range r.parts {
 		if r.parts[i] == part && !r.granted[i] {
@@ -103,45 +103,45 @@
 	return nil
 }
 
-// End gives a reservation back.
-func (g *Group) End(id string) []GroupAction {
-	r := g.current[id]
+// Release ends a reservation and releases its parts.
+func (g *Group) Release(id string) []GroupAction {
+	r := g.reservations[id]
 	if r == nil {
 		return nil
 	}
-	delete(g.current, id)
+	delete(g.reservations, id)
 	var actions []GroupAction
 	for _, part := range r.parts {
-		actions = append(actions, GiveBack{id, part})
+		actions = append(actions, ReleasePart{id, part})
 	}
 	return actions
 }
 
-// Tick renews the reservations that are held, at a third of their life, and
-// refuses those that were not answered in time.
+// Tick renews complete reservations after a third of their TTL, and ends those that
+// were not complete when they expired.
 func (g *Group) Tick(now time.Time) []GroupAction {
 	var actions []GroupAction
-	for id, r := range g.current {
-		if r.expires.Sub(now) > g.life*2/3 {
+	for id, r := range g.reservations {
+		if r.expires.Sub(now) > g.ttl*2/3 {
 			continue
 		}
 		if r.count < len(r.parts) {
 			if !now.Before(r.expires) {
-				actions = append(actions, append(g.End(id), GroupRefused{id})...)
+				actions = append(actions, append(g.Release(id), GroupRefused{id})...)
 			}
 			continue
 		}
-		r.expires = now.Add(g.life)
-		actions = append(actions, r.ask(id)...)
+		r.expires = now.Add(g.ttl)
+		actions = append(actions, r.requestParts(id)...)
 	}
 	return actions
 }
 
 // Reservations returns the number of open reservations.
-func (g *Group) Reservations() int { return len(g.current) }
+func (g *Group) Reservations() int { return len(g.reservations) }
 
-// Split divides tokens over members in proportion to their sizes. It reports
-// false if the group is too small.
+// Split divides tokens among members in proportion to their sizes. It reports false
+// if the group is too small.
 func Split(tokens int64, members []Part) ([]Part, bool) {
 	var total int64
 	for _, member := range members {
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -18,7 +18,7 @@
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 	// Repeat says whether a request that may already have run can be repeated.
-	Repeat execution.Repeat `json:"repeat"`
+	Repeat execution.RetryPolicy `json:"repeat"`
 	// Streaming is set if answers are event streams.
 	Streaming bool `json:"streaming,omitempty"`
 	// Timeout bounds a request from its arrival to the end of its answer.
--- a/core/routing/picker_test.go
+++ b/core/routing/picker_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-// twoServers has a busy server and an idle one.
+// twoServers returns a picker with a busy server and an idle one.
 func twoServers() *Picker {
 	p := New(DefaultOptions())
 	p.Configure("hall", []ServerSpec{{Name: "busy", Rate: 1000, Engines: 1}, {Name: "idle", Rate: 1000, Engines: 1}})
@@ -20,7 +20,7 @@
 	return p
 }
 
-func pick(t *testing.T, p *Picker, at time.Time, q Query) Reason {
+func pick(t *testing.T, p *Picker, at time.Time, q Query) Decision {
 	t.Helper()
 	q.Pool = "hall"
 	if q.PromptTokens == 0 {
@@ -43,15 +43,15 @@
 			p.Observe("hall", "idle", Report{Classes: []ClassTokens{{2, 900_000}}, Rate: 1000, Observed: now.Add(1)})
 		}, Query{}, "idle"},
 		{"own dispatches since the report count", func(p *Picker) {
-			p.Sent(now.Add(1), "hall", "idle", Query{PromptTokens: 9000})
+			p.RecordSent(now.Add(1), "hall", "idle", Query{PromptTokens: 9000})
 		}, Query{}, "busy"},
 		{"a prefix never overrides a queue", func(p *Picker) { p.affinity.put(7, "busy") }, Query{Prefix: 7}, "idle"},
 		{"a failure costs trust", func(p *Picker) {
 			for range 20 {
-				p.Failed(now, "hall", "idle")
+				p.RecordFailure(now, "hall", "idle")
 			}
 		}, Query{}, "busy"},
-		{"overload costs pace, not trust", func(p *Picker) { p.Overloaded(now, "hall", "idle", time.Second) }, Query{}, "busy"},
+		{"overload costs pace, not trust", func(p *Picker) { p.RecordOverload(now, "hall", "idle", time.Second) }, Query{}, "busy"},
 		{"an excluded server is not asked", func(*Picker) {}, Query{Exclude: []string{"idle"}}, "busy"},
 		{"an ineligible server is not asked", func(*Picker) {}, Query{Eligible: func(s string) bool { return s == "busy" }}, "busy"},
 		{"a wait for memory counts", func(p *Picker) {
@@ -62,7 +62,7 @@
 		}, Query{PromptTokens: 1000}, "busy"},
 		{"a server that has just come up is spared", func(p *Picker) {
 			p.Observe("hall", "busy", Report{Classes: []ClassTokens{{0, 50}}, Rate: 1000, Observed: now.Add(1)})
-		}, Query{Since: func(s string) time.Time {
+		}, Query{FirstSeen: func(s string) time.Time {
 			if s == "idle" {
 				return now
 			}
@@ -78,18 +78,18 @@
 	}
 }
 
-// All servers have said that they are full. Somebody is asked all the same: its
-// refusal carries the true time to come back.
+// All servers are in backoff after an overload. One is picked all the same, because
+// its refusal carries the right retry delay.
 func TestPickWhenAllAreFull(t *testing.T) {
 	p := twoServers()
-	p.Overloaded(now, "hall", "idle", time.Second)
-	p.Overloaded(now, "hall", "busy", time.Second)
+	p.RecordOverload(now, "hall", "idle", time.Second)
+	p.RecordOverload(now, "hall", "busy", time.Second)
 	pick(t, p, now, Query{})
 	_, ok := p.Pick(now, Query{Pool: "hall", Exclude: []string{"idle", "busy"}}, rand.New(rand.NewPCG(1, 1)))
 	require.False(t, ok)
 }
 
-// The only usable server of many is found, whatever the random start.
+// The only usable server of many is found from any random start.
 func TestPickFindsTheLastServer(t *testing.T) {
 	p := New(DefaultOptions())
 	var specs []ServerSpec
@@ -103,9 +103,9 @@
 	}
 }
 
-// An old report of an idle server is not taken at its word: with the mean of all
-// reports far higher, a server that was seen a moment ago with less goes first.
-func TestPickDistrustsOldReports(t *testing.T) {
+// The old report of an idle server decays towards the mean of all reports. If that
+// mean is far higher, a server with a fresh report of less work is preferred.
+func TestPickDecaysOldReports(t *testing.T) {
 	p := twoServers()
 	for i := range 400 {
 		p.Observe("hall", "busy", Report{Classes: []ClassTokens{{0, 5000}}, Rate: 1000, Observed: now.Add(time.Duration(i+1) * time.Millisecond)})
@@ -120,7 +120,7 @@
 	for i := range uint64(1000) {
 		a.put(i+1, "s")
 	}
-	require.LessOrEqual(t, len(a.young)+len(a.old), 100)
+	require.LessOrEqual(t, len(a.current)+len(a.previous), 100)
 	_, ok := a.get(1000)
 	require.True(t, ok)
 	_, ok = a.get(1)
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -16,7 +16,7 @@
 func (e *exchange) run() {
 	e.draw = e.s.random01()
 	e.service = e.table.Service(e.route.PickService(e.draw))
-	e.core = execution.NewForward(execution.ForwardOptions{Repeat: e.route.Repeat, MaxAttempts: e.route.MaxAttempts, Deadline: e.deadline,
+	e.core = execution.NewForward(execution.ForwardOptions{RetryPolicy: e.route.Repeat, MaxAttempts: e.route.MaxAttempts, Deadline: e.deadline,
 		TakeRetry: func(now time.Time) bool { return e.paid.Swap(false) || e.s.takeRetry(now, e.service.Name) }})
 	e.s.countRequest(e.service.Name)
 	ctx, cancel := e.context()
@@ -38,7 +38,7 @@
 			if ctx.Err() == nil {
 				continue
 			}
-			e.conclude(e.core.GiveUp(e.endedRefusal(ctx), false))
+			e.conclude(e.core.Abort(e.endedRefusal(ctx), false))
 			return
 		}
 		e.keepApart(now, choice)
@@ -60,7 +60,7 @@
 			e.conclude(result.conclusion)
 			return
 		}
-		step := e.core.Ended(time.Now(), result.ForwardResult)
+		step := e.core.AttemptEnded(time.Now(), result.ForwardResult)
 		switch {
 		case step.UseAnswer:
 			e.deliverFailure()
@@ -83,7 +83,7 @@
 // entry's stop: a request that waits then still gets its final answer before the connection is closed.
 func (e *exchange) context() (context.Context, context.CancelFunc) {
 	limited, stop := context.WithCancelCause(e.r.Context())
-	release := context.AfterFunc(e.s.manager.Ending(), func() { stop(errStopLimit) })
+	release := context.AfterFunc(e.s.manager.Aborting(), func() { stop(errStopLimit) })
 	ctx, cancel := context.WithDeadline(limited, e.deadline)
 	return ctx, func() {
 		release()
@@ -210,7 +210,7 @@
 func (s *Server) shareBudgets() {
 	size := s.peers.size()
 	for _, budget := range s.budgets {
-		budget.Share(size)
+		budget.SetSharers(size)
 	}
 }
 
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -128,7 +128,7 @@
 		}
 		return e.ended(ctx, server, execution.ForwardUnsent, lostConnection(err.Error()))
 	}
-	e.core.Sending()
+	e.core.RecordSend()
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, context.Canceled):
@@ -166,7 +166,7 @@
 		return result
 	}
 	result.Refusal = e.endedRefusal(ctx)
-	result.conclusion = e.core.GiveUp(result.Refusal, kind != execution.ForwardUnsent && kind != execution.ForwardNotExecuted)
+	result.conclusion = e.core.Abort(result.Refusal, kind != execution.ForwardUnsent && kind != execution.ForwardNotExecuted)
 	return result
 }
 
@@ -246,7 +246,7 @@
 // readAnswer judges the headers of an answer and passes it on.
 func (e *exchange) readAnswer(ctx context.Context, choice placement.Choice, progress *progress, response *http.Response) tryResult {
 	server := choice.Server.IncarnationID()
-	e.core.Sending()
+	e.core.RecordSend()
 	answer := platform.ParseAnswer(response.StatusCode, response.Header)
 	if answer.ID != "" && answer.ID != e.info.ID {
 		e.s.serverFailed(server)
@@ -291,7 +291,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		e.s.serverFailed(server)
 		result := e.ended(ctx, server, execution.ForwardFailed, execution.Refusal{Code: execution.CodeEngineFailed, Detail: response.Status})
-		result.Answer, result.answer = true, held
+		result.HasAnswer, result.answer = true, held
 		return result
 	}
 	held.deliver(e)
--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -190,7 +190,7 @@
 func (s *Server) readBody(c *call) ([]byte, func(), error) {
 	controller := http.NewResponseController(c.w)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
-	ending := s.Manager().Ending()
+	ending := s.Manager().Aborting()
 	stop := context.AfterFunc(ending, func() { _ = controller.SetReadDeadline(time.Now()) })
 	data, release, err := readBody(c.w, c.r.Request, s.options.Settings.MaxBodyBytes, s.bodies)
 	if stop() { // else the rest of the body must not be waited for, before the answer is written
@@ -220,7 +220,7 @@
 			return s.core.TakeRetry(now)
 		}}
 	t.offer = &wire.OfferRequest{Request: string(c.id), Workspace: c.workspace, Key: key.ID, IssuedKey: key.Issued,
-		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.Made.UnixMilli()}
+		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.CreatedAt.UnixMilli()}
 	t.route = &Route{Request: c.id, Time: time.Now(), Workspace: c.workspace}
 	return t
 }
--- a/entry/server/body.go
+++ b/entry/server/body.go
@@ -32,11 +32,11 @@
 	if size < 0 {
 		size = limit
 	}
-	if !budget.Take(size) {
+	if !budget.Reserve(size) {
 		return nil, nil, errNoRoom
 	}
 	var once sync.Once
-	release = func() { once.Do(func() { budget.Give(size) }) }
+	release = func() { once.Do(func() { budget.Release(size) }) }
 	data, err = readAll(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if err == nil {
 		return data, release, nil
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -71,8 +71,8 @@
 	s.mu.Lock()
 	s.core.Began()
 	s.mu.Unlock()
-	event := execution.Event(execution.Begun{})
-	gone, ending := ctx.Done(), s.Manager().Ending().Done()
+	event := execution.Event(execution.RequestStarted{})
+	gone, ending := ctx.Done(), s.Manager().Aborting().Done()
 	var ends <-chan time.Time
 	for {
 		if conclusion, over := d.step(event); over {
@@ -83,11 +83,11 @@
 		case <-deadline.C:
 			event = execution.DeadlinePassed{}
 		case <-gone:
-			event, gone = execution.CallerGone{}, nil
+			event, gone = execution.CallerDisconnected{}, nil
 		case <-ending:
-			event, ending, ends = execution.EntryEnds{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
+			event, ending, ends = execution.EntryStopping{Refusal: entryEnds}, nil, time.After(lifecycle.FinalReplyTime/2)
 		case <-ends:
-			event = execution.EntryEnds{Refusal: entryEnds}
+			event = execution.EntryStopping{Refusal: entryEnds}
 		}
 	}
 }
@@ -113,7 +113,7 @@
 				d.t.sink.discard()
 			case execution.Deliver:
 				if err := d.deliver(a.Frame); err != nil {
-					pending = append(pending, execution.CallerGone{})
+					pending = append(pending, execution.CallerDisconnected{})
 				}
 			case execution.Conclude:
 				return a.Conclusion, true
@@ -226,7 +226,7 @@
 
 // stream opens an attempt's stream, or opens it again, and hands on its frames.
 func (d *driver) stream(ctx context.Context, action execution.OpenStream, body []byte) {
-	ended := execution.StreamEnded{Attempt: action.Attempt, Sent: true}
+	ended := execution.StreamBroken{Attempt: action.Attempt, Sent: true}
 	request, err := d.streamRequest(ctx, action, body)
 	if err != nil {
 		ended.Sent = false
--- a/entry/server/keys.go
+++ b/entry/server/keys.go
@@ -46,7 +46,7 @@
 		return &refusedError{execution.Refusal{Code: execution.CodeNoServer, Detail: "no backend server can be the key's home now", RetryAfter: time.Second}}
 	}
 	now := time.Now()
-	key := s.keys.Issue(execution.IssuedKey{Service: pool, Server: target.Server, Incarnation: target.Incarnation, MadeUnixMS: now.UnixMilli(), Nonce: newID()})
+	key := s.keys.Issue(execution.IssuedKey{Service: pool, Server: target.Server, Incarnation: target.Incarnation, CreatedUnixMS: now.UnixMilli(), Nonce: newID()})
 	c.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(c.w).Encode(keyReply{Key: key, ExpiresAt: now.Add(execution.DefaultLedgerOptions().Retention).UTC()})
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return execution.Key{}, nil, refuse(codeBadRequest, "%s: %v", headerKey, err)
 	}
-	key := execution.Key{ID: parsed.Text, Made: parsed.Made, Fingerprint: fingerprint}
+	key := execution.Key{ID: parsed.Text, CreatedAt: parsed.CreatedAt, Fingerprint: fingerprint}
 	if issued := parsed.Issued; issued != nil {
 		if issued.Service != pool {
 			return key, nil, refuse(codeBadRequest, "%s: the key was issued for %q", headerKey, issued.Service)
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -57,7 +57,7 @@
 // endLoop ends all attempts once the stop has come to its limit.
 func (s *Server) endLoop() error {
 	select {
-	case <-s.Manager().Ending().Done():
+	case <-s.Manager().Aborting().Done():
 	case <-s.tomb.Dying():
 		return nil
 	}
@@ -113,14 +113,14 @@
 func (s *Server) sendOrder(order orders.Order) {
 	err := engine.ErrNotSent
 	if client := s.engines[order.Engine]; client != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), s.options.Backend.Orders.LongestOrder)
+		ctx, cancel := context.WithTimeout(context.Background(), s.options.Backend.Orders.MaxOrderDuration)
 		err = client.Order(ctx, order)
 		cancel()
 	}
 	s.mu.Lock()
 	s.core.OrderSettled(time.Now(), order.Engine, orderResult(err), 0)
 	s.mu.Unlock()
-	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Wanted.String(),
+	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Desired.String(),
 		Why: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
 	if err != nil {
 		event.Why += ": " + err.Error()
@@ -133,7 +133,7 @@
 	case err == nil:
 		return orders.Done
 	case errors.Is(err, engine.ErrFenced):
-		return orders.FencedOff
+		return orders.Fenced
 	case errors.Is(err, engine.ErrThrottled):
 		return orders.Throttled
 	}
--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -158,13 +158,13 @@
 		host(fmt.Sprintf("long memory %.2f", v), func(o *backend.Options) { o.Schedule.LongMemoryShare = v })
 	}
 	for _, v := range []float64{0.02, 0.05, 0.2} {
-		host(fmt.Sprintf("floor share %.2f", v), func(o *backend.Options) { o.Schedule.FloorShare = v })
+		host(fmt.Sprintf("floor share %.2f", v), func(o *backend.Options) { o.Schedule.MinPrefillShare = v })
 	}
 	for _, v := range []time.Duration{25, 100, 200} {
-		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.Slice = v * time.Millisecond })
+		host(fmt.Sprintf("slice %d ms", v), func(o *backend.Options) { o.Schedule.BoostDuration = v * time.Millisecond })
 	}
 	for _, v := range []time.Duration{50, 300, 1000} {
-		host(fmt.Sprintf("backlog %d ms", v), func(o *backend.Options) { o.Schedule.Backlog = v * time.Millisecond })
+		host(fmt.Sprintf("backlog %d ms", v), func(o *backend.Options) { o.Schedule.MaxPrefillBacklog = v * time.Millisecond })
 	}
 	for _, v := range []int{2, 8, 15} {
 		entry(fmt.Sprintf("candidates %d", v), func(o *frontend.Options) { o.Routing.Candidates = v })
@@ -173,7 +173,7 @@
 		entry(fmt.Sprintf("prefix saving %.2f", v), func(o *frontend.Options) { o.Routing.PrefixSaving = v })
 	}
 	for _, v := range []time.Duration{100, 2000, 1e6} {
-		entry(fmt.Sprintf("relaxation %d ms", v), func(o *frontend.Options) { o.Routing.Relaxation = v * time.Millisecond })
+		entry(fmt.Sprintf("relaxation %d ms", v), func(o *frontend.Options) { o.Routing.ReportDecayTime = v * time.Millisecond })
 	}
 	print(b, scenarios...)
 }
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -226,7 +226,7 @@
 		s.query = routing.Query{Pool: config.ServicePool(request.Service), PromptTokens: 1}
 	}
 	s.core = execution.NewRequest(execution.RequestOptions{
-		ID: s.id, Repeatable: request.Repeatable, Buffered: request.Buffered, Key: request.Key, KeyFromCaller: !request.Key.None(),
+		ID: s.id, Retryable: request.Repeatable, Buffered: request.Buffered, Key: request.Key, KeyFromCaller: !request.Key.None(),
 		Deadline: l.Now.Add(request.Deadline), MaxResumes: execution.DefaultMaxResumes,
 		NewAttempt: func() execution.AttemptID {
 			id := execution.AttemptID(fmt.Sprintf("%s/a%d", s.id, len(s.Attempts)+1))
@@ -242,7 +242,7 @@
 	e.open[s] = true
 	e.Core.Began()
 	l.After(request.Deadline, func() { e.reach(func() { e.feed(s, execution.DeadlinePassed{}) }) })
-	e.feed(s, execution.Begun{})
+	e.feed(s, execution.RequestStarted{})
 	return s
 }
 
@@ -337,7 +337,7 @@
 	e.lab.send(Message{kind, e.Name, h.Name}, serve, func() {
 		e.reach(func() {
 			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
-			e.feed(s, execution.StreamEnded{Attempt: a.Attempt, Sent: a.Resume})
+			e.feed(s, execution.StreamBroken{Attempt: a.Attempt, Sent: a.Resume})
 		})
 	})
 }
@@ -372,7 +372,7 @@
 	}
 	s.heard = e.lab.Now
 	e.Core.Failed(e.lab.Now, s.core.Target().Server, s.query.Pool)
-	e.feed(s, execution.StreamEnded{Attempt: id, Sent: true})
+	e.feed(s, execution.StreamBroken{Attempt: id, Sent: true})
 }
 
 func (e *Entry) deliver(s *Submission, frame execution.Frame) {
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -31,7 +31,7 @@
 // Engine is one stand-in engine in virtual time.
 type Engine struct {
 	Model   *engine.Model
-	State   orders.Wanted
+	State   orders.EngineState
 	Fence   uint64
 	ticking bool
 	sinks   map[string]func(engine.Token)
@@ -58,7 +58,7 @@
 		model.MemoryTokens = spec.MemoryTokens
 		hall := l.Snapshot.Halls[spec.Hall]
 		h.Engines[engineName] = &Engine{Model: engine.NewModel(model), sinks: map[string]func(engine.Token){},
-			State: orders.Wanted{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: spec.Role}}
+			State: orders.EngineState{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: spec.Role}}
 	}
 	h.Start()
 	return h
@@ -73,7 +73,7 @@
 		options.Schedule.Policy = h.lab.Scheduling
 	}
 	if h.lab.Patience != 0 {
-		options.Limits.Patience = h.lab.Patience
+		options.Limits.WaitTolerance = h.lab.Patience
 	}
 	if h.lab.TuneHost != nil {
 		h.lab.TuneHost(&options)
@@ -154,7 +154,7 @@
 			for _, s := range e.Model.Streams() {
 				held = append(held, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.Memory()})
 			}
-			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observed{State: e.State, Fence: e.Fence}, held))
+			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observation{State: e.State, Fence: e.Fence}, held))
 		}
 		h.sendOrders()
 		for _, id := range sortedKeys(h.streams) {
@@ -177,9 +177,9 @@
 			e := h.Engines[order.Engine]
 			result := orders.Done
 			if checks && order.Fence <= e.Fence {
-				result = orders.FencedOff
+				result = orders.Fenced
 			} else {
-				e.Fence, e.State = max(e.Fence, order.Fence), order.Wanted
+				e.Fence, e.State = max(e.Fence, order.Fence), order.Desired
 				e.Orders = append(e.Orders, order)
 			}
 			if epoch == h.epoch {
