--- a/core/backend/bench_test.go
+++ b/core/backend/bench_test.go
@@ -31,7 +31,7 @@
 	}
 	core := backend.New(now, backend.DefaultOptions("a", "a#1"))
 	core.Configure(now, snapshot)
-	core.Serve()
+	core.StartServing()
 	return core
 }
 
--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -101,8 +101,8 @@
 	return c.homes.Adopt(now, snapshot)
 }
 
-// Serve lets offers be accepted.
-func (c *Core) Serve() { c.serving = true }
+// StartServing lets offers be accepted.
+func (c *Core) StartServing() { c.serving = true }
 
 // Drain refuses all new work from now on.
 func (c *Core) Drain() { c.ledger.Drain() }
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -186,7 +186,7 @@
 	defer s.mu.Unlock()
 	switch to {
 	case lifecycle.Serving:
-		s.core.Serve()
+		s.core.StartServing()
 	case lifecycle.Draining:
 		s.core.Drain()
 	}
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -80,7 +80,7 @@
 	}
 	h.Core = backend.New(h.lab.Now, options)
 	h.Core.Configure(h.lab.Now, h.lab.Snapshot)
-	h.Core.Serve()
+	h.Core.StartServing()
 	h.streams = map[execution.AttemptID]*stream{}
 	h.pause = membership.NewPauseDetector(2 * time.Second)
 	h.tick(h.epoch)
