--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -110,8 +110,8 @@
 // Draining says whether Drain was called.
 func (c *Core) Draining() bool { return c.ledger.Draining() }
 
-// Began returns when this daemon started.
-func (c *Core) Began() time.Time { return c.ledger.Began() }
+// StartedAt returns when this daemon started.
+func (c *Core) StartedAt() time.Time { return c.ledger.Began() }
 
 // Incarnation returns this start's name.
 func (c *Core) Incarnation() execution.Incarnation { return c.options.Incarnation }
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -117,7 +117,7 @@
 	if service == "" || !s.Store.Current().Services[service].ChecksFencing {
 		return 0
 	}
-	return uint64(s.core.Began().UnixMilli())
+	return uint64(s.core.StartedAt().UnixMilli())
 }
 
 // piece takes in a piece of the answer. Only the first one is news to the core.
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -172,7 +172,7 @@
 func (s *Server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core.Draining() || time.Since(s.core.Began()) < membership.ListLag {
+	if s.core.Draining() || time.Since(s.core.StartedAt()) < membership.ListLag {
 		return
 	}
 	s.core.Drain()
