--- a/core/backend/effects.go
+++ b/core/backend/effects.go
@@ -14,9 +14,9 @@
 type Effect interface{ effect() }
 
 type (
-	// Start calls the engine, or the plain service, for an attempt. From here
+	// StartRun calls the engine, or the plain service, for an attempt. From here
 	// on it may have run.
-	Start struct {
+	StartRun struct {
 		Attempt  execution.AttemptID
 		Engine   string
 		Priority int
@@ -56,7 +56,7 @@
 	LeaseExpired struct{ Lease memory.Lease }
 )
 
-func (Start) effect()        {}
+func (StartRun) effect()     {}
 func (StopRun) effect()      {}
 func (Ended) effect()        {}
 func (Pause) effect()        {}
--- a/core/backend/end_test.go
+++ b/core/backend/end_test.go
@@ -23,7 +23,7 @@
 		require.Equal(t, execution.Accepted, core.Offer(now, offer(now, string(id))).Verdict)
 		_, _, effects := core.OpenStream(now, id, "a#1")
 		for _, effect := range effects {
-			if start, ok := effect.(backend.Start); ok {
+			if start, ok := effect.(backend.StartRun); ok {
 				started[start.Attempt] = true
 			}
 		}
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -193,7 +193,7 @@
 	group := c.snapshot.Groups[w.offer.Group]
 	for _, member := range group.Members {
 		if server, engine, _ := strings.Cut(member, "/"); server == c.options.Server {
-			return []Effect{Start{Attempt: id, Engine: engine, Priority: w.job.Rank, Group: group.Members}}
+			return []Effect{StartRun{Attempt: id, Engine: engine, Priority: w.job.Rank, Group: group.Members}}
 		}
 	}
 	return nil
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -65,7 +65,7 @@
 		c.scheduler.Remove(now, dispatch.Attempt)
 		return nil
 	}
-	return []Effect{Start{Attempt: dispatch.Attempt, Engine: dispatch.Engine, Priority: dispatch.Priority}}
+	return []Effect{StartRun{Attempt: dispatch.Attempt, Engine: dispatch.Engine, Priority: dispatch.Priority}}
 }
 
 // FirstToken tells that an attempt's answer has begun.
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -21,7 +21,7 @@
 func (s *Server) carryOut(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case backend.Start:
+		case backend.StartRun:
 			s.start(e)
 		case backend.StopRun:
 			s.stopRun(e.Attempt)
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -72,7 +72,7 @@
 }
 
 // start calls the engine for an attempt.
-func (s *Server) start(e backend.Start) {
+func (s *Server) start(e backend.StartRun) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.mu.Lock()
 	r := s.runs[e.Attempt]
@@ -86,7 +86,7 @@
 	}()
 }
 
-func (s *Server) callEngine(ctx context.Context, r *run, e backend.Start) error {
+func (s *Server) callEngine(ctx context.Context, r *run, e backend.StartRun) error {
 	client := s.clientOf(r, e.Engine)
 	if client == nil {
 		return engine.ErrNotSent
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -192,7 +192,7 @@
 func (h *Host) carryOut(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case backend.Start:
+		case backend.StartRun:
 			h.start(e)
 		case backend.StopRun:
 			h.stopRun(e.Attempt)
--- a/proof/lab/host_engines.go
+++ b/proof/lab/host_engines.go
@@ -13,7 +13,7 @@
 // serviceTime is how long a plain service takes.
 const serviceTime = 200 * time.Millisecond
 
-func (h *Host) start(e backend.Start) {
+func (h *Host) start(e backend.StartRun) {
 	h.Starts[e.Attempt]++
 	s := h.streams[e.Attempt]
 	epoch := h.epoch
@@ -41,7 +41,7 @@
 
 // addStream puts an attempt onto its engine, or onto all engines of its group:
 // those talk to each other without the daemons.
-func (h *Host) addStream(e backend.Start, s *stream) error {
+func (h *Host) addStream(e backend.StartRun, s *stream) error {
 	r := s.submitted.request
 	whole := engine.Stream{ID: string(e.Attempt), Prompt: r.PromptTokens, Answer: r.AnswerTokens, Priority: e.Priority, Prefix: r.Prefix}
 	if len(e.Group) == 0 {
