--- a/core/backend/effects.go
+++ b/core/backend/effects.go
@@ -26,8 +26,8 @@
 	}
 	// StopRun ends a run that is under way; Finish reports its outcome.
 	StopRun struct{ Attempt execution.AttemptID }
-	// Ended closes an attempt's answer.
-	Ended struct {
+	// CloseStream closes an attempt's answer.
+	CloseStream struct {
 		Attempt execution.AttemptID
 		Outcome execution.Outcome
 		Refusal execution.Refusal
@@ -58,7 +58,7 @@
 
 func (StartRun) effect()     {}
 func (StopRun) effect()      {}
-func (Ended) effect()        {}
+func (CloseStream) effect()  {}
 func (Pause) effect()        {}
 func (Resume) effect()       {}
 func (SetPriority) effect()  {}
--- a/core/backend/end_test.go
+++ b/core/backend/end_test.go
@@ -34,7 +34,7 @@
 	refused, stopped := map[execution.AttemptID]bool{}, map[execution.AttemptID]bool{}
 	for _, effect := range core.End(now) {
 		switch e := effect.(type) {
-		case backend.Ended:
+		case backend.CloseStream:
 			require.Equal(t, execution.NotRun, e.Outcome)
 			require.Equal(t, execution.CodeDraining, e.Refusal.Code)
 			refused[e.Attempt] = true
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -91,7 +91,7 @@
 	c.scheduler.Remove(now, id)
 	c.leases.Release(now, string(id))
 	c.limits.Closed(w.offer.Workspace)
-	return append(c.endGroup(now, w), Ended{Attempt: id, Outcome: outcome, Refusal: refusal})
+	return append(c.endGroup(now, w), CloseStream{Attempt: id, Outcome: outcome, Refusal: refusal})
 }
 
 // Cancel ends an attempt at the entry's wish.
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -25,7 +25,7 @@
 			s.start(e)
 		case backend.StopRun:
 			s.stopRun(e.Attempt)
-		case backend.Ended:
+		case backend.CloseStream:
 			s.ended(e)
 		case backend.Pause:
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error { return c.Pause(ctx, string(e.Attempt)) })
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -170,7 +170,7 @@
 
 // ended closes an attempt's answer. Its frames stay for as long as the stream
 // may be resumed.
-func (s *Server) ended(e backend.Ended) {
+func (s *Server) ended(e backend.CloseStream) {
 	if e.Outcome == execution.Finished {
 		s.counters.finished.Inc(1)
 	} else {
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -196,7 +196,7 @@
 			h.start(e)
 		case backend.StopRun:
 			h.stopRun(e.Attempt)
-		case backend.Ended:
+		case backend.CloseStream:
 			h.ended(e)
 		case backend.Pause:
 			h.Engines[e.Engine].Model.SetPaused(string(e.Attempt), true)
@@ -215,7 +215,7 @@
 	}
 }
 
-func (h *Host) ended(e backend.Ended) {
+func (h *Host) ended(e backend.CloseStream) {
 	s := h.streams[e.Attempt]
 	if s == nil {
 		return
