--- a/core/backend/effects.go
+++ b/core/backend/effects.go
@@ -38,8 +38,8 @@
 	Resume scheduling.Resume
 	// SetPriority changes a running stream's priority; lower goes first.
 	SetPriority scheduling.SetPriority
-	// AskPart asks a member of a group for its part; Part answers.
-	AskPart struct {
+	// RequestPart asks a member of a group for its part; Part answers.
+	RequestPart struct {
 		Group       string
 		Reservation string
 		Part        memory.Part
@@ -62,7 +62,7 @@
 func (Pause) effect()        {}
 func (Resume) effect()       {}
 func (SetPriority) effect()  {}
-func (AskPart) effect()      {}
+func (RequestPart) effect()  {}
 func (GiveBackPart) effect() {}
 func (CancelOrphan) effect() {}
 func (LeaseExpired) effect() {}
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -159,7 +159,7 @@
 }
 
 // PartAnswered takes in a member's answer to AskPart; a lost one is a refusal.
-func (c *Core) PartAnswered(now time.Time, ask AskPart, granted bool) []Effect {
+func (c *Core) PartAnswered(now time.Time, ask RequestPart, granted bool) []Effect {
 	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.Answered(ask.Reservation, ask.Part, granted))
 }
 
@@ -168,7 +168,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case memory.Ask:
-			effects = append(effects, AskPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
+			effects = append(effects, RequestPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
 		case memory.GiveBack:
 			effects = append(effects, GiveBackPart(a))
 		case memory.GroupReady:
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -35,7 +35,7 @@
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error {
 				return c.SetPriority(ctx, string(e.Attempt), e.Priority)
 			})
-		case backend.AskPart:
+		case backend.RequestPart:
 			go s.askPart(e)
 		case backend.GiveBackPart:
 			go s.giveBackPart(e)
@@ -75,7 +75,7 @@
 	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Why: why, Source: "host"})
 }
 
-func (s *Server) askPart(ask backend.AskPart) {
+func (s *Server) askPart(ask backend.RequestPart) {
 	granted := s.reservePart(ask)
 	s.mu.Lock()
 	effects := s.core.PartAnswered(time.Now(), ask, granted)
@@ -83,7 +83,7 @@
 	s.carryOut(effects)
 }
 
-func (s *Server) reservePart(ask backend.AskPart) bool {
+func (s *Server) reservePart(ask backend.RequestPart) bool {
 	if ask.Part.Server == s.Name() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -207,7 +207,7 @@
 			h.Engines[e.Engine].Model.SetPriority(string(e.Attempt), e.Priority)
 		case backend.CancelOrphan:
 			h.Engines[e.Stream.Engine].Model.Remove(e.Stream.ID)
-		case backend.AskPart:
+		case backend.RequestPart:
 			h.askPart(e)
 		case backend.GiveBackPart:
 			h.giveBackPart(e)
@@ -244,7 +244,7 @@
 	return outcome
 }
 
-func (h *Host) askPart(ask backend.AskPart) {
+func (h *Host) askPart(ask backend.RequestPart) {
 	member := h.lab.Host(ask.Part.Server)
 	epoch := h.epoch
 	h.lab.call("reserve", h.Name, member.Name, 2*time.Second, func() any {
