--- a/core/backend/effects.go
+++ b/core/backend/effects.go
@@ -45,8 +45,8 @@
 		Part        memory.Part
 		Expires     time.Time
 	}
-	// GiveBackPart releases a member's part.
-	GiveBackPart struct {
+	// ReleasePart releases a member's part.
+	ReleasePart struct {
 		Reservation string
 		Part        memory.Part
 	}
@@ -63,6 +63,6 @@
 func (Resume) effect()       {}
 func (SetPriority) effect()  {}
 func (RequestPart) effect()  {}
-func (GiveBackPart) effect() {}
+func (ReleasePart) effect()  {}
 func (CancelOrphan) effect() {}
 func (LeaseExpired) effect() {}
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -170,7 +170,7 @@
 		case memory.Ask:
 			effects = append(effects, RequestPart{Group: group, Reservation: a.Reservation, Part: a.Part, Expires: a.Expires})
 		case memory.GiveBack:
-			effects = append(effects, GiveBackPart(a))
+			effects = append(effects, ReleasePart(a))
 		case memory.GroupReady:
 			effects = append(effects, c.startGroup(a.Reservation)...)
 		case memory.GroupRefused:
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -37,7 +37,7 @@
 			})
 		case backend.RequestPart:
 			go s.askPart(e)
-		case backend.GiveBackPart:
+		case backend.ReleasePart:
 			go s.giveBackPart(e)
 		case backend.CancelOrphan:
 			s.cancelOrphan(e)
@@ -102,7 +102,7 @@
 
 // giveBackPart releases a part. A release that is lost is made good by the end
 // of the part's lease.
-func (s *Server) giveBackPart(e backend.GiveBackPart) {
+func (s *Server) giveBackPart(e backend.ReleasePart) {
 	if e.Part.Server == s.Name() {
 		s.mu.Lock()
 		effects := s.core.ReleasePart(time.Now(), e.Reservation)
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -209,7 +209,7 @@
 			h.Engines[e.Stream.Engine].Model.Remove(e.Stream.ID)
 		case backend.RequestPart:
 			h.askPart(e)
-		case backend.GiveBackPart:
+		case backend.ReleasePart:
 			h.giveBackPart(e)
 		}
 	}
@@ -256,7 +256,7 @@
 	})
 }
 
-func (h *Host) giveBackPart(e backend.GiveBackPart) {
+func (h *Host) giveBackPart(e backend.ReleasePart) {
 	member := h.lab.Host(e.Part.Server)
 	h.lab.send(Message{"release", h.Name, member.Name}, func() { member.carryOut(member.Core.ReleasePart(h.lab.Now, e.Reservation)) }, nil)
 }
