--- a/core/backend/end_test.go
+++ b/core/backend/end_test.go
@@ -32,7 +32,7 @@
 	require.Less(t, len(started), opened, "some wait")
 	core.Drain()
 	refused, stopped := map[execution.AttemptID]bool{}, map[execution.AttemptID]bool{}
-	for _, effect := range core.End(now) {
+	for _, effect := range core.Shutdown(now) {
 		switch e := effect.(type) {
 		case backend.CloseStream:
 			require.Equal(t, execution.NotRun, e.Outcome)
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -107,9 +107,9 @@
 	return result.Outcome, append(effects, c.schedule(now)...)
 }
 
-// End ends all attempts because the daemon ends. What has not started is refused as not run, so that its
+// Shutdown ends all attempts because the daemon ends. What has not started is refused as not run, so that its
 // entry can try another server at once; runs under way are stopped.
-func (c *Core) End(now time.Time) []Effect {
+func (c *Core) Shutdown(now time.Time) []Effect {
 	var effects, stops []Effect
 	for _, id := range slices.Sorted(maps.Keys(c.work)) {
 		if c.Running(id) {
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -62,7 +62,7 @@
 		return nil
 	}
 	s.mu.Lock()
-	effects := s.core.End(time.Now())
+	effects := s.core.Shutdown(time.Now())
 	s.mu.Unlock()
 	s.carryOut(effects)
 	return nil
