--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -217,5 +217,5 @@
 	c.orders.Settled(now, engine, result, retryAfter)
 }
 
-// Awoke drops what was believed before the process was paused.
-func (c *Core) Awoke(now time.Time) { c.orders.Expire(now) }
+// ExpireAfterPause drops what was believed before the process was paused.
+func (c *Core) ExpireAfterPause(now time.Time) { c.orders.Expire(now) }
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	gap := s.pause.Tick(now.Round(0))
 	if gap > 0 {
-		s.core.Awoke(now)
+		s.core.ExpireAfterPause(now)
 	}
 	effects := s.core.Tick(now)
 	s.mu.Unlock()
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -136,7 +136,7 @@
 
 func (h *Host) tickOnce() {
 	if h.pause.Tick(h.lab.Now) > 0 {
-		h.Core.Awoke(h.lab.Now)
+		h.Core.ExpireAfterPause(h.lab.Now)
 	}
 	h.carryOut(h.Core.Tick(h.lab.Now))
 }
