--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// HoldPart books a part of a group reservation on an engine of this server.
-func (c *Core) HoldPart(now time.Time, reservation string, part memory.Part, expires time.Time) error {
+// ReservePart books a part of a group reservation on an engine of this server.
+func (c *Core) ReservePart(now time.Time, reservation string, part memory.Part, expires time.Time) error {
 	if err := c.scheduler.Hold(now, part.Engine, reservation, part.Tokens); err != nil {
 		return err
 	}
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -87,7 +87,7 @@
 	if ask.Part.Server == s.Name() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.core.HoldPart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
+		return s.core.ReservePart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
--- a/host/server/offer.go
+++ b/host/server/offer.go
@@ -81,7 +81,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.core.HoldPart(time.Now(), m.Reservation, memory.Part{Engine: m.Engine, Tokens: m.Tokens}, time.UnixMilli(m.ExpiresUnixMs))
+	err := s.core.ReservePart(time.Now(), m.Reservation, memory.Part{Engine: m.Engine, Tokens: m.Tokens}, time.UnixMilli(m.ExpiresUnixMs))
 	reply.Granted = err == nil
 	if err != nil {
 		reply.Code = string(execution.CodeQueueFull)
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -248,7 +248,7 @@
 	member := h.lab.Host(ask.Part.Server)
 	epoch := h.epoch
 	h.lab.call("reserve", h.Name, member.Name, 2*time.Second, func() any {
-		return member.Core.HoldPart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
+		return member.Core.ReservePart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
 	}, func(reply any, ok bool) {
 		if epoch == h.epoch {
 			h.carryOut(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
