--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -158,8 +158,8 @@
 	return false
 }
 
-// PartAnswered takes in a member's answer to AskPart; a lost one is a refusal.
-func (c *Core) PartAnswered(now time.Time, ask RequestPart, granted bool) []Effect {
+// PartReplied takes in a member's answer to AskPart; a lost one is a refusal.
+func (c *Core) PartReplied(now time.Time, ask RequestPart, granted bool) []Effect {
 	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.Answered(ask.Reservation, ask.Part, granted))
 }
 
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -78,7 +78,7 @@
 func (s *Server) askPart(ask backend.RequestPart) {
 	granted := s.reservePart(ask)
 	s.mu.Lock()
-	effects := s.core.PartAnswered(time.Now(), ask, granted)
+	effects := s.core.PartReplied(time.Now(), ask, granted)
 	s.mu.Unlock()
 	s.carryOut(effects)
 }
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -251,7 +251,7 @@
 		return member.Core.ReservePart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
 	}, func(reply any, ok bool) {
 		if epoch == h.epoch {
-			h.carryOut(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
+			h.carryOut(h.Core.PartReplied(h.lab.Now, ask, ok && reply.(bool)))
 		}
 	})
 }
