--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -95,7 +95,7 @@
 	c.orders.Configure(now, snapshot.Revision, orderSpecs(own, snapshot), fleetEngines(snapshot))
 	for name, group := range snapshot.Groups {
 		if group.Lead == c.options.Server && c.groups[name] == nil {
-			c.groups[name] = &groupQueue{reservations: memory.NewGroup(GroupLease)}
+			c.groups[name] = &groupQueue{reservations: memory.NewGroup(GroupLeaseDuration)}
 		}
 	}
 	return c.homes.Adopt(now, snapshot)
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -12,8 +12,8 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// GroupLease is how long a part of a group reservation lives unless renewed.
-const GroupLease = 6 * time.Second
+// GroupLeaseDuration is how long a part of a group reservation lives unless renewed.
+const GroupLeaseDuration = 6 * time.Second
 
 // GroupParts returns the engines of a group with their sizes.
 func GroupParts(snapshot *config.Snapshot, group config.Group) []memory.Part {
