--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -97,8 +97,8 @@
 	return c.view.Failed(now, server)
 }
 
-// Awoke drops what was believed before the process was paused.
-func (c *Core) Awoke(now time.Time) []membership.Change {
+// ExpireAfterPause drops what was believed before the process was paused.
+func (c *Core) ExpireAfterPause(now time.Time) []membership.Change {
 	c.picker.Expire()
 	return c.view.Expire(now)
 }
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -70,7 +70,7 @@
 	gap := s.pause.Tick(now.Round(0))
 	var changes []membership.Change
 	if gap > 0 {
-		changes = s.core.Awoke(now)
+		changes = s.core.ExpireAfterPause(now)
 	}
 	s.mu.Unlock()
 	if gap == 0 {
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -146,7 +146,7 @@
 
 func (e *Entry) lookForPause() {
 	if e.pause.Tick(e.lab.Now) > 0 {
-		e.Core.Awoke(e.lab.Now)
+		e.Core.ExpireAfterPause(e.lab.Now)
 	}
 }
 
