--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -139,9 +139,9 @@
 	c.picker.Observe(pool, server, report)
 }
 
-// Answer is what a reply to an offer tells besides the verdict's meaning for the
+// OfferReply is what a reply to an offer tells besides the verdict's meaning for the
 // request.
-type Answer struct {
+type OfferReply struct {
 	Verdict execution.Verdict
 	Refusal *execution.Refusal
 	// Report is nil if the reply held no load.
@@ -154,7 +154,7 @@
 
 // Offered takes in a reply to an offer. A full server gets a slower pace; its
 // health is not doubted for it.
-func (c *Core) Offered(now time.Time, q routing.Query, workspace, server string, answer Answer) {
+func (c *Core) Offered(now time.Time, q routing.Query, workspace, server string, answer OfferReply) {
 	if answer.DemandKnown {
 		c.shares.Hint(now, workspace, answer.DemandShare)
 	}
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -182,7 +182,7 @@
 	s.heard(reply.Envelope)
 	now := time.Now()
 	result := wire.ToResult(reply)
-	answer := frontend.Answer{Verdict: result.Verdict, Refusal: result.Refusal, DemandShare: reply.DemandShare, DemandKnown: reply.DemandKnown}
+	answer := frontend.OfferReply{Verdict: result.Verdict, Refusal: result.Refusal, DemandShare: reply.DemandShare, DemandKnown: reply.DemandKnown}
 	if reply.Load != nil {
 		report := wire.ToReport(now, reply.Load, s.Store.Current().ClassRank)
 		answer.Report = &report
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -316,7 +316,7 @@
 			return
 		}
 		r := reply.(backend.Reply)
-		answer := frontend.Answer{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
+		answer := frontend.OfferReply{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
 		if !e.lab.FreezeReports {
 			report := e.report(r.Load)
 			answer.Report = &report
