--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -54,7 +54,7 @@
 				_, target, _ := core.Pick(now, q)
 				core.Sent(now, q, target.Server)
 				report := routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}}
-				core.Offered(now, q, "w", target.Server, OfferReply{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
+				core.HandleOfferReply(now, q, "w", target.Server, OfferReply{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
 				core.Ended(q, target.Server)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(servers), "bytes/server")
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -152,9 +152,9 @@
 	DemandKnown bool
 }
 
-// Offered takes in a reply to an offer. A full server gets a slower pace; its
+// HandleOfferReply takes in a reply to an offer. A full server gets a slower pace; its
 // health is not doubted for it.
-func (c *Core) Offered(now time.Time, q routing.Query, workspace, server string, answer OfferReply) {
+func (c *Core) HandleOfferReply(now time.Time, q routing.Query, workspace, server string, answer OfferReply) {
 	if answer.DemandKnown {
 		c.shares.Hint(now, workspace, answer.DemandShare)
 	}
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -189,7 +189,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Offered(now, t.query, t.offer.Workspace, server, answer)
+	s.core.HandleOfferReply(now, t.query, t.offer.Workspace, server, answer)
 }
 
 // observeFrame takes in what a frame tells besides its payload.
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -322,7 +322,7 @@
 			answer.Report = &report
 		}
 		e.Core.Heard(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
-		e.Core.Offered(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
+		e.Core.HandleOfferReply(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
 		e.feed(s, execution.OfferAnswered{Attempt: a.Attempt, Result: r.OfferResult})
 	})
 }
