--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -113,8 +113,8 @@
 	return c.shares.Admit(now, workspace, quota, promptTokens)
 }
 
-// Began counts a request's first attempt in the retry budget.
-func (c *Core) Began() { c.budget.FirstAttempt() }
+// CountRequest counts a request's first attempt in the retry budget.
+func (c *Core) CountRequest() { c.budget.FirstAttempt() }
 
 // TakeRetry takes a token of the retry budget.
 func (c *Core) TakeRetry(now time.Time) bool { return c.budget.Take(now) }
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -69,7 +69,7 @@
 	deadline := time.NewTimer(time.Until(t.options.Deadline))
 	defer deadline.Stop()
 	s.mu.Lock()
-	s.core.Began()
+	s.core.CountRequest()
 	s.mu.Unlock()
 	event := execution.Event(execution.Begun{})
 	gone, ending := ctx.Done(), s.Manager().Ending().Done()
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -240,7 +240,7 @@
 		return s
 	}
 	e.open[s] = true
-	e.Core.Began()
+	e.Core.CountRequest()
 	l.After(request.Deadline, func() { e.reach(func() { e.feed(s, execution.DeadlinePassed{}) }) })
 	e.feed(s, execution.Begun{})
 	return s
