--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -232,5 +232,5 @@
 // Loads lists what is believed of every server's load.
 func (c *Core) Loads(now time.Time) []routing.ServerLoad { return c.picker.Loads(now) }
 
-// Uses lists how the workspaces' quotas are used here.
-func (c *Core) Uses(now time.Time) []admission.Use { return c.shares.Uses(now) }
+// QuotaUsage lists how the workspaces' quotas are used here.
+func (c *Core) QuotaUsage(now time.Time) []admission.Use { return c.shares.Uses(now) }
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -89,7 +89,7 @@
 func (s *Server) limitStatus() []admission.Use {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Uses(time.Now())
+	return s.core.QuotaUsage(time.Now())
 }
 
 func (s *Server) hallStatus() []HallStatus {
