--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -191,8 +191,8 @@
 	return probes
 }
 
-// Probing notes that a probe is under way.
-func (c *Core) Probing(now time.Time, server string) { c.view.Probing(now, server) }
+// ProbeStarted notes that a probe is under way.
+func (c *Core) ProbeStarted(now time.Time, server string) { c.view.Probing(now, server) }
 
 func (c *Core) randomLive() []string {
 	var live []string
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -90,7 +90,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.core.Probing(now, probe.Server)
+		s.core.ProbeStarted(now, probe.Server)
 		s.mu.Unlock()
 		go func() {
 			defer probes.Release(1)
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -181,7 +181,7 @@
 }
 
 func (e *Entry) probe(p frontend.Probe) {
-	e.Core.Probing(e.lab.Now, p.Server)
+	e.Core.ProbeStarted(e.lab.Now, p.Server)
 	h := e.lab.Host(p.Server)
 	e.lab.call("probe", e.Name, h.Name, probeTimeout, func() any {
 		return probeReply{h.Core.Incarnation(), h.Core.Draining(), h.Core.Load(e.lab.Now, p.Hall)}
