--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -216,8 +216,8 @@
 	return halls[c.random.IntN(len(halls))]
 }
 
-// AnyLive says whether any server may be offered work.
-func (c *Core) AnyLive() bool {
+// HasLiveServer says whether any server may be offered work.
+func (c *Core) HasLiveServer() bool {
 	for _, member := range c.view.Members() {
 		if member.State == membership.Live {
 			return true
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -56,7 +56,7 @@
 		return
 	}
 	s.mu.Lock()
-	live := s.core.AnyLive()
+	live := s.core.HasLiveServer()
 	s.mu.Unlock()
 	if live && s.met.Load() || now.Sub(configured) > firstRound {
 		s.Manager().Serve()
