--- a/core/config/check.go
+++ b/core/config/check.go
@@ -53,7 +53,7 @@
 }
 
 // Find returns the place of a path or of its nearest parent that was written.
-func (p Provenance) Find(path string) Place {
+func (p Provenance) Find(path string) Position {
 	for path != "" {
 		if setting, ok := p[path]; ok {
 			return setting.Place
@@ -64,7 +64,7 @@
 		}
 		path = path[:cut]
 	}
-	return Place{File: "(folder)", Line: 0}
+	return Position{File: "(folder)", Line: 0}
 }
 
 func (c *checker) fields() {
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -49,7 +49,7 @@
 		}},
 		{"the last of several wins", []string{"workspaces: {w: {weight: 3}}", "workspaces: {w: {weight: 5}}"}, func(t *testing.T, s *Snapshot) {
 			require.Equal(t, 5.0, s.Workspaces["w"].Weight)
-			require.Equal(t, Setting{Place{"11.yaml", 1}, "5"}, s.source["workspaces.w.weight"])
+			require.Equal(t, Setting{Position{"11.yaml", 1}, "5"}, s.source["workspaces.w.weight"])
 		}},
 		{"a list is replaced whole", []string{"services: {orders: {servers: [a, b]}}"}, func(t *testing.T, s *Snapshot) {
 			require.Equal(t, []string{"a", "b"}, s.Services["orders"].Servers)
@@ -156,7 +156,7 @@
 
 // The YAML library panics on a file. The folder is refused, the daemon lives on.
 func TestGuardTurnsAPanicIntoARefusal(t *testing.T) {
-	err := guard(Place{"bad.yaml", 1}, func() error { panic("index out of range") })
+	err := guard(Position{"bad.yaml", 1}, func() error { panic("index out of range") })
 	require.ErrorContains(t, err, "bad.yaml:1: not usable as YAML: index out of range")
 }
 
--- a/core/config/decode.go
+++ b/core/config/decode.go
@@ -80,7 +80,7 @@
 	if errors.As(err, &detailed) {
 		return refuse(m.tokenPlace(detailed.GetToken()), "%s", detailed.GetMessage())
 	}
-	return refuse(Place{}, "%s", shortError(err))
+	return refuse(Position{}, "%s", shortError(err))
 }
 
 // wantedText describes a type to an operator.
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -82,7 +82,7 @@
 type Explanation struct {
 	Path  string
 	Value string
-	Place Place
+	Place Position
 	// Default is set when no file says so.
 	Default bool
 }
@@ -175,7 +175,7 @@
 
 // String gives the value with its place.
 func (s Setting) String() string {
-	if s.Place == (Place{}) {
+	if s.Place == (Position{}) {
 		return ""
 	}
 	if s.Value == "" {
--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -20,17 +20,17 @@
 	Content []byte
 }
 
-// Place is where a value was written.
-type Place struct {
+// Position is where a value was written.
+type Position struct {
 	File string
 	Line int
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
 // Setting is one value as it was written.
 type Setting struct {
-	Place Place
+	Place Position
 	// Value is the text of a scalar or list; empty for a mapping.
 	Value string
 }
@@ -41,7 +41,7 @@
 
 // Problem is one reason to refuse a folder.
 type Problem struct {
-	Place  Place
+	Place  Position
 	Detail string
 }
 
@@ -58,7 +58,7 @@
 	return "configuration refused: " + strings.Join(lines, "; ")
 }
 
-func refuse(place Place, format string, args ...any) *RefusedError {
+func refuse(place Position, format string, args ...any) *RefusedError {
 	return &RefusedError{Problems: []Problem{{Place: place, Detail: fmt.Sprintf(format, args...)}}}
 }
 
@@ -84,12 +84,12 @@
 func Load(revision uint64, files []File) (*Snapshot, error) {
 	m := &merger{places: Provenance{}, owner: map[*token.Token]string{}, index: map[*ast.MappingNode]map[string]int{}}
 	for _, file := range sorted(files) {
-		if err := guard(Place{file.Name, 1}, func() error { return m.add(file) }); err != nil {
+		if err := guard(Position{file.Name, 1}, func() error { return m.add(file) }); err != nil {
 			return nil, err
 		}
 	}
 	var snapshot *Snapshot
-	err := guard(Place{}, func() (err error) {
+	err := guard(Position{}, func() (err error) {
 		snapshot, err = m.decode()
 		return err
 	})
@@ -108,7 +108,7 @@
 
 // guard turns a panic of the YAML library into a refusal. Every daemon reads the
 // same folder: without it, one malformed file would end the whole fleet at once.
-func guard(place Place, read func() error) (err error) {
+func guard(place Position, read func() error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = refuse(place, "not usable as YAML: %v", cause)
@@ -134,10 +134,10 @@
 	}
 	parsed, err := parser.ParseBytes(file.Content, 0)
 	if err != nil {
-		return refuse(Place{file.Name, errorLine(err)}, "not valid YAML: %s", shortError(err))
+		return refuse(Position{file.Name, errorLine(err)}, "not valid YAML: %s", shortError(err))
 	}
 	if len(parsed.Docs) > 1 {
-		return refuse(Place{file.Name, secondDocument(parsed.Docs[1])}, "one document a file: put the second one into its own file")
+		return refuse(Position{file.Name, secondDocument(parsed.Docs[1])}, "one document a file: put the second one into its own file")
 	}
 	m.own(file.Name, parsed)
 	for _, doc := range parsed.Docs {
@@ -189,13 +189,13 @@
 	return v
 }
 
-func (m *merger) place(node ast.Node) Place { return m.tokenPlace(node.GetToken()) }
+func (m *merger) place(node ast.Node) Position { return m.tokenPlace(node.GetToken()) }
 
-func (m *merger) tokenPlace(t *token.Token) Place {
+func (m *merger) tokenPlace(t *token.Token) Position {
 	if t == nil {
-		return Place{}
+		return Position{}
 	}
-	return Place{m.owner[t], t.Position.Line}
+	return Position{m.owner[t], t.Position.Line}
 }
 
 func asMapping(node ast.Node) (*ast.MappingNode, bool) {
