--- a/core/config/check.go
+++ b/core/config/check.go
@@ -56,7 +56,7 @@
 func (p Provenance) Find(path string) Position {
 	for path != "" {
 		if setting, ok := p[path]; ok {
-			return setting.Place
+			return setting.Position
 		}
 		cut := strings.LastIndexByte(path, '.')
 		if cut < 0 {
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -105,7 +105,7 @@
 	paths := s.explainPaths(workspace, kind, class, k.Hall)
 	for i := range paths {
 		setting, written := s.source[paths[i].Path]
-		paths[i].Place, paths[i].Default = setting.Place, !written
+		paths[i].Place, paths[i].Default = setting.Position, !written
 	}
 	return paths, nil
 }
@@ -175,13 +175,13 @@
 
 // String gives the value with its place.
 func (s Setting) String() string {
-	if s.Place == (Position{}) {
+	if s.Position == (Position{}) {
 		return ""
 	}
 	if s.Value == "" {
-		return "(" + s.Place.String() + ")"
+		return "(" + s.Position.String() + ")"
 	}
-	return s.Value + " (" + s.Place.String() + ")"
+	return s.Value + " (" + s.Position.String() + ")"
 }
 
 // Peers lists the daemons that the snapshot names, other than self, by name, and
--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -30,7 +30,7 @@
 
 // Setting is one value as it was written.
 type Setting struct {
-	Place Position
+	Position Position
 	// Value is the text of a scalar or list; empty for a mapping.
 	Value string
 }
@@ -257,7 +257,7 @@
 		m.put(into, key, value)
 		return nil
 	}
-	m.places[path] = Setting{Place: m.place(value.Key)}
+	m.places[path] = Setting{Position: m.place(value.Key)}
 	target := &ast.MappingNode{BaseNode: &ast.BaseNode{}, Start: mapping.Start}
 	if exists {
 		if old, ok := asMapping(into.Values[at].Value); ok {
