--- a/core/config/check.go
+++ b/core/config/check.go
@@ -41,14 +41,14 @@
 	c.workspaces()
 	c.entries()
 	slices.SortStableFunc(c.problems, func(a, b Problem) int {
-		return cmp.Or(strings.Compare(a.Place.File, b.Place.File), a.Place.Line-b.Place.Line,
+		return cmp.Or(strings.Compare(a.Position.File, b.Position.File), a.Position.Line-b.Position.Line,
 			strings.Compare(a.Detail, b.Detail))
 	})
 	return c.problems
 }
 
 func (c *checker) add(path, format string, args ...any) {
-	problem := Problem{Place: c.snapshot.source.Find(path), Detail: path + ": " + fmt.Sprintf(format, args...)}
+	problem := Problem{Position: c.snapshot.source.Find(path), Detail: path + ": " + fmt.Sprintf(format, args...)}
 	c.problems = append(c.problems, problem)
 }
 
--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -41,11 +41,11 @@
 
 // Problem is one reason to refuse a folder.
 type Problem struct {
-	Place  Position
-	Detail string
+	Position Position
+	Detail   string
 }
 
-func (p Problem) String() string { return p.Place.String() + ": " + p.Detail }
+func (p Problem) String() string { return p.Position.String() + ": " + p.Detail }
 
 // RefusedError says why a folder was refused as a whole.
 type RefusedError struct{ Problems []Problem }
@@ -59,7 +59,7 @@
 }
 
 func refuse(place Position, format string, args ...any) *RefusedError {
-	return &RefusedError{Problems: []Problem{{Place: place, Detail: fmt.Sprintf(format, args...)}}}
+	return &RefusedError{Problems: []Problem{{Position: place, Detail: fmt.Sprintf(format, args...)}}}
 }
 
 // Digest identifies the content of a folder: names and contents in name order.
