--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -132,7 +132,7 @@
 func printRows(out io.Writer, rows []config.Explanation) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
-		from := row.Place.String()
+		from := row.Position.String()
 		if row.Default {
 			from = "default"
 		}
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -167,7 +167,7 @@
 	require.NoError(t, err)
 	for _, row := range rows {
 		if row.Path == "workspaces.w.weight" {
-			require.Equal(t, "10.yaml:3", row.Place.String())
+			require.Equal(t, "10.yaml:3", row.Position.String())
 		}
 	}
 	_, err = s.Explain("nobody", "gloss", 100)
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -80,9 +80,9 @@
 
 // Explanation is one setting in force and the place that set it.
 type Explanation struct {
-	Path  string
-	Value string
-	Place Position
+	Path     string
+	Value    string
+	Position Position
 	// Default is set when no file says so.
 	Default bool
 }
@@ -105,7 +105,7 @@
 	paths := s.explainPaths(workspace, kind, class, k.Hall)
 	for i := range paths {
 		setting, written := s.source[paths[i].Path]
-		paths[i].Place, paths[i].Default = setting.Position, !written
+		paths[i].Position, paths[i].Default = setting.Position, !written
 	}
 	return paths, nil
 }
