--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	snapshot, err := config.Load(1, files)
-	var refused *config.RefusedError
+	var refused *config.InvalidError
 	if errors.As(err, &refused) {
 		for _, problem := range refused.Problems {
 			fmt.Fprintln(os.Stderr, problem)
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -113,7 +113,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Load(1, folder(c.text))
-			var refused *RefusedError
+			var refused *InvalidError
 			require.ErrorAs(t, err, &refused)
 			require.Contains(t, err.Error(), c.want)
 		})
--- a/core/config/decode.go
+++ b/core/config/decode.go
@@ -23,7 +23,7 @@
 	}
 	unknown := m.unknownKeys(m.root, reflect.TypeFor[Snapshot](), "")
 	if len(unknown) > 0 {
-		return nil, &RefusedError{Problems: unknown}
+		return nil, &InvalidError{Problems: unknown}
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(nil))
 	if err := decoder.DecodeFromNode(m.root, snapshot); err != nil {
--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -47,10 +47,10 @@
 
 func (p Problem) String() string { return p.Position.String() + ": " + p.Detail }
 
-// RefusedError says why a folder was refused as a whole.
-type RefusedError struct{ Problems []Problem }
+// InvalidError says why a folder was refused as a whole.
+type InvalidError struct{ Problems []Problem }
 
-func (e *RefusedError) Error() string {
+func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, problem := range e.Problems {
 		lines[i] = problem.String()
@@ -58,8 +58,8 @@
 	return "configuration refused: " + strings.Join(lines, "; ")
 }
 
-func refuse(place Position, format string, args ...any) *RefusedError {
-	return &RefusedError{Problems: []Problem{{Position: place, Detail: fmt.Sprintf(format, args...)}}}
+func refuse(place Position, format string, args ...any) *InvalidError {
+	return &InvalidError{Problems: []Problem{{Position: place, Detail: fmt.Sprintf(format, args...)}}}
 }
 
 // Digest identifies the content of a folder: names and contents in name order.
@@ -101,7 +101,7 @@
 	snapshot.source = m.places
 	snapshot.applyDefaults()
 	if problems := snapshot.check(); len(problems) > 0 {
-		return nil, &RefusedError{Problems: problems}
+		return nil, &InvalidError{Problems: problems}
 	}
 	return snapshot, nil
 }
