--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -147,7 +147,7 @@
 	require.Equal(t, NotNewer, store.Offer(4, folder("workspaces: {w: {weight: 9}}")).Verdict)
 	require.Equal(t, Conflicting, store.Offer(5, folder("workspaces: {w: {weight: 9}}")).Verdict)
 	refused := store.Offer(6, folder("workspaces: {w: {weight: -9}}"))
-	require.Equal(t, RefusedWhole, refused.Verdict)
+	require.Equal(t, Rejected, refused.Verdict)
 	require.Error(t, refused.Err)
 	require.Equal(t, uint64(5), store.Revision())
 	require.Equal(t, DefaultWeight, store.Current().Workspaces["w"].Weight)
--- a/core/config/store.go
+++ b/core/config/store.go
@@ -14,13 +14,13 @@
 	Adopted Verdict = iota + 1
 	// NotNewer: its revision is not above the one in force.
 	NotNewer
-	// RefusedWhole: it is not valid; the one in force stays.
-	RefusedWhole
+	// Rejected: it is not valid; the one in force stays.
+	Rejected
 	// Conflicting: it has the revision in force with another content.
 	Conflicting
 )
 
-var verdictNames = map[Verdict]string{Adopted: "adopted", NotNewer: "not newer", RefusedWhole: "refused", Conflicting: "conflicting"}
+var verdictNames = map[Verdict]string{Adopted: "adopted", NotNewer: "not newer", Rejected: "refused", Conflicting: "conflicting"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
@@ -98,12 +98,12 @@
 	}
 	digest := Digest(files)
 	if s.refused.revision == revision && s.refused.digest == digest {
-		return Adoption{Verdict: RefusedWhole, Previous: previous, Err: s.refused.err}
+		return Adoption{Verdict: Rejected, Previous: previous, Err: s.refused.err}
 	}
 	snapshot, err := Load(revision, files)
 	if err != nil {
 		s.refused = refusedSnapshot{revision, digest, err}
-		return Adoption{Verdict: RefusedWhole, Previous: previous, Err: err}
+		return Adoption{Verdict: Rejected, Previous: previous, Err: err}
 	}
 	s.current.Store(&held{snapshot, files})
 	return Adoption{Verdict: Adopted, Previous: previous, Snapshot: snapshot}
