--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -142,7 +142,7 @@
 // refused whole and the last good one stays.
 func TestStoreNeverGoesBack(t *testing.T) {
 	store := &Store{}
-	require.Equal(t, Adopted, store.Offer(5, folder()).Verdict)
+	require.Equal(t, Applied, store.Offer(5, folder()).Verdict)
 	require.Equal(t, NotNewer, store.Offer(5, folder()).Verdict)
 	require.Equal(t, NotNewer, store.Offer(4, folder("workspaces: {w: {weight: 9}}")).Verdict)
 	require.Equal(t, Conflicting, store.Offer(5, folder("workspaces: {w: {weight: 9}}")).Verdict)
@@ -151,7 +151,7 @@
 	require.Error(t, refused.Err)
 	require.Equal(t, uint64(5), store.Revision())
 	require.Equal(t, DefaultWeight, store.Current().Workspaces["w"].Weight)
-	require.Equal(t, Adopted, store.Offer(7, folder("workspaces: {w: {weight: 9}}")).Verdict)
+	require.Equal(t, Applied, store.Offer(7, folder("workspaces: {w: {weight: 9}}")).Verdict)
 }
 
 // The YAML library panics on a file. The folder is refused, the daemon lives on.
--- a/core/config/store.go
+++ b/core/config/store.go
@@ -10,8 +10,8 @@
 type Verdict uint8
 
 const (
-	// Adopted: it is in force now.
-	Adopted Verdict = iota + 1
+	// Applied: it is in force now.
+	Applied Verdict = iota + 1
 	// NotNewer: its revision is not above the one in force.
 	NotNewer
 	// Rejected: it is not valid; the one in force stays.
@@ -20,7 +20,7 @@
 	Conflicting
 )
 
-var verdictNames = map[Verdict]string{Adopted: "adopted", NotNewer: "not newer", Rejected: "refused", Conflicting: "conflicting"}
+var verdictNames = map[Verdict]string{Applied: "adopted", NotNewer: "not newer", Rejected: "refused", Conflicting: "conflicting"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
@@ -106,7 +106,7 @@
 		return Adoption{Verdict: Rejected, Previous: previous, Err: err}
 	}
 	s.current.Store(&held{snapshot, files})
-	return Adoption{Verdict: Adopted, Previous: previous, Snapshot: snapshot}
+	return Adoption{Verdict: Applied, Previous: previous, Snapshot: snapshot}
 }
 
 func (s *Store) compare(previous *Snapshot, revision uint64, files []File) Verdict {
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -207,13 +207,13 @@
 func (l *ConfigLoop) offer(action config.OfferSnapshot) {
 	adoption := l.options.Store.Offer(action.Revision, action.Files)
 	l.audit(action, adoption)
-	if adoption.Verdict == config.Adopted {
+	if adoption.Verdict == config.Applied {
 		l.options.OnAdopt(adoption.Snapshot)
 	}
 	revision, files := l.options.Store.Files()
 	l.mu.Lock()
 	l.syncer.InForce(revision, files)
-	if adoption.Verdict == config.Adopted {
+	if adoption.Verdict == config.Applied {
 		l.setPeers(adoption.Snapshot)
 	}
 	l.mu.Unlock()
@@ -225,7 +225,7 @@
 	switch adoption.Verdict {
 	case config.NotNewer:
 		return
-	case config.Adopted:
+	case config.Applied:
 		event.Why = fmt.Sprintf("%d settings changed", len(config.Changes(adoption.Previous, adoption.Snapshot)))
 		l.auditChanges(action, adoption)
 	default:
