--- a/core/config/store.go
+++ b/core/config/store.go
@@ -24,8 +24,8 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Adoption tells of an offered snapshot.
-type Adoption struct {
+// ApplyResult tells of an offered snapshot.
+type ApplyResult struct {
 	Verdict  Verdict
 	Previous *Snapshot
 	Snapshot *Snapshot
@@ -89,24 +89,24 @@
 }
 
 // Offer takes a snapshot into force if it is newer and valid.
-func (s *Store) Offer(revision uint64, files []File) Adoption {
+func (s *Store) Offer(revision uint64, files []File) ApplyResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.Current()
 	if verdict := s.compare(previous, revision, files); verdict != 0 {
-		return Adoption{Verdict: verdict, Previous: previous}
+		return ApplyResult{Verdict: verdict, Previous: previous}
 	}
 	digest := Digest(files)
 	if s.refused.revision == revision && s.refused.digest == digest {
-		return Adoption{Verdict: Rejected, Previous: previous, Err: s.refused.err}
+		return ApplyResult{Verdict: Rejected, Previous: previous, Err: s.refused.err}
 	}
 	snapshot, err := Load(revision, files)
 	if err != nil {
 		s.refused = refusedSnapshot{revision, digest, err}
-		return Adoption{Verdict: Rejected, Previous: previous, Err: err}
+		return ApplyResult{Verdict: Rejected, Previous: previous, Err: err}
 	}
 	s.current.Store(&held{snapshot, files})
-	return Adoption{Verdict: Applied, Previous: previous, Snapshot: snapshot}
+	return ApplyResult{Verdict: Applied, Previous: previous, Snapshot: snapshot}
 }
 
 func (s *Store) compare(previous *Snapshot, revision uint64, files []File) Verdict {
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -219,7 +219,7 @@
 	l.mu.Unlock()
 }
 
-func (l *ConfigLoop) audit(action config.OfferSnapshot, adoption config.Adoption) {
+func (l *ConfigLoop) audit(action config.OfferSnapshot, adoption config.ApplyResult) {
 	event := audit.Event{Time: time.Now(), Area: audit.Configuration, Subject: "folder", Source: action.Source,
 		Revision: action.Revision, From: fmt.Sprint(previousRevision(adoption)), To: fmt.Sprint(action.Revision)}
 	switch adoption.Verdict {
@@ -242,7 +242,7 @@
 // maxAuditedChanges bounds the single changes of one snapshot in the trail.
 const maxAuditedChanges = 200
 
-func (l *ConfigLoop) auditChanges(action config.OfferSnapshot, adoption config.Adoption) {
+func (l *ConfigLoop) auditChanges(action config.OfferSnapshot, adoption config.ApplyResult) {
 	if adoption.Previous == nil {
 		return
 	}
@@ -265,7 +265,7 @@
 	return setting.String()
 }
 
-func previousRevision(adoption config.Adoption) uint64 {
+func previousRevision(adoption config.ApplyResult) uint64 {
 	if adoption.Previous == nil {
 		return 0
 	}
