--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -142,16 +142,16 @@
 // refused whole and the last good one stays.
 func TestStoreNeverGoesBack(t *testing.T) {
 	store := &Store{}
-	require.Equal(t, Applied, store.Offer(5, folder()).Verdict)
-	require.Equal(t, NotNewer, store.Offer(5, folder()).Verdict)
-	require.Equal(t, NotNewer, store.Offer(4, folder("workspaces: {w: {weight: 9}}")).Verdict)
-	require.Equal(t, Conflicting, store.Offer(5, folder("workspaces: {w: {weight: 9}}")).Verdict)
-	refused := store.Offer(6, folder("workspaces: {w: {weight: -9}}"))
+	require.Equal(t, Applied, store.Apply(5, folder()).Verdict)
+	require.Equal(t, NotNewer, store.Apply(5, folder()).Verdict)
+	require.Equal(t, NotNewer, store.Apply(4, folder("workspaces: {w: {weight: 9}}")).Verdict)
+	require.Equal(t, Conflicting, store.Apply(5, folder("workspaces: {w: {weight: 9}}")).Verdict)
+	refused := store.Apply(6, folder("workspaces: {w: {weight: -9}}"))
 	require.Equal(t, Rejected, refused.Verdict)
 	require.Error(t, refused.Err)
 	require.Equal(t, uint64(5), store.Revision())
 	require.Equal(t, DefaultWeight, store.Current().Workspaces["w"].Weight)
-	require.Equal(t, Applied, store.Offer(7, folder("workspaces: {w: {weight: 9}}")).Verdict)
+	require.Equal(t, Applied, store.Apply(7, folder("workspaces: {w: {weight: 9}}")).Verdict)
 }
 
 // The YAML library panics on a file. The folder is refused, the daemon lives on.
--- a/core/config/store.go
+++ b/core/config/store.go
@@ -88,8 +88,8 @@
 	return h.snapshot.Revision, h.files
 }
 
-// Offer takes a snapshot into force if it is newer and valid.
-func (s *Store) Offer(revision uint64, files []File) ApplyResult {
+// Apply takes a snapshot into force if it is newer and valid.
+func (s *Store) Apply(revision uint64, files []File) ApplyResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.Current()
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -205,7 +205,7 @@
 }
 
 func (l *ConfigLoop) offer(action config.OfferSnapshot) {
-	adoption := l.options.Store.Offer(action.Revision, action.Files)
+	adoption := l.options.Store.Apply(action.Revision, action.Files)
 	l.audit(action, adoption)
 	if adoption.Verdict == config.Applied {
 		l.options.OnAdopt(adoption.Snapshot)
