--- a/core/config/store.go
+++ b/core/config/store.go
@@ -119,8 +119,8 @@
 	return NotNewer
 }
 
-// RefusedRevision returns the revision last refused and why, or 0.
-func (s *Store) RefusedRevision() (uint64, error) {
+// RejectedRevision returns the revision last refused and why, or 0.
+func (s *Store) RejectedRevision() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused.revision, s.refused.err
--- a/core/process/base.go
+++ b/core/process/base.go
@@ -191,7 +191,7 @@
 }
 
 func (b *Base) status() Status {
-	refused, why := b.Store.RefusedRevision()
+	refused, why := b.Store.RejectedRevision()
 	status := Status{Name: b.Name(), Zone: b.options.Settings.Zone, Incarnation: b.Incarnation(), State: b.manager.State(),
 		Revision: b.Store.Revision(), RefusedRevision: refused, OpenRequests: b.manager.Open()}
 	if why != nil {
