--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -51,7 +51,7 @@
 	leases    *memory.Leases
 	recovery  *memory.Recovery
 	orders    *orders.Reconciler
-	homes     *config.Homes
+	homes     *config.HomeSlots
 	groups    map[string]*groupQueue
 	work      map[execution.AttemptID]*work
 }
--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -7,7 +7,7 @@
 	"arbutusdeck/core/execution"
 )
 
-// Homes decides at one host daemon whether a key that a caller made may run
+// HomeSlots decides at one host daemon whether a key that a caller made may run
 // here. The daemon holds a slot only if the configuration names it and states
 // that every former holder is retired.
 //
@@ -15,7 +15,7 @@
 // restarts under a stale platform, it does not remember having given the slot
 // up, so no acknowledgement of its would hold. Only the operators know that it
 // is off for good.
-type Homes struct {
+type HomeSlots struct {
 	server   string
 	snapshot *Snapshot
 	slots    map[homeKey]*heldSlot
@@ -42,13 +42,13 @@
 }
 
 // NewHomes returns the homes of a server that holds no slot yet.
-func NewHomes(server string) *Homes {
-	return &Homes{server: server, slots: map[homeKey]*heldSlot{}}
+func NewHomes(server string) *HomeSlots {
+	return &HomeSlots{server: server, slots: map[homeKey]*heldSlot{}}
 }
 
 // Adopt takes over a snapshot and returns the slots, as service/slot, whose
 // former holder this daemon has seen but the snapshot does not name.
-func (h *Homes) Adopt(now time.Time, snapshot *Snapshot) []string {
+func (h *HomeSlots) Adopt(now time.Time, snapshot *Snapshot) []string {
 	var unnamed []string
 	previous := h.snapshot
 	h.snapshot = snapshot
@@ -96,7 +96,7 @@
 
 // Check returns nil if a key made by a caller may run here. Keys made before
 // this daemon held the slot may have run at a former holder.
-func (h *Homes) Check(service, key string, made time.Time, allowance time.Duration) *execution.Refusal {
+func (h *HomeSlots) Check(service, key string, made time.Time, allowance time.Duration) *execution.Refusal {
 	if h.snapshot == nil {
 		return notHome("no configuration is in force")
 	}
--- a/core/config/homes_test.go
+++ b/core/config/homes_test.go
@@ -40,7 +40,7 @@
 
 type homeDaemon struct {
 	revision uint64
-	homes    *Homes
+	homes    *HomeSlots
 	ledger   *execution.Ledger
 }
 
