--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -72,7 +72,7 @@
 		scheduler: scheduling.New(options.Schedule),
 		leases:    memory.NewLeases(),
 		orders:    orders.New(now, options.Orders),
-		homes:     config.NewHomes(options.Server),
+		homes:     config.NewHomeSlots(options.Server),
 		groups:    map[string]*groupQueue{},
 		work:      map[execution.AttemptID]*work{},
 	}
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -220,7 +220,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			homes := NewHomes("a")
+			homes := NewHomeSlots("a")
 			for i, view := range c.views {
 				homes.Adopt(start.Add(time.Duration(i)*10*time.Second), load(uint64(i+1), view))
 			}
--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// NewHomes returns the homes of a server that holds no slot yet.
-func NewHomes(server string) *HomeSlots {
+// NewHomeSlots returns the homes of a server that holds no slot yet.
+func NewHomeSlots(server string) *HomeSlots {
 	return &HomeSlots{server: server, slots: map[homeKey]*heldSlot{}}
 }
 
--- a/core/config/homes_test.go
+++ b/core/config/homes_test.go
@@ -72,7 +72,7 @@
 	}
 	options := execution.DefaultLedgerOptions()
 	options.Server, options.Incarnation, options.Began = server, execution.Incarnation(server), w.now
-	d := &homeDaemon{homes: NewHomes(server)}
+	d := &homeDaemon{homes: NewHomeSlots(server)}
 	d.ledger = execution.NewLedger(options, d.homes)
 	w.daemons[server] = d
 	w.adopt(server, revision)
