--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -98,7 +98,7 @@
 			c.groups[name] = &groupQueue{reservations: memory.NewGroup(GroupLeaseDuration)}
 		}
 	}
-	return c.homes.Adopt(now, snapshot)
+	return c.homes.Apply(now, snapshot)
 }
 
 // StartServing lets offers be accepted.
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -222,7 +222,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			homes := NewHomeSlots("a")
 			for i, view := range c.views {
-				homes.Adopt(start.Add(time.Duration(i)*10*time.Second), load(uint64(i+1), view))
+				homes.Apply(start.Add(time.Duration(i)*10*time.Second), load(uint64(i+1), view))
 			}
 			refusal := homes.Check("orders", "key", c.made, allowance)
 			if c.wantCode == "" {
--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -46,9 +46,9 @@
 	return &HomeSlots{server: server, slots: map[homeKey]*heldSlot{}}
 }
 
-// Adopt takes over a snapshot and returns the slots, as service/slot, whose
+// Apply takes over a snapshot and returns the slots, as service/slot, whose
 // former holder this daemon has seen but the snapshot does not name.
-func (h *HomeSlots) Adopt(now time.Time, snapshot *Snapshot) []string {
+func (h *HomeSlots) Apply(now time.Time, snapshot *Snapshot) []string {
 	var unnamed []string
 	previous := h.snapshot
 	h.snapshot = snapshot
--- a/core/config/homes_test.go
+++ b/core/config/homes_test.go
@@ -84,7 +84,7 @@
 		return
 	}
 	d.revision = revision
-	d.homes.Adopt(w.now, w.revisions[revision-1])
+	d.homes.Apply(w.now, w.revisions[revision-1])
 }
 
 // offer sends a key to a daemon, as an entry with any view of the fleet might.
