--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -100,7 +100,7 @@
 	if h.snapshot == nil {
 		return notHome("no configuration is in force")
 	}
-	slot, home, ok := h.snapshot.HomeOf(service, key)
+	slot, home, ok := h.snapshot.HomeSlotOf(service, key)
 	if !ok || home.Server != h.server {
 		return notHome("another server is the key's home")
 	}
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -63,10 +63,10 @@
 	return "", false
 }
 
-// HomeOf returns the home slot of a key made by a caller: rendezvous hashing
+// HomeSlotOf returns the home slot of a key made by a caller: rendezvous hashing
 // over the slot names. The names are fixed by the configuration, so entries
 // with different views of the fleet agree.
-func (s *Snapshot) HomeOf(service, key string) (string, HomeSlot, bool) {
+func (s *Snapshot) HomeSlotOf(service, key string) (string, HomeSlot, bool) {
 	homes := s.Services[service].Homes
 	best, bestScore := "", uint64(0)
 	for _, name := range keys(homes) {
--- a/entry/server/keys.go
+++ b/entry/server/keys.go
@@ -81,7 +81,7 @@
 		key.Issued = true
 		return key, &execution.Target{Server: issued.Server, Incarnation: issued.Incarnation}, nil
 	}
-	_, home, ok := c.snapshot.HomeOf(service, key.ID)
+	_, home, ok := c.snapshot.HomeSlotOf(service, key.ID)
 	if !ok {
 		return key, nil, refuse(codeBadRequest, "%s: keys made by callers are not taken here; ask POST /v1/idempotency-keys for one", headerKey)
 	}
