--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -52,9 +52,9 @@
 	return names
 }
 
-// WorkspaceOfKey returns the workspace whose keyHashes hold the hash. The hash
+// WorkspaceByKeyHash returns the workspace whose keyHashes hold the hash. The hash
 // is of the caller's key, so the comparison time tells nothing of the key.
-func (s *Snapshot) WorkspaceOfKey(hash string) (string, bool) {
+func (s *Snapshot) WorkspaceByKeyHash(hash string) (string, bool) {
 	for name, workspace := range s.Workspaces {
 		if slices.Contains(workspace.KeyHashes, hash) {
 			return name, true
--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -126,7 +126,7 @@
 		return refuse(codeUnauthorized, "give the workspace's API key as a bearer token")
 	}
 	sum := sha256.Sum256([]byte(key))
-	c.workspace, ok = c.snapshot.WorkspaceOfKey(hex.EncodeToString(sum[:]))
+	c.workspace, ok = c.snapshot.WorkspaceByKeyHash(hex.EncodeToString(sum[:]))
 	if !ok {
 		return refuse(codeUnauthorized, "the API key belongs to no workspace")
 	}
