--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -162,7 +162,7 @@
 
 // Load returns the present load of a pool; "" means all engines.
 func (c *Core) Load(now time.Time, pool string) scheduling.Load {
-	if hall, ok := config.HallOfGroups(pool); ok {
+	if hall, ok := config.HallOfGroupPool(pool); ok {
 		return c.groupLoad(hall)
 	}
 	return c.scheduler.Load(now, pool)
--- a/core/config/pools.go
+++ b/core/config/pools.go
@@ -15,5 +15,5 @@
 // GroupPool names the pool of a hall's engine groups.
 func GroupPool(hall string) string { return groupPrefix + hall }
 
-// HallOfGroups returns the hall if the pool is that of its engine groups.
-func HallOfGroups(pool string) (string, bool) { return strings.CutPrefix(pool, groupPrefix) }
+// HallOfGroupPool returns the hall if the pool is that of its engine groups.
+func HallOfGroupPool(pool string) (string, bool) { return strings.CutPrefix(pool, groupPrefix) }
