--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -79,9 +79,9 @@
 		Peer  Peer
 		Above uint64
 	}
-	// OfferSnapshot gives a whole folder to the Store; its verdict comes back
+	// ApplySnapshot gives a whole folder to the Store; its verdict comes back
 	// as InForce.
-	OfferSnapshot struct {
+	ApplySnapshot struct {
 		Revision uint64
 		Files    []File
 		Source   string
@@ -91,7 +91,7 @@
 func (WatchPlatform) syncAction() {}
 func (ReadFiles) syncAction()     {}
 func (AskPeer) syncAction()       {}
-func (OfferSnapshot) syncAction() {}
+func (ApplySnapshot) syncAction() {}
 
 // Syncer decides when this daemon asks whom for the configuration. It keeps the
 // platform's calls low: one waiting watch a daemon, few changed files read by
@@ -267,7 +267,7 @@
 		whole = append(whole, file)
 	}
 	s.manifest, s.fetched = nil, nil
-	return []SyncAction{OfferSnapshot{Revision: manifest.Revision, Files: whole, Source: "platform"}}
+	return []SyncAction{ApplySnapshot{Revision: manifest.Revision, Files: whole, Source: "platform"}}
 }
 
 // ReadFailed takes in a failed read of files, also of a revision that the
@@ -297,7 +297,7 @@
 	s.askAt = now.Add(s.options.PeerInterval)
 	var actions []SyncAction
 	if revision > s.inForce {
-		actions = append(actions, OfferSnapshot{Revision: revision, Files: files, Source: "peer " + peer.Name})
+		actions = append(actions, ApplySnapshot{Revision: revision, Files: files, Source: "peer " + peer.Name})
 		s.dropManifest(revision)
 	}
 	return append(actions, s.Tick(now)...)
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -145,7 +145,7 @@
 			n.readFiles(a, epoch)
 		case AskPeer:
 			n.fleet.After(2*n.fleet.peerDelay, func() { n.askPeer(a, epoch) })
-		case OfferSnapshot:
+		case ApplySnapshot:
 			if a.Revision > n.revision {
 				n.revision, n.files, n.adopted = a.Revision, a.Files, n.fleet.Now
 			}
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -149,7 +149,7 @@
 	l.mu.Lock()
 	t := l.tomb
 	l.mu.Unlock()
-	if offer, ok := action.(config.OfferSnapshot); ok {
+	if offer, ok := action.(config.ApplySnapshot); ok {
 		l.offer(offer)
 		return
 	}
@@ -204,7 +204,7 @@
 	})
 }
 
-func (l *ConfigLoop) offer(action config.OfferSnapshot) {
+func (l *ConfigLoop) offer(action config.ApplySnapshot) {
 	adoption := l.options.Store.Apply(action.Revision, action.Files)
 	l.audit(action, adoption)
 	if adoption.Verdict == config.Applied {
@@ -219,7 +219,7 @@
 	l.mu.Unlock()
 }
 
-func (l *ConfigLoop) audit(action config.OfferSnapshot, adoption config.ApplyResult) {
+func (l *ConfigLoop) audit(action config.ApplySnapshot, adoption config.ApplyResult) {
 	event := audit.Event{Time: time.Now(), Area: audit.Configuration, Subject: "folder", Source: action.Source,
 		Revision: action.Revision, From: fmt.Sprint(previousRevision(adoption)), To: fmt.Sprint(action.Revision)}
 	switch adoption.Verdict {
@@ -242,7 +242,7 @@
 // maxAuditedChanges bounds the single changes of one snapshot in the trail.
 const maxAuditedChanges = 200
 
-func (l *ConfigLoop) auditChanges(action config.OfferSnapshot, adoption config.ApplyResult) {
+func (l *ConfigLoop) auditChanges(action config.ApplySnapshot, adoption config.ApplyResult) {
 	if adoption.Previous == nil {
 		return
 	}
