--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -164,10 +164,10 @@
 	s.watchAt = now
 }
 
-// InForce takes in the Store's verdict: the revision now in force and its files.
+// SetCurrent takes in the Store's verdict: the revision now in force and its files.
 // After a refusal the manifest is dropped, so that the daemon waits for the next
 // revision instead of reading the bad one again and again.
-func (s *Syncer) InForce(revision uint64, files []File) {
+func (s *Syncer) SetCurrent(revision uint64, files []File) {
 	s.inForce = revision
 	for _, file := range files {
 		s.files[file.Name] = file
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -149,7 +149,7 @@
 			if a.Revision > n.revision {
 				n.revision, n.files, n.adopted = a.Revision, a.Files, n.fleet.Now
 			}
-			n.syncer.InForce(n.revision, n.files)
+			n.syncer.SetCurrent(n.revision, n.files)
 		}
 	}
 }
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -212,7 +212,7 @@
 	}
 	revision, files := l.options.Store.Files()
 	l.mu.Lock()
-	l.syncer.InForce(revision, files)
+	l.syncer.SetCurrent(revision, files)
 	if adoption.Verdict == config.Applied {
 		l.setPeers(adoption.Snapshot)
 	}
