--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// ManifestRead takes in the platform's answer to a watch; nil if nothing is new.
-func (s *Syncer) ManifestRead(now time.Time, manifest *Manifest) []SyncAction {
+// ManifestReceived takes in the platform's answer to a watch; nil if nothing is new.
+func (s *Syncer) ManifestReceived(now time.Time, manifest *Manifest) []SyncAction {
 	s.watching = false
 	s.backoff = 0
 	if manifest == nil || manifest.Revision <= s.inForce {
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -185,7 +185,7 @@
 			return
 		}
 		manifest := n.published().manifest
-		n.act(n.syncer.ManifestRead(n.fleet.Now, &manifest))
+		n.act(n.syncer.ManifestReceived(n.fleet.Now, &manifest))
 	})
 }
 
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -176,7 +176,7 @@
 		if err != nil {
 			return l.syncer.WatchFailed(now)
 		}
-		return l.syncer.ManifestRead(now, manifest)
+		return l.syncer.ManifestReceived(now, manifest)
 	})
 }
 
