--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -279,8 +279,8 @@
 	return s.Tick(now)
 }
 
-// PeerNamed takes in a revision that a message from a peer carried.
-func (s *Syncer) PeerNamed(now time.Time, peer Peer, revision uint64) []SyncAction {
+// RevisionAdvertised takes in a revision that a message from a peer carried.
+func (s *Syncer) RevisionAdvertised(now time.Time, peer Peer, revision uint64) []SyncAction {
 	if revision <= s.inForce || revision <= s.namedRev || peer.Address == "" {
 		return nil
 	}
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -303,7 +303,7 @@
 	f.Run(2 * time.Second)
 	require.Equal(t, 50, f.behind())
 	for i, n := range f.nodes[50:] {
-		n.act(n.syncer.PeerNamed(f.Now, Peer{Name: fmt.Sprint(i), Address: fmt.Sprint(i)}, f.revision))
+		n.act(n.syncer.RevisionAdvertised(f.Now, Peer{Name: fmt.Sprint(i), Address: fmt.Sprint(i)}, f.revision))
 	}
 	f.settle(t, inForceWithin)
 }
@@ -348,7 +348,7 @@
 	require.True(t, n.syncer.Ready(f.Now))
 	require.Equal(t, old.manifest.Revision, n.revision)
 	n.isolated = false
-	n.act(n.syncer.PeerNamed(f.Now, Peer{Name: "1", Address: "1"}, f.nodes[1].revision))
+	n.act(n.syncer.RevisionAdvertised(f.Now, Peer{Name: "1", Address: "1"}, f.nodes[1].revision))
 	f.Run(2 * time.Second)
 	require.Equal(t, f.nodes[1].revision, n.revision)
 }
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -103,7 +103,7 @@
 		select {
 		case <-ticker.C:
 		case n := <-l.named:
-			l.step(func(now time.Time) []config.SyncAction { return l.syncer.PeerNamed(now, n.peer, n.revision) })
+			l.step(func(now time.Time) []config.SyncAction { return l.syncer.RevisionAdvertised(now, n.peer, n.revision) })
 		case <-t.Dying():
 			return nil
 		}
