--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -289,9 +289,9 @@
 	return s.Tick(now)
 }
 
-// PeerAnswered takes in a peer's snapshot, or revision 0 if it has none above
+// PeerReplied takes in a peer's snapshot, or revision 0 if it has none above
 // the one asked for.
-func (s *Syncer) PeerAnswered(now time.Time, peer Peer, revision uint64, files []File) []SyncAction {
+func (s *Syncer) PeerReplied(now time.Time, peer Peer, revision uint64, files []File) []SyncAction {
 	s.askingPeer = false
 	s.heard[peer.Name] = true
 	s.askAt = now.Add(s.options.PeerInterval)
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -222,9 +222,9 @@
 	case n.isolated || other.isolated:
 		n.act(n.syncer.PeerFailed(n.fleet.Now, a.Peer))
 	case other.revision > a.Above:
-		n.act(n.syncer.PeerAnswered(n.fleet.Now, a.Peer, other.revision, other.files))
+		n.act(n.syncer.PeerReplied(n.fleet.Now, a.Peer, other.revision, other.files))
 	default:
-		n.act(n.syncer.PeerAnswered(n.fleet.Now, a.Peer, 0, nil))
+		n.act(n.syncer.PeerReplied(n.fleet.Now, a.Peer, 0, nil))
 	}
 }
 
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -200,7 +200,7 @@
 		if err != nil {
 			return l.syncer.PeerFailed(now, action.Peer)
 		}
-		return l.syncer.PeerAnswered(now, action.Peer, revision, files)
+		return l.syncer.PeerReplied(now, action.Peer, revision, files)
 	})
 }
 
