--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -154,9 +154,9 @@
 	return s.namedRev > s.inForce || (s.manifest != nil && s.manifest.Revision > s.inForce)
 }
 
-// Restart makes the daemon ask its peers again as at a start. It is called after
+// Resync makes the daemon ask its peers again as at a start. It is called after
 // a pause, when the revision in force may have been passed long ago.
-func (s *Syncer) Restart(now time.Time) {
+func (s *Syncer) Resync(now time.Time) {
 	s.started = now
 	s.heard = map[string]bool{}
 	s.heardAll, s.asked = false, 0
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -362,7 +362,7 @@
 	f.Run(10 * time.Second)
 	n := f.nodes[3]
 	require.True(t, n.syncer.Ready(f.Now))
-	n.syncer.Restart(f.Now)
+	n.syncer.Resync(f.Now)
 	require.False(t, n.syncer.Ready(f.Now))
 	for !n.syncer.Ready(f.Now) {
 		f.Run(20 * time.Millisecond)
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -121,7 +121,7 @@
 func (l *ConfigLoop) Restart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.syncer.Restart(time.Now())
+	l.syncer.Resync(time.Now())
 }
 
 // PeerNamed takes in the revision that a message from a peer carried.
