--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -27,9 +27,9 @@
 
 // SyncOptions are the bounds of a Syncer.
 type SyncOptions struct {
-	// FewFiles is the number of changed files up to which a daemon reads them
+	// DirectReadFiles is the number of changed files up to which a daemon reads them
 	// from the platform itself; for more it asks peers first.
-	FewFiles int
+	DirectReadFiles int
 	// CallRate is what all daemons together aim at on the platform, in calls a
 	// second; it sets the window over which they spread their calls.
 	CallRate float64
@@ -57,7 +57,7 @@
 
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
-	return SyncOptions{FewFiles: 4, CallRate: 1000, MinSpread: time.Second, TurnPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
+	return SyncOptions{DirectReadFiles: 4, CallRate: 1000, MinSpread: time.Second, TurnPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartPeers: 3, StartLimit: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
@@ -207,7 +207,7 @@
 }
 
 func (s *Syncer) readDelay() time.Duration {
-	if len(s.missing) <= s.options.FewFiles {
+	if len(s.missing) <= s.options.DirectReadFiles {
 		return s.part(s.spread())
 	}
 	turn := time.Duration(len(s.missing)) * s.options.TurnPerFile
@@ -221,7 +221,7 @@
 // spread is the window in which every daemon may read its few changed files and
 // watch anew without all together exceeding CallRate.
 func (s *Syncer) spread() time.Duration {
-	files := min(len(s.missing), s.options.FewFiles)
+	files := min(len(s.missing), s.options.DirectReadFiles)
 	calls := float64(len(s.peers)+1) * float64(files+1)
 	return max(s.options.MinSpread, time.Duration(calls/s.options.CallRate*float64(time.Second)))
 }
