--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -30,9 +30,9 @@
 	// DirectReadFiles is the number of changed files up to which a daemon reads them
 	// from the platform itself; for more it asks peers first.
 	DirectReadFiles int
-	// CallRate is what all daemons together aim at on the platform, in calls a
+	// PlatformCallRate is what all daemons together aim at on the platform, in calls a
 	// second; it sets the window over which they spread their calls.
-	CallRate float64
+	PlatformCallRate float64
 	// MinSpread is the least window.
 	MinSpread time.Duration
 	// TurnPerFile is the time that one daemon's turn to read a whole folder
@@ -57,7 +57,7 @@
 
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
-	return SyncOptions{DirectReadFiles: 4, CallRate: 1000, MinSpread: time.Second, TurnPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
+	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, TurnPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartPeers: 3, StartLimit: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
@@ -223,7 +223,7 @@
 func (s *Syncer) spread() time.Duration {
 	files := min(len(s.missing), s.options.DirectReadFiles)
 	calls := float64(len(s.peers)+1) * float64(files+1)
-	return max(s.options.MinSpread, time.Duration(calls/s.options.CallRate*float64(time.Second)))
+	return max(s.options.MinSpread, time.Duration(calls/s.options.PlatformCallRate*float64(time.Second)))
 }
 
 // part returns a random part of a duration.
