--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -35,9 +35,9 @@
 	PlatformCallRate float64
 	// MinSpread is the least window.
 	MinSpread time.Duration
-	// TurnPerFile is the time that one daemon's turn to read a whole folder
+	// StaggerPerFile is the time that one daemon's turn to read a whole folder
 	// from the platform lasts, for each of its files.
-	TurnPerFile time.Duration
+	StaggerPerFile time.Duration
 	// MaxTurn bounds the wait for a turn; daemons beyond it spread their reads
 	// over as much time again.
 	MaxTurn time.Duration
@@ -57,7 +57,7 @@
 
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
-	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, TurnPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
+	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartPeers: 3, StartLimit: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
@@ -210,7 +210,7 @@
 	if len(s.missing) <= s.options.DirectReadFiles {
 		return s.part(s.spread())
 	}
-	turn := time.Duration(len(s.missing)) * s.options.TurnPerFile
+	turn := time.Duration(len(s.missing)) * s.options.StaggerPerFile
 	wait := time.Duration(s.turn)*turn + s.part(turn/2)
 	if wait > s.options.MaxTurn {
 		return s.options.MaxTurn + s.part(s.options.MaxTurn)
