--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -38,9 +38,9 @@
 	// StaggerPerFile is the time that one daemon's turn to read a whole folder
 	// from the platform lasts, for each of its files.
 	StaggerPerFile time.Duration
-	// MaxTurn bounds the wait for a turn; daemons beyond it spread their reads
+	// MaxStagger bounds the wait for a turn; daemons beyond it spread their reads
 	// over as much time again.
-	MaxTurn time.Duration
+	MaxStagger time.Duration
 	// PeerInterval is the time between two questions to peers while one is
 	// behind.
 	PeerInterval time.Duration
@@ -57,7 +57,7 @@
 
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
-	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxTurn: time.Minute,
+	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxStagger: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartPeers: 3, StartLimit: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
@@ -212,8 +212,8 @@
 	}
 	turn := time.Duration(len(s.missing)) * s.options.StaggerPerFile
 	wait := time.Duration(s.turn)*turn + s.part(turn/2)
-	if wait > s.options.MaxTurn {
-		return s.options.MaxTurn + s.part(s.options.MaxTurn)
+	if wait > s.options.MaxStagger {
+		return s.options.MaxStagger + s.part(s.options.MaxStagger)
 	}
 	return wait
 }
