--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -44,9 +44,9 @@
 	// PeerInterval is the time between two questions to peers while one is
 	// behind.
 	PeerInterval time.Duration
-	// StartPeers is the number of peers that a starting daemon hears before it
+	// StartupPeers is the number of peers that a starting daemon hears before it
 	// is ready, as far as there are that many.
-	StartPeers int
+	StartupPeers int
 	// StartLimit is the longest wait for those peers.
 	StartLimit time.Duration
 	// Backoff is the first wait after the platform failed; it doubles up to
@@ -58,7 +58,7 @@
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
 	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxStagger: time.Minute,
-		PeerInterval: 500 * time.Millisecond, StartPeers: 3, StartLimit: 5 * time.Second,
+		PeerInterval: 500 * time.Millisecond, StartupPeers: 3, StartLimit: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
 
@@ -145,7 +145,7 @@
 	if s.inForce == 0 {
 		return false
 	}
-	wanted := min(s.options.StartPeers, len(s.peers))
+	wanted := min(s.options.StartupPeers, len(s.peers))
 	return s.heardAll || len(s.heard) >= wanted || now.Sub(s.started) >= s.options.StartLimit
 }
 
