--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -47,8 +47,8 @@
 	// StartupPeers is the number of peers that a starting daemon hears before it
 	// is ready, as far as there are that many.
 	StartupPeers int
-	// StartLimit is the longest wait for those peers.
-	StartLimit time.Duration
+	// StartupTimeout is the longest wait for those peers.
+	StartupTimeout time.Duration
 	// Backoff is the first wait after the platform failed; it doubles up to
 	// BackoffMax.
 	Backoff    time.Duration
@@ -58,7 +58,7 @@
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
 	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxStagger: time.Minute,
-		PeerInterval: 500 * time.Millisecond, StartupPeers: 3, StartLimit: 5 * time.Second,
+		PeerInterval: 500 * time.Millisecond, StartupPeers: 3, StartupTimeout: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
 
@@ -146,7 +146,7 @@
 		return false
 	}
 	wanted := min(s.options.StartupPeers, len(s.peers))
-	return s.heardAll || len(s.heard) >= wanted || now.Sub(s.started) >= s.options.StartLimit
+	return s.heardAll || len(s.heard) >= wanted || now.Sub(s.started) >= s.options.StartupTimeout
 }
 
 // Behind says whether a higher revision is known than the one in force.
