--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -52,14 +52,14 @@
 	// Backoff is the first wait after the platform failed; it doubles up to
 	// BackoffMax.
 	Backoff    time.Duration
-	BackoffMax time.Duration
+	MaxBackoff time.Duration
 }
 
 // DefaultSyncOptions returns the bounds used when the settings name none.
 func DefaultSyncOptions() SyncOptions {
 	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxStagger: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartupPeers: 3, StartupTimeout: 5 * time.Second,
-		Backoff: 500 * time.Millisecond, BackoffMax: 10 * time.Second}
+		Backoff: 500 * time.Millisecond, MaxBackoff: 10 * time.Second}
 }
 
 // SyncAction is something the adapter has to do: WatchPlatform, ReadFiles,
@@ -237,7 +237,7 @@
 }
 
 func (s *Syncer) retryDelay() time.Duration {
-	s.backoff = min(max(2*s.backoff, s.options.Backoff), s.options.BackoffMax)
+	s.backoff = min(max(2*s.backoff, s.options.Backoff), s.options.MaxBackoff)
 	return time.Duration((0.5 + s.random()) * float64(s.backoff))
 }
 
