--- a/core/process/base.go
+++ b/core/process/base.go
@@ -29,8 +29,8 @@
 	Incarnation execution.Incarnation
 	// DialTimeout bounds the opening of a connection to another daemon.
 	DialTimeout time.Duration
-	// OnAdopt is called with every snapshot that has come into force.
-	OnAdopt func(snapshot *config.Snapshot)
+	// OnSnapshot is called with every snapshot that has come into force.
+	OnSnapshot func(snapshot *config.Snapshot)
 	// OnHosts is called with every reading of the host list.
 	OnHosts func(hosts []platform.Host)
 	// OnState is called with every change of the daemon's state.
@@ -77,7 +77,7 @@
 	b.manager = lifecycle.NewManager(b.changeState)
 	b.Loop = NewConfigLoop(ConfigLoopOptions{
 		Store: b.Store, Platform: options.Platform, Peers: b.Dialer, Trail: options.Trail, Log: options.Log,
-		OnAdopt: options.OnAdopt, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
+		OnAdopt: options.OnSnapshot, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
 	})
 	admin.RegisterRuntime(b.Registry)
 	return b
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -95,7 +95,7 @@
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnAdopt: s.adopt, OnHosts: s.readHosts,
+		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts,
 		OnState: func(lifecycle.State) {},
 	})
 	s.counters = newCounters(s.Registry)
