--- a/core/process/base.go
+++ b/core/process/base.go
@@ -77,7 +77,7 @@
 	b.manager = lifecycle.NewManager(b.changeState)
 	b.Loop = NewConfigLoop(ConfigLoopOptions{
 		Store: b.Store, Platform: options.Platform, Peers: b.Dialer, Trail: options.Trail, Log: options.Log,
-		OnAdopt: options.OnSnapshot, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
+		OnSnapshot: options.OnSnapshot, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
 	})
 	admin.RegisterRuntime(b.Registry)
 	return b
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -36,8 +36,8 @@
 	Peers    PeerReader
 	Trail    *audit.Trail
 	Log      *logrus.Entry
-	// OnAdopt is called with every snapshot that has come into force.
-	OnAdopt func(snapshot *config.Snapshot)
+	// OnSnapshot is called with every snapshot that has come into force.
+	OnSnapshot func(snapshot *config.Snapshot)
 	// OnHosts is called with every reading of the host list.
 	OnHosts func(hosts []platform.Host)
 	// HostInterval is the time between two readings of the list.
@@ -208,7 +208,7 @@
 	adoption := l.options.Store.Apply(action.Revision, action.Files)
 	l.audit(action, adoption)
 	if adoption.Verdict == config.Applied {
-		l.options.OnAdopt(adoption.Snapshot)
+		l.options.OnSnapshot(adoption.Snapshot)
 	}
 	revision, files := l.options.Store.Files()
 	l.mu.Lock()
