--- a/core/process/base.go
+++ b/core/process/base.go
@@ -33,8 +33,8 @@
 	OnSnapshot func(snapshot *config.Snapshot)
 	// OnHosts is called with every reading of the host list.
 	OnHosts func(hosts []platform.Host)
-	// OnState is called with every change of the daemon's state.
-	OnState func(to lifecycle.State)
+	// OnStateChange is called with every change of the daemon's state.
+	OnStateChange func(to lifecycle.State)
 }
 
 // Base is what both daemons are made of: identity, configuration, connections to
@@ -94,7 +94,7 @@
 
 func (b *Base) changeState(from, to lifecycle.State) {
 	b.Audit(audit.Event{Area: audit.Lifecycle, Subject: b.Name(), From: string(from), To: string(to), Source: "process"})
-	b.options.OnState(to)
+	b.options.OnStateChange(to)
 }
 
 // Audit adds an event of now and of the revision in force.
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -96,7 +96,7 @@
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
 		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts,
-		OnState: func(lifecycle.State) {},
+		OnStateChange: func(lifecycle.State) {},
 	})
 	s.counters = newCounters(s.Registry)
 	return s
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -87,7 +87,7 @@
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts, OnState: s.changeState,
+		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts, OnStateChange: s.changeState,
 	})
 	s.counters = newCounters(s.Registry)
 	s.reports = newReports(s.Registry)
