--- a/core/process/base.go
+++ b/core/process/base.go
@@ -124,8 +124,8 @@
 	return snapshot.AddressOf(daemon)
 }
 
-// HeardRevision takes in the revision that a message's envelope names.
-func (b *Base) HeardRevision(envelope *wire.Envelope) {
+// ObserveEnvelope takes in the revision that a message's envelope names.
+func (b *Base) ObserveEnvelope(envelope *wire.Envelope) {
 	if envelope == nil || envelope.Sender == "" {
 		return
 	}
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -149,7 +149,7 @@
 	if envelope == nil {
 		return
 	}
-	s.HeardRevision(envelope)
+	s.ObserveEnvelope(envelope)
 	s.mu.Lock()
 	changes := s.core.Heard(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
 	s.mu.Unlock()
--- a/host/server/offer.go
+++ b/host/server/offer.go
@@ -17,7 +17,7 @@
 // Offer decides on an attempt; see backend.Core.
 func (h hostService) Offer(_ context.Context, m *wire.OfferRequest) (*wire.OfferReply, error) {
 	s := h.s
-	s.HeardRevision(m.Envelope)
+	s.ObserveEnvelope(m.Envelope)
 	s.counters.offers.Inc(1)
 	now := time.Now()
 	offer := offerOf(m)
@@ -47,7 +47,7 @@
 // Cancel ends an attempt; NotRun comes with a tombstone.
 func (h hostService) Cancel(_ context.Context, m *wire.CancelRequest) (*wire.CancelReply, error) {
 	s := h.s
-	s.HeardRevision(m.Envelope)
+	s.ObserveEnvelope(m.Envelope)
 	s.counters.cancelled.Inc(1)
 	s.mu.Lock()
 	outcome, effects := s.core.Cancel(time.Now(), wire.ToCancel(m))
@@ -59,7 +59,7 @@
 // Probe returns the load of a hall, or of the whole server.
 func (h hostService) Probe(_ context.Context, m *wire.ProbeRequest) (*wire.ProbeReply, error) {
 	s := h.s
-	s.HeardRevision(m.Envelope)
+	s.ObserveEnvelope(m.Envelope)
 	return &wire.ProbeReply{Envelope: s.Envelope(), Load: s.load(m.Hall)}, nil
 }
 
@@ -73,7 +73,7 @@
 // Reserve leases one engine's memory to a group reservation.
 func (h hostService) Reserve(_ context.Context, m *wire.ReserveRequest) (*wire.ReserveReply, error) {
 	s := h.s
-	s.HeardRevision(m.Envelope)
+	s.ObserveEnvelope(m.Envelope)
 	reply := &wire.ReserveReply{Envelope: s.Envelope()}
 	if s.Manager().State() != lifecycle.Serving {
 		reply.Code = string(execution.CodeDraining)
@@ -92,7 +92,7 @@
 // Release gives a group reservation back.
 func (h hostService) Release(_ context.Context, m *wire.ReleaseRequest) (*wire.ReleaseReply, error) {
 	s := h.s
-	s.HeardRevision(m.Envelope)
+	s.ObserveEnvelope(m.Envelope)
 	s.mu.Lock()
 	effects := s.core.ReleasePart(time.Now(), m.Reservation)
 	s.mu.Unlock()
