--- a/core/process/base.go
+++ b/core/process/base.go
@@ -153,8 +153,8 @@
 	return maps.Clone(b.peers)
 }
 
-// Peers returns the server that answers other daemons' questions for snapshots.
-func (b *Base) Peers() wire.TwirpServer {
+// PeerServer returns the server that answers other daemons' questions for snapshots.
+func (b *Base) PeerServer() wire.TwirpServer {
 	return wire.NewPeerServer(&wire.PeerServer{Store: b.Store, Envelope: b.Envelope})
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -137,7 +137,7 @@
 
 func (s *Server) peerRouter() http.Handler {
 	router := bunrouter.New()
-	peers := s.Peers()
+	peers := s.PeerServer()
 	router.POST(peers.PathPrefix()+":method", bunrouter.HTTPHandler(peers))
 	entries := wire.NewEntryServer(&wire.EntryServer{Envelope: s.Envelope, Exchange: s.join})
 	router.POST(entries.PathPrefix()+":method", bunrouter.HTTPHandler(entries))
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -139,7 +139,7 @@
 func (s *Server) router() http.Handler {
 	router := bunrouter.New()
 	twirpHost := wire.NewHostDaemonServer(hostService{s})
-	twirpPeer := s.Peers()
+	twirpPeer := s.PeerServer()
 	router.POST(twirpHost.PathPrefix()+":method", bunrouter.HTTPHandler(twirpHost))
 	router.POST(twirpPeer.PathPrefix()+":method", bunrouter.HTTPHandler(twirpPeer))
 	router.POST("/attempts/:attempt/stream", s.openStream)
