--- a/core/process/base.go
+++ b/core/process/base.go
@@ -58,7 +58,7 @@
 	Incarnation string    `json:"incarnation"`
 	Revision    uint64    `json:"revision"`
 	Draining    bool      `json:"draining"`
-	Heard       time.Time `json:"heard"`
+	LastHeard   time.Time `json:"heard"`
 }
 
 // maxPeers bounds the daemons that are remembered.
@@ -144,7 +144,7 @@
 	if len(b.peers) >= maxPeers {
 		clear(b.peers)
 	}
-	b.peers[envelope.Sender] = PeerStatus{Incarnation: envelope.Incarnation, Revision: envelope.Revision, Draining: envelope.Draining, Heard: time.Now()}
+	b.peers[envelope.Sender] = PeerStatus{Incarnation: envelope.Incarnation, Revision: envelope.Revision, Draining: envelope.Draining, LastHeard: time.Now()}
 }
 
 func (b *Base) peerStatus() map[string]PeerStatus {
