--- a/core/process/log.go
+++ b/core/process/log.go
@@ -14,8 +14,8 @@
 	return newLogger(os.Stderr, level).WithFields(logrus.Fields{"daemon": daemon, "name": name})
 }
 
-// Quiet returns a logger that drops everything, for tests and the demo.
-func Quiet() *logrus.Entry { return logrus.NewEntry(newLogger(io.Discard, "error")) }
+// NewDiscardLogger returns a logger that drops everything, for tests and the demo.
+func NewDiscardLogger() *logrus.Entry { return logrus.NewEntry(newLogger(io.Discard, "error")) }
 
 func newLogger(out io.Writer, level string) *logrus.Logger {
 	logger := logrus.New()
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -205,7 +205,7 @@
 // all would send their callers' first requests to the same servers.
 func TestAFoundNeighbourIsGreetedAtOnce(t *testing.T) {
 	w := newWorld(t)
-	s := New(Options{Settings: w.settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
+	s := New(Options{Settings: w.settings(), Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
 	listen := func() net.PacketConn {
 		conn, err := net.ListenPacket("udp", loopbackHost()+":0")
 		require.NoError(t, err)
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -74,7 +74,7 @@
 
 // loneEntry is an entry that knows a configuration and some engines, and runs nothing.
 func loneEntry(t *testing.T) *Server {
-	s := New(Options{Settings: Settings{Name: "entry", Zone: "here", PeerAddress: "127.0.0.1:1001"}, Log: process.Quiet(), Trail: audit.NewTrail(nil, 10)})
+	s := New(Options{Settings: Settings{Name: "entry", Zone: "here", PeerAddress: "127.0.0.1:1001"}, Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 10)})
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, conn.Close()) })
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -107,7 +107,7 @@
 // to the later revision: it fetches the reader's view when it hears of that revision.
 func TestALostUpdateIsNoticed(t *testing.T) {
 	w := newWorld(t)
-	s := New(Options{Settings: w.settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)}) // not started
+	s := New(Options{Settings: w.settings(), Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)}) // not started
 	row := func(id string, revision uint64) directory.Server {
 		return directory.Server{ID: id, Service: "plain", Address: "127.0.0.1:1", Zone: "here", Slots: 1, Revision: revision}
 	}
--- a/entry/gateway/silence_test.go
+++ b/entry/gateway/silence_test.go
@@ -77,7 +77,7 @@
 		require.NoError(t, os.WriteFile(path, content, 0o600))
 	}
 	write(0.2)
-	s := New(Options{Settings: settings, SettingsPath: path, Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
+	s := New(Options{Settings: settings, SettingsPath: path, Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
 	w.run(s)
 	ratio := func() float64 {
 		s.mu.Lock()
@@ -104,7 +104,7 @@
 		require.NoError(t, os.WriteFile(path, content, 0o600))
 	}
 	write(4 * time.Second)
-	s := New(Options{Settings: settings, SettingsPath: path, Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
+	s := New(Options{Settings: settings, SettingsPath: path, Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
 	require.True(t, s.readOptions.Load().Shares())
 	write(2 * time.Second)
 	s.reload()
@@ -115,7 +115,7 @@
 // The host was suspended for three seconds. What was booked is over by now, or has gone
 // on without this process; choices must not rest on it.
 func TestASuspendedHostForgetsLoads(t *testing.T) {
-	s := New(Options{Settings: newWorld(t).settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
+	s := New(Options{Settings: newWorld(t).settings(), Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
 	now := time.Now()
 	s.lookForPause(now)
 	s.book.Begin(now, placement.Dispatch{ID: "a", Server: "i-1", Life: time.Minute}, nil, 0)
--- a/entry/gateway/world_test.go
+++ b/entry/gateway/world_test.go
@@ -84,7 +84,7 @@
 
 // start runs an entry until the test ends.
 func (w *world) start(settings Settings) *Server {
-	s := New(Options{Settings: settings, Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
+	s := New(Options{Settings: settings, Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
 	w.run(s)
 	return s
 }
