--- a/core/process/base.go
+++ b/core/process/base.go
@@ -134,7 +134,7 @@
 		return
 	}
 	if address, ok := b.AddressOf(envelope.Sender); ok {
-		b.Loop.PeerNamed(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
+		b.Loop.RevisionAdvertised(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
 	}
 }
 
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -124,8 +124,8 @@
 	l.syncer.Resync(time.Now())
 }
 
-// PeerNamed takes in the revision that a message from a peer carried.
-func (l *ConfigLoop) PeerNamed(peer config.Peer, revision uint64) {
+// RevisionAdvertised takes in the revision that a message from a peer carried.
+func (l *ConfigLoop) RevisionAdvertised(peer config.Peer, revision uint64) {
 	if revision <= l.options.Store.Revision() {
 		return
 	}
