--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -117,8 +117,8 @@
 	return l.syncer.Ready(time.Now())
 }
 
-// Restart makes the loop ask its peers afresh, after the process was paused.
-func (l *ConfigLoop) Restart() {
+// Resync makes the loop ask its peers afresh, after the process was paused.
+func (l *ConfigLoop) Resync() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.syncer.Resync(time.Now())
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -76,7 +76,7 @@
 	if gap == 0 {
 		return
 	}
-	s.Loop.Restart()
+	s.Loop.Resync()
 	s.auditMembers(changes, "process")
 	s.AuditPause(gap)
 }
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -48,7 +48,7 @@
 	effects := s.core.Tick(now)
 	s.mu.Unlock()
 	if gap > 0 {
-		s.Loop.Restart()
+		s.Loop.Resync()
 		s.AuditPause(gap)
 	}
 	s.carryOut(effects)
