--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -36,7 +36,7 @@
 	fmt.Fprintln(os.Stderr, err)
 	switch {
 	case errors.Is(err, errRefused):
-		return process.ExitRefused
+		return process.ExitConfigRejected
 	case errors.Is(err, errUsage):
 		return process.ExitUsage
 	}
--- a/core/process/run.go
+++ b/core/process/run.go
@@ -19,12 +19,12 @@
 
 // Exit codes of both daemons.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1
-	ExitUsage    = 2
-	ExitRefused  = 3
-	ExitCut      = 4
-	ExitBusyAddr = 5
+	ExitOK             = 0
+	ExitFailed         = 1
+	ExitUsage          = 2
+	ExitConfigRejected = 3
+	ExitCut            = 4
+	ExitBusyAddr       = 5
 )
 
 // ErrAddressTaken says that another process listens on the daemon's address. It
