--- a/core/process/run.go
+++ b/core/process/run.go
@@ -23,7 +23,7 @@
 	ExitFailed         = 1
 	ExitUsage          = 2
 	ExitConfigRejected = 3
-	ExitCut            = 4
+	ExitAborted        = 4
 	ExitBusyAddr       = 5
 )
 
@@ -148,7 +148,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, lifecycle.ErrCut):
-		return ExitCut
+		return ExitAborted
 	case errors.Is(err, ErrAddressTaken):
 		return ExitBusyAddr
 	case errors.Is(err, ErrSettings):
--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -190,7 +190,7 @@
 		switch {
 		case e.ByItself:
 			c.found("no process ends by itself", "entry %d exited with %d", e.Entry, e.Code)
-		case e.Code == exits.ExitCut && c.mayCut(e):
+		case e.Code == exits.ExitAborted && c.mayCut(e):
 		case e.Code != 0 && !c.disturbed(e.Entry, e.Began, e.Began.Add(e.Took)):
 			c.found("a planned stop cuts nothing", "entry %d exited with %d after %s", e.Entry, e.Code, e.Took.Round(time.Millisecond))
 		}
