--- a/core/process/run.go
+++ b/core/process/run.go
@@ -24,7 +24,7 @@
 	ExitUsage          = 2
 	ExitConfigRejected = 3
 	ExitAborted        = 4
-	ExitBusyAddr       = 5
+	ExitAddressInUse   = 5
 )
 
 // ErrAddressTaken says that another process listens on the daemon's address. It
@@ -150,7 +150,7 @@
 	case errors.Is(err, lifecycle.ErrCut):
 		return ExitAborted
 	case errors.Is(err, ErrAddressTaken):
-		return ExitBusyAddr
+		return ExitAddressInUse
 	case errors.Is(err, ErrSettings):
 		return ExitUsage
 	}
