--- a/core/process/run.go
+++ b/core/process/run.go
@@ -27,16 +27,16 @@
 	ExitAddressInUse   = 5
 )
 
-// ErrAddressTaken says that another process listens on the daemon's address. It
+// ErrAddressInUse says that another process listens on the daemon's address. It
 // may be this daemon's own predecessor, paused: two of them must never serve.
-var ErrAddressTaken = errors.New("address is taken")
+var ErrAddressInUse = errors.New("address is taken")
 
 // Listen opens a TCP listener.
 func Listen(address string) (net.Listener, error) {
 	options := net.ListenConfig{KeepAliveConfig: netopts.KeepAlive, Control: netopts.Control}
 	listener, err := options.Listen(context.Background(), "tcp", address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return nil, fmt.Errorf("%w: %s: %v", ErrAddressTaken, address, err)
+		return nil, fmt.Errorf("%w: %s: %v", ErrAddressInUse, address, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", address, err)
@@ -149,7 +149,7 @@
 		return ExitOK
 	case errors.Is(err, lifecycle.ErrCut):
 		return ExitAborted
-	case errors.Is(err, ErrAddressTaken):
+	case errors.Is(err, ErrAddressInUse):
 		return ExitAddressInUse
 	case errors.Is(err, ErrSettings):
 		return ExitUsage
