--- a/core/commands/flags.go
+++ b/core/commands/flags.go
@@ -33,8 +33,8 @@
 	return flags
 }
 
-// Override puts the given flags over the settings of the file.
-func Override(c *cli.Command, settings *process.Settings, given process.Settings) {
+// ApplyFlags puts the given flags over the settings of the file.
+func ApplyFlags(c *cli.Command, settings *process.Settings, given process.Settings) {
 	for _, flag := range settingFlags {
 		if c.IsSet(flag.name) {
 			*flag.field(settings) = *flag.field(&given)
--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -61,7 +61,7 @@
 func serve(ctx context.Context, c *cli.Command, settings *server.Settings) error {
 	given := settings.Settings
 	override := func() {
-		commands.Override(c, &settings.Settings, given)
+		commands.ApplyFlags(c, &settings.Settings, given)
 		if c.IsSet("listen-address") {
 			settings.ListenAddress = c.String("listen-address")
 		}
--- a/host/cmd/arbutus-host/main.go
+++ b/host/cmd/arbutus-host/main.go
@@ -37,7 +37,7 @@
 
 func serve(ctx context.Context, c *cli.Command, settings *server.Settings) error {
 	overrides := settings.Settings
-	override := func() { commands.Override(c, &settings.Settings, overrides) }
+	override := func() { commands.ApplyFlags(c, &settings.Settings, overrides) }
 	if err := process.LoadSettings(c.String("settings"), settings, override); err != nil {
 		return err
 	}
