--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -43,8 +43,8 @@
 	return process.ExitCode(err)
 }
 
-// Operator returns the commands.
-func Operator() []*cli.Command {
+// OperatorCommands returns the commands.
+func OperatorCommands() []*cli.Command {
 	return []*cli.Command{checkCommand(), explainCommand(), statusCommand(), auditCommand()}
 }
 
--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -25,7 +25,7 @@
 		Usage:       "take callers' requests and find each a backend server",
 		Version:     process.Version,
 		Description: process.ExitCodesHelp,
-		Commands:    append([]*cli.Command{serveCommand(), forwardCommand(), accountCommand(), demoCommand()}, commands.Operator()...),
+		Commands:    append([]*cli.Command{serveCommand(), forwardCommand(), accountCommand(), demoCommand()}, commands.OperatorCommands()...),
 	}
 	os.Exit(commands.Run(command, os.Args))
 }
--- a/host/cmd/arbutus-host/main.go
+++ b/host/cmd/arbutus-host/main.go
@@ -20,7 +20,7 @@
 		Usage:       "decide, beside one backend server, what its engines and services run",
 		Version:     process.Version,
 		Description: process.ExitCodesHelp,
-		Commands:    append([]*cli.Command{serveCommand()}, commands.Operator()...),
+		Commands:    append([]*cli.Command{serveCommand()}, commands.OperatorCommands()...),
 	}
 	os.Exit(commands.Run(command, os.Args))
 }
