--- a/core/netopts/refuses.go
+++ b/core/netopts/refuses.go
@@ -11,11 +11,11 @@
 // looks is how often a host is asked that does not answer in time.
 const looks = 2
 
-// Refuses says whether a host refuses connections to an address, as it does when the process that
+// RefusesConnections says whether a host refuses connections to an address, as it does when the process that
 // listened there has ended. A process that lives and breaks off an answer, is full or is paused, and
 // a host that is cut off, don't refuse. It opens a connection and sends nothing on it. The timeout is
 // that of one look.
-func Refuses(ctx context.Context, address string, timeout time.Duration) bool {
+func RefusesConnections(ctx context.Context, address string, timeout time.Duration) bool {
 	dialer := net.Dialer{Timeout: timeout, Control: Control}
 	return refuses(ctx, address, dialer.DialContext)
 }
--- a/core/netopts/refuses_test.go
+++ b/core/netopts/refuses_test.go
@@ -16,10 +16,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
-	require.False(t, Refuses(t.Context(), address, time.Second), "it listens, though it takes nothing")
+	require.False(t, RefusesConnections(t.Context(), address, time.Second), "it listens, though it takes nothing")
 	require.NoError(t, listener.Close())
-	require.True(t, Refuses(t.Context(), address, time.Second))
-	require.False(t, Refuses(t.Context(), "not an address", time.Second))
+	require.True(t, RefusesConnections(t.Context(), address, time.Second))
+	require.False(t, RefusesConnections(t.Context(), "not an address", time.Second))
 }
 
 // A busy host did not run this process for the whole timeout. The refusal was there meanwhile, and the end of a server
--- a/entry/gateway/ended.go
+++ b/entry/gateway/ended.go
@@ -84,5 +84,5 @@
 // hasEnded says whether a server's process is gone: a later start of it is known, or its host
 // refuses connections to its address.
 func (s *Server) hasEnded(ctx context.Context, server directory.Server) bool {
-	return s.superseded(server) || netopts.Refuses(ctx, server.Address, endTimeout)
+	return s.superseded(server) || netopts.RefusesConnections(ctx, server.Address, endTimeout)
 }
--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return false
 	}
-	return netopts.Refuses(ctx, base.Host, goneTimeout)
+	return netopts.RefusesConnections(ctx, base.Host, goneTimeout)
 }
 
 // Cancel ends a stream. It is idempotent.
