--- a/core/netopts/refuses.go
+++ b/core/netopts/refuses.go
@@ -30,7 +30,7 @@
 			_ = connection.Close()
 			return false
 		}
-		if IsRefused(err) {
+		if IsConnectionRefused(err) {
 			return true
 		}
 		var network net.Error
@@ -41,5 +41,5 @@
 	return false
 }
 
-// IsRefused says whether an error tells that a host refused a connection.
-func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnectionRefused says whether an error tells that a host refused a connection.
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -239,7 +239,7 @@
 	response, err := d.s.Dialer.HTTP().Do(request.WithContext(ctx))
 	if err != nil {
 		ended.Sent = !notSent(err)
-		if action.Resume && netopts.IsRefused(err) {
+		if action.Resume && netopts.IsConnectionRefused(err) {
 			d.s.noteEnd(d.t, action.Target.Server) // with the daemon beside it
 		}
 		d.streamFailed(action)
