--- a/core/platform/client.go
+++ b/core/platform/client.go
@@ -46,8 +46,8 @@
 const (
 	DefaultWatchWait = 25 * time.Second
 	DefaultTimeout   = 3 * time.Second
-	// MaxValue is the largest value that the platform holds, in bytes.
-	MaxValue = 1 << 20
+	// MaxValueBytes is the largest value that the platform holds, in bytes.
+	MaxValueBytes = 1 << 20
 )
 
 // Client calls the platform over HTTP.
@@ -117,7 +117,7 @@
 		return nil, 0, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValue+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValueBytes+1))
 	switch {
 	case err != nil:
 		return nil, 0, fmt.Errorf("%w: %v", ErrUnavailable, err)
@@ -125,8 +125,8 @@
 		return nil, 0, ErrSuperseded
 	case response.StatusCode/100 != 2:
 		return nil, 0, fmt.Errorf("%w: status %d", ErrUnavailable, response.StatusCode)
-	case len(body) > MaxValue:
-		return nil, 0, fmt.Errorf("%w: value above %d bytes", ErrUnavailable, MaxValue)
+	case len(body) > MaxValueBytes:
+		return nil, 0, fmt.Errorf("%w: value above %d bytes", ErrUnavailable, MaxValueBytes)
 	}
 	return body, response.StatusCode, nil
 }
