--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -30,7 +30,7 @@
 	var rows []membership.Listed
 	for name := range snapshot.Servers {
 		rows = append(rows, membership.Listed{Server: name})
-		core.Heard(now, name, execution.Incarnation(name+"#1"), false)
+		core.ObserveServer(now, name, execution.Incarnation(name+"#1"), false)
 		core.Observe("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
 	}
 	return core, rows, now
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -80,8 +80,8 @@
 	return c.view.Configure(now, names)
 }
 
-// Heard takes in who has sent a message.
-func (c *Core) Heard(now time.Time, server string, incarnation execution.Incarnation, draining bool) []membership.Change {
+// ObserveServer takes in who has sent a message.
+func (c *Core) ObserveServer(now time.Time, server string, incarnation execution.Incarnation, draining bool) []membership.Change {
 	return c.view.Heard(now, server, incarnation, draining)
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -151,7 +151,7 @@
 	}
 	s.ObserveEnvelope(envelope)
 	s.mu.Lock()
-	changes := s.core.Heard(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
+	changes := s.core.ObserveServer(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
 	s.mu.Unlock()
 	s.auditMembers(changes, "message")
 }
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -191,7 +191,7 @@
 			return
 		}
 		r := reply.(probeReply)
-		e.Core.Heard(e.lab.Now, p.Server, r.incarnation, r.draining)
+		e.Core.ObserveServer(e.lab.Now, p.Server, r.incarnation, r.draining)
 		if p.Hall != "" {
 			e.observe(p.Hall, p.Server, r.load)
 		}
@@ -321,7 +321,7 @@
 			report := e.report(r.Load)
 			answer.Report = &report
 		}
-		e.Core.Heard(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
+		e.Core.ObserveServer(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
 		e.Core.HandleOfferReply(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
 		e.feed(s, execution.OfferAnswered{Attempt: a.Attempt, Result: r.OfferResult})
 	})
