--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -31,7 +31,7 @@
 	for name := range snapshot.Servers {
 		rows = append(rows, membership.Listed{Server: name})
 		core.ObserveServer(now, name, execution.Incarnation(name+"#1"), false)
-		core.Observe("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
+		core.ObserveLoad("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
 	}
 	return core, rows, now
 }
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -134,8 +134,8 @@
 // Ended counts the end of an attempt that Sent has counted.
 func (c *Core) Ended(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
 
-// Observe takes in a load report.
-func (c *Core) Observe(pool, server string, report routing.Report) {
+// ObserveLoad takes in a load report.
+func (c *Core) ObserveLoad(pool, server string, report routing.Report) {
 	c.picker.Observe(pool, server, report)
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -198,7 +198,7 @@
 		now := time.Now()
 		report := wire.ToReport(now, m.Load, s.Store.Current().ClassRank)
 		s.mu.Lock()
-		s.core.Observe(t.query.Pool, server, report)
+		s.core.ObserveLoad(t.query.Pool, server, report)
 		s.mu.Unlock()
 	}
 	s.heard(m.Envelope)
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -118,5 +118,5 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Observe(probe.Hall, probe.Server, wire.ToReport(now, reply.Load, s.Store.Current().ClassRank))
+	s.core.ObserveLoad(probe.Hall, probe.Server, wire.ToReport(now, reply.Load, s.Store.Current().ClassRank))
 }
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -201,7 +201,7 @@
 // observe hands a load report to the core.
 func (e *Entry) observe(pool, server string, load scheduling.Load) {
 	if !e.lab.FreezeReports {
-		e.Core.Observe(pool, server, e.report(load))
+		e.Core.ObserveLoad(pool, server, e.report(load))
 	}
 }
 
