--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -73,7 +73,7 @@
 		})
 		b.Run(fmt.Sprintf("list/%d", servers), func(b *testing.B) {
 			for b.Loop() {
-				core.ReadList(now, rows)
+				core.ApplyHostList(now, rows)
 			}
 		})
 	}
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -85,8 +85,8 @@
 	return c.view.Heard(now, server, incarnation, draining)
 }
 
-// ReadList takes in the platform's list of hosts.
-func (c *Core) ReadList(now time.Time, rows []membership.Listed) ([]membership.Change, bool) {
+// ApplyHostList takes in the platform's list of hosts.
+func (c *Core) ApplyHostList(now time.Time, rows []membership.Listed) ([]membership.Change, bool) {
 	return c.view.ReadList(now, rows)
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -227,7 +227,7 @@
 		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Leaving})
 	}
 	s.mu.Lock()
-	changes, believed := s.core.ReadList(time.Now(), rows)
+	changes, believed := s.core.ApplyHostList(time.Now(), rows)
 	s.mu.Unlock()
 	s.auditMembers(changes, "list")
 	if !believed {
