--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -90,9 +90,9 @@
 	return c.view.ReadList(now, rows)
 }
 
-// Failed takes in that a server could not be reached or broke off; pool may be
+// RecordFailure takes in that a server could not be reached or broke off; pool may be
 // empty.
-func (c *Core) Failed(now time.Time, server, pool string) []membership.Change {
+func (c *Core) RecordFailure(now time.Time, server, pool string) []membership.Change {
 	c.picker.Failed(now, pool, server)
 	return c.view.Failed(now, server)
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -159,7 +159,7 @@
 // failed takes in that a server could not be reached or broke off.
 func (s *Server) failed(server, pool string) {
 	s.mu.Lock()
-	changes := s.core.Failed(time.Now(), server, pool)
+	changes := s.core.RecordFailure(time.Now(), server, pool)
 	s.mu.Unlock()
 	s.auditMembers(changes, "message")
 }
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -187,7 +187,7 @@
 		return probeReply{h.Core.Incarnation(), h.Core.Draining(), h.Core.Load(e.lab.Now, p.Hall)}
 	}, func(reply any, ok bool) {
 		if !ok {
-			e.Core.Failed(e.lab.Now, p.Server, "")
+			e.Core.RecordFailure(e.lab.Now, p.Server, "")
 			return
 		}
 		r := reply.(probeReply)
@@ -311,7 +311,7 @@
 	e.lab.call("offer", e.Name, h.Name, offerTimeout, func() any { return h.offer(offer, s, e) }, func(reply any, ok bool) {
 		if !ok {
 			e.Core.Ended(s.query, h.Name)
-			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
+			e.Core.RecordFailure(e.lab.Now, h.Name, s.query.Pool)
 			e.feed(s, execution.OfferLost{Attempt: a.Attempt})
 			return
 		}
@@ -336,7 +336,7 @@
 	}
 	e.lab.send(Message{kind, e.Name, h.Name}, serve, func() {
 		e.reach(func() {
-			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
+			e.Core.RecordFailure(e.lab.Now, h.Name, s.query.Pool)
 			e.feed(s, execution.StreamEnded{Attempt: a.Attempt, Sent: a.Resume})
 		})
 	})
@@ -371,7 +371,7 @@
 		return
 	}
 	s.heard = e.lab.Now
-	e.Core.Failed(e.lab.Now, s.core.Target().Server, s.query.Pool)
+	e.Core.RecordFailure(e.lab.Now, s.core.Target().Server, s.query.Pool)
 	e.feed(s, execution.StreamEnded{Attempt: id, Sent: true})
 }
 
