--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -52,7 +52,7 @@
 				q := routing.Query{Pool: "h", PromptTokens: 1500, AnswerTokens: 100}
 				core.Admit(now, "w", 1500)
 				_, target, _ := core.Pick(now, q)
-				core.Sent(now, q, target.Server)
+				core.AttemptSent(now, q, target.Server)
 				report := routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}}
 				core.HandleOfferReply(now, q, "w", target.Server, OfferReply{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
 				core.Ended(q, target.Server)
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -126,8 +126,8 @@
 	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
 }
 
-// Sent counts an attempt that is offered to a server.
-func (c *Core) Sent(now time.Time, q routing.Query, server string) {
+// AttemptSent counts an attempt that is offered to a server.
+func (c *Core) AttemptSent(now time.Time, q routing.Query, server string) {
 	c.picker.Sent(now, q.Pool, server, q)
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -168,7 +168,7 @@
 func (s *Server) sent(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Sent(time.Now(), t.query, server)
+	s.core.AttemptSent(time.Now(), t.query, server)
 }
 
 func (s *Server) ended(t *task, server string) {
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -301,7 +301,7 @@
 
 func (e *Entry) sendOffer(s *Submission, a execution.SendOffer) {
 	h := e.lab.Host(a.Target.Server)
-	e.Core.Sent(e.lab.Now, s.query, h.Name)
+	e.Core.AttemptSent(e.lab.Now, s.query, h.Name)
 	offer := backend.Offer{
 		Offer: execution.Offer{Attempt: a.Attempt, Request: s.id, Target: a.Target.Incarnation, Workspace: s.request.Workspace,
 			Service: s.request.Service, Key: s.request.Key, Expires: a.Expires},
