--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -55,7 +55,7 @@
 				core.AttemptSent(now, q, target.Server)
 				report := routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}}
 				core.HandleOfferReply(now, q, "w", target.Server, OfferReply{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
-				core.Ended(q, target.Server)
+				core.AttemptEnded(q, target.Server)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(servers), "bytes/server")
 		})
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -131,8 +131,8 @@
 	c.picker.Sent(now, q.Pool, server, q)
 }
 
-// Ended counts the end of an attempt that Sent has counted.
-func (c *Core) Ended(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
+// AttemptEnded counts the end of an attempt that Sent has counted.
+func (c *Core) AttemptEnded(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
 
 // ObserveLoad takes in a load report.
 func (c *Core) ObserveLoad(pool, server string, report routing.Report) {
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -174,7 +174,7 @@
 func (s *Server) ended(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Ended(t.query, server)
+	s.core.AttemptEnded(t.query, server)
 }
 
 // offered takes in what a reply to an offer tells besides its verdict.
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -310,7 +310,7 @@
 	}
 	e.lab.call("offer", e.Name, h.Name, offerTimeout, func() any { return h.offer(offer, s, e) }, func(reply any, ok bool) {
 		if !ok {
-			e.Core.Ended(s.query, h.Name)
+			e.Core.AttemptEnded(s.query, h.Name)
 			e.Core.RecordFailure(e.lab.Now, h.Name, s.query.Pool)
 			e.feed(s, execution.OfferLost{Attempt: a.Attempt})
 			return
@@ -360,7 +360,7 @@
 	s.heard, s.patience = e.lab.Now, wire.StreamIdle
 	e.observe(s.query.Pool, h.Name, load)
 	if frame.Last {
-		e.Core.Ended(s.query, h.Name)
+		e.Core.AttemptEnded(s.query, h.Name)
 	}
 	e.feed(s, execution.FrameArrived{Frame: frame})
 }
