--- a/core/backend/bench_test.go
+++ b/core/backend/bench_test.go
@@ -40,8 +40,8 @@
 		Entry: "e", Kind: "gloss", Hall: "h", Class: "short", PromptTokens: 1500, AnswerTokens: 100, Deadline: now.Add(20 * time.Second)}
 }
 
-// BenchmarkRequest: every decision of one request at its host, beside others
-// that run.
+// BenchmarkRequest measures all decisions of a host daemon for one request while
+// other requests run.
 func BenchmarkRequest(b *testing.B) {
 	for _, running := range []int{0, 16, 48} {
 		b.Run(fmt.Sprint(running), func(b *testing.B) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkIdleTick: what the tick of an idle daemon costs, forty times a second.
+// BenchmarkIdleTick measures the tick of an idle daemon, which runs 40 times per second.
 func BenchmarkIdleTick(b *testing.B) {
 	now := time.Unix(1000, 0)
 	core := newCore(b, now)
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkMessageSizes prints the bytes of the messages of one request and of
-// control, without HTTP's own.
+// BenchmarkMessageSizes logs the sizes of the messages of one request and of the
+// control messages in bytes, without HTTP overhead.
 func BenchmarkMessageSizes(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	id := "01a237e5-d293-7eab-8636-93ac79049b86"
--- a/core/backend/core.go
+++ b/core/backend/core.go
@@ -1,6 +1,6 @@
-// Package backend joins the host daemon's slices (execution, admission,
-// scheduling, memory, orders) into its one decision core. Core is pure: the
-// daemon, the tests and the experiments drive it alike.
+// Package backend combines the host daemon's components (execution, admission,
+// scheduling, memory, orders) into one state machine. Core does no I/O and reads
+// no clock, so that the daemon, tests and simulations can drive it.
 package backend
 
 import (
@@ -14,7 +14,7 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// Options are the parts of a Core.
+// Options configures a Core.
 type Options struct {
 	// Server is the name of the backend server in the configuration.
 	Server      string
@@ -23,11 +23,12 @@
 	Limits      admission.LimitOptions
 	Schedule    scheduling.Options
 	Orders      orders.Options
-	// RecoveryGrace is how long streams of a former daemon may stay.
+	// RecoveryGrace is the time for which streams of a previous daemon may
+	// continue.
 	RecoveryGrace time.Duration
 }
 
-// DefaultOptions returns the options of a server's daemon.
+// DefaultOptions returns the options for the daemon of a backend server.
 func DefaultOptions(server string, incarnation execution.Incarnation) Options {
 	return Options{
 		Server:        server,
@@ -40,7 +41,8 @@
 	}
 }
 
-// Core decides over everything on one backend server.
+// Core makes the decisions of one host daemon: admission, scheduling, memory and
+// orders of its backend server. It is not safe for concurrent use.
 type Core struct {
 	options   Options
 	snapshot  *config.Snapshot
@@ -53,16 +55,16 @@
 	orders    *orders.Reconciler
 	homes     *config.HomeSlots
 	groups    map[string]*groupQueue
-	work      map[execution.AttemptID]*work
+	attempts  map[execution.AttemptID]*attempt
 }
 
-// work is one accepted attempt.
-type work struct {
+// attempt is an accepted attempt that has not ended.
+type attempt struct {
 	offer Offer
 	job   scheduling.Job
 }
 
-// New returns the core of a daemon that starts now, without a configuration.
+// New returns a Core without a configuration for a daemon that starts at now.
 func New(now time.Time, options Options) *Core {
 	options.Ledger.Server, options.Ledger.Incarnation, options.Ledger.Began = options.Server, options.Incarnation, now
 	options.Orders.Server = options.Server
@@ -74,15 +76,15 @@
 		orders:    orders.New(now, options.Orders),
 		homes:     config.NewHomeSlots(options.Server),
 		groups:    map[string]*groupQueue{},
-		work:      map[execution.AttemptID]*work{},
+		attempts:  map[execution.AttemptID]*attempt{},
 	}
 	c.ledger = execution.NewLedger(options.Ledger, c.homes)
 	c.recovery = memory.NewRecovery(options.RecoveryGrace, c.leases)
 	return c
 }
 
-// Configure brings a snapshot into force. It returns the home slots whose former
-// holder is known here but not named by the snapshot.
+// Configure applies a snapshot. It returns the home slots whose former holder is
+// known here but missing from the snapshot.
 func (c *Core) Configure(now time.Time, snapshot *config.Snapshot) []string {
 	c.snapshot = snapshot
 	own := snapshot.Servers[c.options.Server]
@@ -101,26 +103,27 @@
 	return c.homes.Apply(now, snapshot)
 }
 
-// StartServing lets offers be accepted.
+// StartServing makes Core accept offers.
 func (c *Core) StartServing() { c.serving = true }
 
-// Drain refuses all new work from now on.
+// Drain makes Core refuse all new work.
 func (c *Core) Drain() { c.ledger.Drain() }
 
-// Draining says whether Drain was called.
+// Draining reports whether Drain was called.
 func (c *Core) Draining() bool { return c.ledger.Draining() }
 
-// StartedAt returns when this daemon started.
+// StartedAt returns the time at which this daemon started.
 func (c *Core) StartedAt() time.Time { return c.ledger.Began() }
 
-// Incarnation returns this start's name.
+// Incarnation returns the ID of this run of the daemon.
 func (c *Core) Incarnation() execution.Incarnation { return c.options.Incarnation }
 
 const (
-	// serviceMemory makes memory no bound for plain services.
-	serviceMemory = 1 << 50
-	// serviceRate makes the own work of a plain call negligible.
-	serviceRate = 1e6
+	// serviceMemoryTokens is high enough that memory never limits plain services.
+	serviceMemoryTokens = 1 << 50
+	// servicePrefillRate, in tokens per second, makes the prefill time of a call
+	// to a plain service negligible.
+	servicePrefillRate = 1e6
 )
 
 func engineSpecs(server string, snapshot *config.Snapshot) []scheduling.EngineSpec {
@@ -133,7 +136,7 @@
 		for _, at := range service.Servers {
 			if at == server {
 				specs = append(specs, scheduling.EngineSpec{Name: config.ServicePool(name), Hall: config.ServicePool(name), Slots: service.Concurrency,
-					MemoryTokens: serviceMemory, PrefillRate: serviceRate, LongShare: 1})
+					MemoryTokens: serviceMemoryTokens, PrefillRate: servicePrefillRate, LongShare: 1})
 			}
 		}
 	}
--- a/core/backend/effects.go
+++ b/core/backend/effects.go
@@ -8,51 +8,53 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// Effect is something that the adapter has to do. The Effect types are Start,
-// StopRun, Ended, Pause, Resume, SetPriority, AskPart, GiveBackPart and
-// CancelOrphan.
+// Effect is an action that Core asks its adapter to perform: StartRun, StopRun,
+// CloseStream, Pause, Resume, SetPriority, RequestPart, ReleasePart, CancelOrphan
+// or LeaseExpired.
 type Effect interface{ effect() }
 
 type (
-	// StartRun calls the engine, or the plain service, for an attempt. From here
-	// on it may have run.
+	// StartRun calls the engine, or the plain service, for an attempt. From this
+	// point the attempt counts as possibly executed.
 	StartRun struct {
 		Attempt  execution.AttemptID
 		Engine   string
 		Priority int
-		// Group lists the engines, as server/engine, that serve the prompt
-		// together; nil for one engine.
+		// Group lists the engines, as server/engine, that jointly serve the
+		// prompt; nil for a single engine.
 		Group []string
 	}
-	// StopRun ends a run that is under way; Finish reports its outcome.
+	// StopRun stops a running attempt; Core.Finish reports its outcome.
 	StopRun struct{ Attempt execution.AttemptID }
-	// CloseStream closes an attempt's answer.
+	// CloseStream ends an attempt's response stream with its outcome.
 	CloseStream struct {
 		Attempt execution.AttemptID
 		Outcome execution.Outcome
 		Refusal execution.Refusal
 	}
-	// Pause stops a stream and keeps its memory.
+	// Pause suspends a stream and keeps its memory.
 	Pause scheduling.Pause
-	// Resume lets a paused stream go on.
+	// Resume continues a paused stream.
 	Resume scheduling.Resume
-	// SetPriority changes a running stream's priority; lower goes first.
+	// SetPriority changes a running stream's priority; lower values run first.
 	SetPriority scheduling.SetPriority
-	// RequestPart asks a member of a group for its part; Part answers.
+	// RequestPart asks a member of a group to reserve its part;
+	// Core.PartReplied handles the reply.
 	RequestPart struct {
 		Group       string
 		Reservation string
 		Part        memory.Part
 		Expires     time.Time
 	}
-	// ReleasePart releases a member's part.
+	// ReleasePart makes a member of a group release its part.
 	ReleasePart struct {
 		Reservation string
 		Part        memory.Part
 	}
-	// CancelOrphan ends a stream that no living daemon owns.
+	// CancelOrphan cancels a stream that no running daemon owns.
 	CancelOrphan struct{ Stream memory.EngineStream }
-	// LeaseExpired tells that memory was taken back from a vanished owner.
+	// LeaseExpired reports that memory was reclaimed because its owner stopped
+	// renewing the lease.
 	LeaseExpired struct{ Lease memory.Lease }
 )
 
--- a/core/backend/end_test.go
+++ b/core/backend/end_test.go
@@ -11,9 +11,9 @@
 	"arbutusdeck/core/execution"
 )
 
-// A daemon ends while attempts run, wait for an engine and are only offered. Those that have not started are
-// refused as not run, and can't start any more; none of them takes the place of one that is stopped.
-func TestADaemonThatEndsRefusesWhatHasNotStarted(t *testing.T) {
+// The daemon shuts down while attempts are running, queued or only offered. Attempts that have not started are
+// refused as not run and can't start later; none of them is scheduled when a running attempt stops.
+func TestShutdownRefusesUnstartedAttempts(t *testing.T) {
 	const opened = 12
 	now := time.Unix(1000, 0)
 	core := newCore(t, now)
@@ -29,7 +29,7 @@
 		}
 	}
 	require.Equal(t, execution.Accepted, core.Offer(now, offer(now, "offered")).Verdict)
-	require.Less(t, len(started), opened, "some wait")
+	require.Less(t, len(started), opened, "some are queued")
 	core.Drain()
 	refused, stopped := map[execution.AttemptID]bool{}, map[execution.AttemptID]bool{}
 	for _, effect := range core.Shutdown(now) {
@@ -46,7 +46,7 @@
 	require.Len(t, refused, opened+1-len(started))
 	require.True(t, refused["offered"])
 	for id := range started {
-		require.Len(t, core.Finish(now, id, execution.Failed, execution.Refusal{}, execution.Answer{}), 1, "nothing starts in its place")
+		require.Len(t, core.Finish(now, id, execution.Failed, execution.Refusal{}, execution.Answer{}), 1, "no queued attempt is started instead")
 	}
 	_, refusal, _ := core.OpenStream(now, "offered", "a#1")
 	require.NotNil(t, refusal)
--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -12,10 +12,11 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// GroupLeaseDuration is how long a part of a group reservation lives unless renewed.
+// GroupLeaseDuration is the time after which a part of a group reservation
+// expires unless renewed.
 const GroupLeaseDuration = 6 * time.Second
 
-// GroupParts returns the engines of a group with their sizes.
+// GroupParts returns the engines of a group with their memory sizes in tokens.
 func GroupParts(snapshot *config.Snapshot, group config.Group) []memory.Part {
 	var parts []memory.Part
 	for _, member := range group.Members {
@@ -25,41 +26,43 @@
 	return parts
 }
 
-// groupRetry is the wait before parts that were refused are asked for again.
-const groupRetry = 500 * time.Millisecond
+// groupRetryDelay is the wait before refused parts are requested again.
+const groupRetryDelay = 500 * time.Millisecond
 
-// groupQueue serves the prompts of one group, one after the other. Those that
-// wait hold nothing.
+// groupQueue serves the prompts of one group sequentially. Waiting prompts hold no
+// reservation.
 type groupQueue struct {
 	reservations *memory.Group
 	waiting      []execution.AttemptID
-	// asking is the attempt whose parts are asked for, running the one that
-	// holds them; one of them at most is set.
-	asking, running execution.AttemptID
-	// reservation is the name of the one that is asked for or held.
+	// reserving is the attempt whose parts are being requested, running the
+	// attempt that holds its parts. At most one of them is set.
+	reserving, running execution.AttemptID
+	// reservation is the ID of the reservation that is being requested or held.
 	reservation string
-	tries       int
-	retryAt     time.Time
+	// reservationCount numbers the reservations, so that their IDs differ.
+	reservationCount int
+	retryAt          time.Time
 }
 
-// reservationMark stands between an attempt and the number of the try.
-const reservationMark = "~"
+// reservationSeparator separates the attempt from the number in a reservation ID.
+const reservationSeparator = "~"
 
-// reservationName returns a name of its own for each try. A member remembers for
-// a while what was released, so that a late message can't take a part again; a
-// second try under the same name would be refused for it.
-func reservationName(id execution.AttemptID, try int) string {
-	return fmt.Sprintf("%s%s%d", id, reservationMark, try)
+// reservationID returns a distinct ID for each reservation of an attempt. Members
+// remember released IDs for a while, so that a delayed message can't reserve a
+// part again; a new reservation under the same ID would be refused.
+func reservationID(id execution.AttemptID, number int) string {
+	return fmt.Sprintf("%s%s%d", id, reservationSeparator, number)
 }
 
-// attemptOf returns the attempt that a reservation is for.
+// attemptOf returns the attempt that a reservation belongs to.
 func attemptOf(reservation string) execution.AttemptID {
-	id, _, _ := strings.Cut(reservation, reservationMark)
+	id, _, _ := strings.Cut(reservation, reservationSeparator)
 	return execution.AttemptID(id)
 }
 
-// groupCapacity admits a prompt for an engine group that this daemon leads.
-func (c *Core) groupCapacity(now time.Time, offer Offer, job scheduling.Job) *execution.Refusal {
+// checkGroupCapacity returns a refusal if a prompt can't be admitted to an engine
+// group that this daemon leads.
+func (c *Core) checkGroupCapacity(now time.Time, offer Offer, job scheduling.Job) *execution.Refusal {
 	group, ok := c.snapshot.Groups[offer.Group]
 	if !ok || group.Lead != c.options.Server {
 		return &execution.Refusal{Code: execution.CodeNoServer, Detail: "this daemon does not lead the group"}
@@ -69,10 +72,10 @@
 	}
 	rate := c.scheduler.Rate(group.Hall) * float64(len(group.Members))
 	own := prefillTime(job.PromptTokens, rate)
-	return c.checkLimits(now, offer, job, own+prefillTime(c.groupTokens(c.groups[offer.Group]), rate), own)
+	return c.checkLimits(now, offer, job, own+prefillTime(c.groupBacklog(c.groups[offer.Group]), rate), own)
 }
 
-// groupLoad is the load of the hall's groups that this daemon leads.
+// groupLoad returns the load of the hall's groups that this daemon leads.
 func (c *Core) groupLoad(hall string) scheduling.Load {
 	var load scheduling.Load
 	for name, queue := range c.groups {
@@ -82,74 +85,77 @@
 		}
 		load.Rate += c.scheduler.Rate(hall) * float64(len(group.Members))
 		load.Waiting += len(queue.waiting)
-		for _, id := range append(slices.Clone(queue.waiting), queue.asking, queue.running) {
-			if w := c.work[id]; w != nil {
-				load.Classes = append(load.Classes, scheduling.ClassLoad{Class: w.job.Class, QueuedTokens: w.job.PromptTokens})
+		for _, id := range append(slices.Clone(queue.waiting), queue.reserving, queue.running) {
+			if a := c.attempts[id]; a != nil {
+				load.Classes = append(load.Classes, scheduling.ClassLoad{Class: a.job.Class, QueuedTokens: a.job.PromptTokens})
 			}
 		}
 	}
 	return load
 }
 
-// groupTokens is the prefill work ahead of a new prompt of the group.
-func (c *Core) groupTokens(queue *groupQueue) int64 {
+// groupBacklog returns the prompt tokens to prefill before a new prompt of the
+// group.
+func (c *Core) groupBacklog(queue *groupQueue) int64 {
 	var tokens int64
-	for _, id := range append(slices.Clone(queue.waiting), queue.asking, queue.running) {
-		if w := c.work[id]; w != nil {
-			tokens += w.job.PromptTokens
+	for _, id := range append(slices.Clone(queue.waiting), queue.reserving, queue.running) {
+		if a := c.attempts[id]; a != nil {
+			tokens += a.job.PromptTokens
 		}
 	}
 	return tokens
 }
 
-func (c *Core) queueGroup(now time.Time, w *work) []Effect {
-	queue := c.groups[w.offer.Group]
-	queue.waiting = append(queue.waiting, w.offer.Attempt)
-	return c.nextOfGroup(now, w.offer.Group)
+func (c *Core) enqueueGroup(now time.Time, a *attempt) []Effect {
+	queue := c.groups[a.offer.Group]
+	queue.waiting = append(queue.waiting, a.offer.Attempt)
+	return c.reserveNext(now, a.offer.Group)
 }
 
-// nextOfGroup asks for the parts of the next prompt, if none is under way.
-func (c *Core) nextOfGroup(now time.Time, name string) []Effect {
+// reserveNext requests the parts of the next waiting prompt, unless a reservation
+// is already requested or held.
+func (c *Core) reserveNext(now time.Time, name string) []Effect {
 	queue := c.groups[name]
-	if queue.asking != "" || queue.running != "" || len(queue.waiting) == 0 || now.Before(queue.retryAt) {
+	if queue.reserving != "" || queue.running != "" || len(queue.waiting) == 0 || now.Before(queue.retryAt) {
 		return nil
 	}
-	queue.asking = queue.waiting[0]
+	queue.reserving = queue.waiting[0]
 	queue.waiting = queue.waiting[1:]
-	w := c.work[queue.asking]
-	parts, _ := memory.Split(w.job.Memory(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
-	queue.tries++
-	queue.reservation = reservationName(queue.asking, queue.tries)
+	a := c.attempts[queue.reserving]
+	parts, _ := memory.Split(a.job.Memory(), GroupParts(c.snapshot, c.snapshot.Groups[name]))
+	queue.reservationCount++
+	queue.reservation = reservationID(queue.reserving, queue.reservationCount)
 	return c.groupEffects(now, name, queue.reservations.Begin(now, queue.reservation, parts))
 }
 
-// endGroup takes an attempt out of its group and gives its parts back.
-func (c *Core) endGroup(now time.Time, w *work) []Effect {
-	queue := c.groups[w.offer.Group]
+// leaveGroup removes an attempt from its group's queue and releases its parts.
+func (c *Core) leaveGroup(now time.Time, a *attempt) []Effect {
+	queue := c.groups[a.offer.Group]
 	if queue == nil {
 		return nil
 	}
-	id := w.offer.Attempt
+	id := a.offer.Attempt
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(other execution.AttemptID) bool { return other == id })
-	if queue.asking != id && queue.running != id {
+	if queue.reserving != id && queue.running != id {
 		return nil
 	}
-	queue.asking, queue.running = "", ""
-	effects := c.groupEffects(now, w.offer.Group, queue.reservations.End(queue.reservation))
-	return append(effects, c.nextOfGroup(now, w.offer.Group)...)
+	queue.reserving, queue.running = "", ""
+	effects := c.groupEffects(now, a.offer.Group, queue.reservations.End(queue.reservation))
+	return append(effects, c.reserveNext(now, a.offer.Group)...)
 }
 
 func (c *Core) tickGroups(now time.Time) []Effect {
 	var effects []Effect
 	for name, queue := range c.groups {
 		effects = append(effects, c.groupEffects(now, name, queue.reservations.Tick(now))...)
-		effects = append(effects, c.nextOfGroup(now, name)...)
+		effects = append(effects, c.reserveNext(now, name)...)
 	}
 	return effects
 }
 
-// reserved says whether a stream's owner holds a part of an engine here.
-func (c *Core) reserved(engine, stream string) bool {
+// holdsPart reports whether a stream's owner has reserved a part of an engine of
+// this server.
+func (c *Core) holdsPart(engine, stream string) bool {
 	for _, lease := range c.leases.Held() {
 		if lease.Engine == engine && !lease.Orphan && attemptOf(lease.Owner) == execution.AttemptID(stream) {
 			return true
@@ -158,7 +164,8 @@
 	return false
 }
 
-// PartReplied takes in a member's answer to AskPart; a lost one is a refusal.
+// PartReplied handles a member's reply to RequestPart. A lost reply counts as a
+// refusal.
 func (c *Core) PartReplied(now time.Time, ask RequestPart, granted bool) []Effect {
 	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.Answered(ask.Reservation, ask.Part, granted))
 }
@@ -174,50 +181,51 @@
 		case memory.GroupReady:
 			effects = append(effects, c.startGroup(a.Reservation)...)
 		case memory.GroupRefused:
-			effects = append(effects, c.refuseGroup(now, a.Reservation)...)
+			effects = append(effects, c.handleGroupRefusal(now, a.Reservation)...)
 		}
 	}
 	return effects
 }
 
-// startGroup runs the attempt on the lead's engine once all parts are held. The
-// parts are its memory, so it takes no lease of its own.
+// startGroup starts the attempt on the lead's engine once all parts are reserved.
+// The parts cover its memory, so it needs no further lease.
 func (c *Core) startGroup(reservation string) []Effect {
 	id := attemptOf(reservation)
-	w := c.work[id]
-	if w == nil || !c.ledger.Start(id) {
+	a := c.attempts[id]
+	if a == nil || !c.ledger.Start(id) {
 		return nil
 	}
-	queue := c.groups[w.offer.Group]
-	queue.asking, queue.running = "", id
-	group := c.snapshot.Groups[w.offer.Group]
+	queue := c.groups[a.offer.Group]
+	queue.reserving, queue.running = "", id
+	group := c.snapshot.Groups[a.offer.Group]
 	for _, member := range group.Members {
 		if server, engine, _ := strings.Cut(member, "/"); server == c.options.Server {
-			return []Effect{StartRun{Attempt: id, Engine: engine, Priority: w.job.Rank, Group: group.Members}}
+			return []Effect{StartRun{Attempt: id, Engine: engine, Priority: a.job.Rank, Group: group.Members}}
 		}
 	}
 	return nil
 }
 
-// refuseGroup handles a reservation that failed. One that waits is asked for
-// again a little later; a prompt that runs has lost a part and can't go on.
-func (c *Core) refuseGroup(now time.Time, reservation string) []Effect {
+// handleGroupRefusal handles a failed reservation. A prompt that has not started
+// is requeued and retried after groupRetryDelay; a running prompt has lost a part
+// and is stopped.
+func (c *Core) handleGroupRefusal(now time.Time, reservation string) []Effect {
 	id := attemptOf(reservation)
-	w := c.work[id]
-	if w == nil {
+	a := c.attempts[id]
+	if a == nil {
 		return nil
 	}
-	queue := c.groups[w.offer.Group]
+	queue := c.groups[a.offer.Group]
 	if queue.running == id {
 		return c.stopRun(id)
 	}
-	queue.asking = ""
+	queue.reserving = ""
 	queue.waiting = append([]execution.AttemptID{id}, queue.waiting...)
-	queue.retryAt = now.Add(groupRetry)
+	queue.retryAt = now.Add(groupRetryDelay)
 	return nil
 }
 
-// ReservePart books a part of a group reservation on an engine of this server.
+// ReservePart reserves a part of a group reservation on an engine of this server.
 func (c *Core) ReservePart(now time.Time, reservation string, part memory.Part, expires time.Time) error {
 	if err := c.scheduler.Hold(now, part.Engine, reservation, part.Tokens); err != nil {
 		return err
@@ -229,7 +237,7 @@
 	return err
 }
 
-// ReleasePart gives a part back; it is idempotent.
+// ReleasePart releases a part. It is idempotent.
 func (c *Core) ReleasePart(now time.Time, reservation string) []Effect {
 	c.leases.Release(now, reservation)
 	c.scheduler.Unhold(now, reservation)
--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -9,11 +9,11 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// Offer is an entry's offer with what admission and scheduling need. Lengths are
-// in tokens.
+// Offer is an entry's offer with the parameters for admission and scheduling.
+// Lengths are in tokens.
 type Offer struct {
 	execution.Offer
-	// Entry is the asking daemon.
+	// Entry is the name of the offering entry daemon.
 	Entry        string
 	Kind         string
 	Hall         string
@@ -21,11 +21,11 @@
 	PromptTokens int64
 	AnswerTokens int64
 	Deadline     time.Time
-	// Group names the engine group that is to serve the prompt, if one is.
+	// Group is the engine group that shall serve the prompt, or empty.
 	Group string
 }
 
-// Pool is the pool that the offer is for.
+// Pool returns the name of the pool that the offer is for.
 func (o Offer) Pool() string {
 	switch {
 	case o.Service != "":
@@ -36,41 +36,42 @@
 	return o.Hall
 }
 
-// Reply is the answer to an offer.
+// Reply is the reply to an offer.
 type Reply struct {
 	execution.OfferResult
 	Load scheduling.Load
-	// DemandShare is the part of the workspace's recent demand here that came
-	// through the asking entry.
+	// DemandShare is the fraction of the workspace's recent demand at this server
+	// that came through the offering entry.
 	DemandShare float64
-	// DemandKnown is false if too little demand was seen to say.
+	// DemandKnown is false if too little demand was observed to compute
+	// DemandShare.
 	DemandKnown bool
 }
 
-// Offer decides on an offer.
+// Offer accepts or refuses an offer.
 func (c *Core) Offer(now time.Time, offer Offer) Reply {
-	reply := Reply{OfferResult: c.decide(now, offer)}
+	reply := Reply{OfferResult: c.decideOffer(now, offer)}
 	reply.Load = c.Load(now, offer.Pool())
 	reply.DemandShare, reply.DemandKnown = c.limits.Demand(now, offer.Workspace, offer.Entry)
 	return reply
 }
 
-func (c *Core) decide(now time.Time, offer Offer) execution.OfferResult {
+func (c *Core) decideOffer(now time.Time, offer Offer) execution.OfferResult {
 	if c.snapshot == nil || !c.serving {
 		return c.ledger.Offer(now, offer.Offer, func() *execution.Refusal {
 			return &execution.Refusal{Code: execution.CodeRevisionBehind, Detail: "the daemon is starting", RetryAfter: time.Second}
 		})
 	}
-	job := c.jobOf(now, offer)
-	result := c.ledger.Offer(now, offer.Offer, func() *execution.Refusal { return c.capacity(now, offer, job) })
-	if result.Verdict == execution.Accepted && c.work[offer.Attempt] == nil {
+	job := c.newJob(now, offer)
+	result := c.ledger.Offer(now, offer.Offer, func() *execution.Refusal { return c.checkCapacity(now, offer, job) })
+	if result.Verdict == execution.Accepted && c.attempts[offer.Attempt] == nil {
 		c.limits.Opened(offer.Workspace)
-		c.work[offer.Attempt] = &work{offer: offer, job: job}
+		c.attempts[offer.Attempt] = &attempt{offer: offer, job: job}
 	}
 	return result
 }
 
-func (c *Core) jobOf(now time.Time, offer Offer) scheduling.Job {
+func (c *Core) newJob(now time.Time, offer Offer) scheduling.Job {
 	job := scheduling.Job{
 		Attempt: offer.Attempt, Workspace: offer.Workspace, Weight: c.snapshot.Workspaces[offer.Workspace].Weight, Hall: offer.Pool(),
 		PromptTokens: offer.PromptTokens, AnswerTokens: offer.AnswerTokens, FirstTokenBy: offer.Deadline,
@@ -84,10 +85,10 @@
 	return job
 }
 
-// capacity is the admission check of an offer.
-func (c *Core) capacity(now time.Time, offer Offer, job scheduling.Job) *execution.Refusal {
+// checkCapacity returns a refusal if an offer can't be admitted.
+func (c *Core) checkCapacity(now time.Time, offer Offer, job scheduling.Job) *execution.Refusal {
 	if offer.Group != "" {
-		return c.groupCapacity(now, offer, job)
+		return c.checkGroupCapacity(now, offer, job)
 	}
 	if !c.scheduler.Fits(job) {
 		return &execution.Refusal{Code: execution.CodeTooLong, Detail: "no engine here holds the prompt and its answer"}
@@ -106,7 +107,7 @@
 	})
 }
 
-// prefillTime is the time that tokens take at a speed in tokens a second.
+// prefillTime returns the time to prefill tokens at a rate in tokens per second.
 func prefillTime(tokens int64, rate float64) time.Duration {
 	return time.Duration(float64(tokens) / max(rate, 1) * float64(time.Second))
 }
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -12,27 +12,27 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// OpenStream queues an offered attempt. The outcome goes with a refusal.
+// OpenStream queues an offered attempt. The outcome is set only with a refusal.
 func (c *Core) OpenStream(now time.Time, id execution.AttemptID, target execution.Incarnation) (execution.Outcome, *execution.Refusal, []Effect) {
 	outcome, refusal := c.ledger.OpenStream(now, id, target)
 	if refusal != nil {
 		return outcome, refusal, nil
 	}
-	w := c.work[id]
-	if w.offer.Group != "" {
-		return 0, nil, c.queueGroup(now, w)
+	a := c.attempts[id]
+	if a.offer.Group != "" {
+		return 0, nil, c.enqueueGroup(now, a)
 	}
-	c.scheduler.Enqueue(now, w.job)
+	c.scheduler.Enqueue(now, a.job)
 	return 0, nil, c.schedule(now)
 }
 
-// schedule turns the scheduler's commands into effects.
+// schedule runs the scheduler and converts its commands into effects.
 func (c *Core) schedule(now time.Time) []Effect {
 	var effects []Effect
 	for _, command := range c.scheduler.Schedule(now) {
 		switch s := command.(type) {
 		case scheduling.Dispatch:
-			effects = append(effects, c.start(now, s)...)
+			effects = append(effects, c.startRun(now, s)...)
 		case scheduling.Pause:
 			effects = append(effects, Pause(s))
 		case scheduling.Resume:
@@ -44,19 +44,19 @@
 	return effects
 }
 
-// start passes the point of no return, unless the attempt was cancelled or its
-// memory can't be had.
-func (c *Core) start(now time.Time, dispatch scheduling.Dispatch) []Effect {
-	w := c.work[dispatch.Attempt]
-	if w == nil {
+// startRun marks an attempt as possibly executed and starts it, unless it was
+// cancelled or its memory can't be reserved.
+func (c *Core) startRun(now time.Time, dispatch scheduling.Dispatch) []Effect {
+	a := c.attempts[dispatch.Attempt]
+	if a == nil {
 		c.scheduler.Remove(now, dispatch.Attempt)
 		return nil
 	}
-	if w.offer.Service == "" {
-		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: w.job.Memory()}
+	if a.offer.Service == "" {
+		lease := memory.Lease{Owner: string(dispatch.Attempt), Engine: dispatch.Engine, Tokens: a.job.Memory()}
 		if err := c.leases.Grant(now, lease); err != nil {
-			c.cancelOwn(now, w)
-			return c.end(now, dispatch.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull,
+			c.cancelUnstarted(now, a)
+			return c.closeAttempt(now, dispatch.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull,
 				Detail: "the engine's memory is held by others", RetryAfter: time.Second})
 		}
 	}
@@ -68,38 +68,39 @@
 	return []Effect{StartRun{Attempt: dispatch.Attempt, Engine: dispatch.Engine, Priority: dispatch.Priority}}
 }
 
-// FirstToken tells that an attempt's answer has begun.
+// FirstToken records the first token of an attempt's response.
 func (c *Core) FirstToken(now time.Time, id execution.AttemptID) []Effect {
 	c.scheduler.FirstToken(now, id)
 	return c.schedule(now)
 }
 
-// Finish ends a run with what the engine's call showed.
+// Finish ends a run with the outcome of the engine's call.
 func (c *Core) Finish(now time.Time, id execution.AttemptID, outcome execution.Outcome, refusal execution.Refusal, answer execution.Answer) []Effect {
 	c.ledger.Finish(now, id, outcome, answer)
-	effects := c.end(now, id, outcome, refusal)
+	effects := c.closeAttempt(now, id, outcome, refusal)
 	return append(effects, c.schedule(now)...)
 }
 
-// end frees what an attempt held and closes its answer.
-func (c *Core) end(now time.Time, id execution.AttemptID, outcome execution.Outcome, refusal execution.Refusal) []Effect {
-	w := c.work[id]
-	if w == nil {
+// closeAttempt releases the resources of an attempt and closes its response
+// stream.
+func (c *Core) closeAttempt(now time.Time, id execution.AttemptID, outcome execution.Outcome, refusal execution.Refusal) []Effect {
+	a := c.attempts[id]
+	if a == nil {
 		return nil
 	}
-	delete(c.work, id)
+	delete(c.attempts, id)
 	c.scheduler.Remove(now, id)
 	c.leases.Release(now, string(id))
-	c.limits.Closed(w.offer.Workspace)
-	return append(c.endGroup(now, w), CloseStream{Attempt: id, Outcome: outcome, Refusal: refusal})
+	c.limits.Closed(a.offer.Workspace)
+	return append(c.leaveGroup(now, a), CloseStream{Attempt: id, Outcome: outcome, Refusal: refusal})
 }
 
-// Cancel ends an attempt at the entry's wish.
+// Cancel ends an attempt on request of its entry.
 func (c *Core) Cancel(now time.Time, request execution.CancelRequest) (execution.Outcome, []Effect) {
 	result := c.ledger.Cancel(now, request)
 	var effects []Effect
 	if result.Outcome == execution.NotRun {
-		effects = c.end(now, request.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeCancelled})
+		effects = c.closeAttempt(now, request.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeCancelled})
 	}
 	if result.StopRun {
 		effects = append(effects, c.stopRun(request.Attempt)...)
@@ -107,60 +108,63 @@
 	return result.Outcome, append(effects, c.schedule(now)...)
 }
 
-// Shutdown ends all attempts because the daemon ends. What has not started is refused as not run, so that its
-// entry can try another server at once; runs under way are stopped.
+// Shutdown ends all attempts when the daemon shuts down. Attempts that have not started are refused as not run,
+// so that their entries can try another server at once; running attempts are stopped.
 func (c *Core) Shutdown(now time.Time) []Effect {
 	var effects, stops []Effect
-	for _, id := range slices.Sorted(maps.Keys(c.work)) {
+	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
 		if c.Running(id) {
 			stops = append(stops, c.stopRun(id)...)
 			continue
 		}
-		c.cancelOwn(now, c.work[id])
-		effects = append(effects, c.end(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,
+		c.cancelUnstarted(now, c.attempts[id])
+		effects = append(effects, c.closeAttempt(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,
 			Detail: "the server's daemon ends", RetryAfter: time.Second})...)
 	}
 	return append(effects, stops...)
 }
 
-// cancelOwn cancels an attempt that has not started on the core's own account.
-func (c *Core) cancelOwn(now time.Time, w *work) {
-	c.ledger.Cancel(now, execution.CancelRequest{Attempt: w.offer.Attempt, Target: c.options.Incarnation, OfferExpires: now,
-		Workspace: w.offer.Workspace, Service: w.offer.Service, Key: w.offer.Key})
+// cancelUnstarted cancels an attempt that has not started, without a request of
+// its entry.
+func (c *Core) cancelUnstarted(now time.Time, a *attempt) {
+	c.ledger.Cancel(now, execution.CancelRequest{Attempt: a.offer.Attempt, Target: c.options.Incarnation, OfferExpires: now,
+		Workspace: a.offer.Workspace, Service: a.offer.Service, Key: a.offer.Key})
 }
 
-// stopRun ends a run under way. A plain service's call is let run to its end: it
-// can't be taken back, and its record answers resends.
+// stopRun stops a running attempt. A call to a plain service runs to completion:
+// it can't be undone, and its record answers retries with the same key.
 func (c *Core) stopRun(id execution.AttemptID) []Effect {
-	w := c.work[id]
-	if w == nil || w.offer.Service != "" {
+	a := c.attempts[id]
+	if a == nil || a.offer.Service != "" {
 		return nil
 	}
 	return []Effect{StopRun{id}}
 }
 
-// BodyLost tells that the prompt's connection broke. An attempt that has not
-// started can't run any more.
+// BodyLost handles the loss of the connection that carries the prompt. An attempt
+// that has not started is refused as not run.
 func (c *Core) BodyLost(now time.Time, id execution.AttemptID) []Effect {
-	w := c.work[id]
-	if w == nil || c.ledger.Phase(id) != execution.Queued {
+	a := c.attempts[id]
+	if a == nil || c.ledger.Phase(id) != execution.Queued {
 		return nil
 	}
-	c.cancelOwn(now, w)
-	return append(c.end(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeConnectionLost,
+	c.cancelUnstarted(now, a)
+	return append(c.closeAttempt(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeConnectionLost,
 		Detail: "the prompt's connection was lost"}), c.schedule(now)...)
 }
 
-// Running says whether this daemon runs the attempt.
+// Running reports whether this daemon runs the attempt.
 func (c *Core) Running(id execution.AttemptID) bool { return c.ledger.Phase(id) == execution.Running }
 
-// Attach and Detach tell that an attempt's stream is connected, or lost.
+// Attach records that an attempt's stream is connected. It reports whether the
+// ledger accepts the stream.
 func (c *Core) Attach(id execution.AttemptID) bool { return c.ledger.Attach(id) }
 
-// Detach starts the lease of an attempt without a stream.
+// Detach records that an attempt's stream was lost and starts the lease after
+// which the attempt expires.
 func (c *Core) Detach(now time.Time, id execution.AttemptID) { c.ledger.Detach(now, id) }
 
-// Load returns the present load of a pool; "" means all engines.
+// Load returns the current load of a pool; "" stands for all engines.
 func (c *Core) Load(now time.Time, pool string) scheduling.Load {
 	if hall, ok := config.HallOfGroupPool(pool); ok {
 		return c.groupLoad(hall)
@@ -168,7 +172,8 @@
 	return c.scheduler.Load(now, pool)
 }
 
-// Tick ends what has outlived its lease and does what is due.
+// Tick ends attempts and reservations whose leases have expired and runs the due
+// scheduling.
 func (c *Core) Tick(now time.Time) []Effect {
 	var effects []Effect
 	for _, lapsed := range c.ledger.Tick(now) {
@@ -176,7 +181,7 @@
 			effects = append(effects, c.stopRun(lapsed.Attempt)...)
 			continue
 		}
-		effects = append(effects, c.end(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
+		effects = append(effects, c.closeAttempt(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
 	}
 	for _, lease := range c.leases.Tick(now) {
 		c.scheduler.Unhold(now, lease.Owner)
@@ -186,25 +191,26 @@
 	return append(effects, c.schedule(now)...)
 }
 
-// ObserveEngine takes in what an engine reports of itself and returns the
-// streams to cancel that no living daemon owns.
+// ObserveEngine records the state that an engine reports and returns effects that
+// cancel streams without a running owner. asked is the time of the query.
 func (c *Core) ObserveEngine(asked time.Time, engine string, observed orders.Observed, streams []memory.EngineStream) []Effect {
 	c.orders.Observe(asked, engine, observed)
 	var effects []Effect
-	owned := func(stream string) bool { return c.owns(engine, stream) }
+	owned := func(stream string) bool { return c.ownsStream(engine, stream) }
 	for _, orphan := range c.recovery.Observe(asked, engine, streams, owned) {
 		effects = append(effects, CancelOrphan{orphan})
 	}
 	return effects
 }
 
-// owns says whether a stream has a living owner: an attempt that runs here, or a
-// group reservation of another daemon that holds a part of this engine.
-func (c *Core) owns(engine, stream string) bool {
-	return c.ledger.Phase(execution.AttemptID(stream)) == execution.Running || c.reserved(engine, stream)
+// ownsStream reports whether a stream has a running owner: an attempt of this
+// daemon, or a group reservation of another daemon that includes this engine.
+func (c *Core) ownsStream(engine, stream string) bool {
+	return c.ledger.Phase(execution.AttemptID(stream)) == execution.Running || c.holdsPart(engine, stream)
 }
 
-// OrdersDue returns the orders to send now; none once the daemon is leaving.
+// OrdersDue returns the orders to send now. It returns none before StartServing
+// and while draining.
 func (c *Core) OrdersDue(now time.Time) []orders.Order {
 	if c.ledger.Draining() || !c.serving {
 		return nil
@@ -212,10 +218,10 @@
 	return c.orders.Due(now)
 }
 
-// OrderSettled takes in the end of an order.
+// OrderSettled records the result of an order.
 func (c *Core) OrderSettled(now time.Time, engine string, result orders.Result, retryAfter time.Duration) {
 	c.orders.Settled(now, engine, result, retryAfter)
 }
 
-// ExpireAfterPause drops what was believed before the process was paused.
+// ExpireAfterPause discards observations made before a pause of the process.
 func (c *Core) ExpireAfterPause(now time.Time) { c.orders.Expire(now) }
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -47,7 +47,7 @@
 	{"an entry that ends asks its host", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened || true {", execution, "TestAnEntryThatEnds"},
 	{"an entry that ends waits once", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened {", execution, "TestAnEntryThatEnds"},
 	{"an entry that ends tries nothing again", "core/execution/request.go", "	case r.ending, r.attempts", "	case r.attempts", execution, "TestAnEntryThatEnds"},
-	{"a host that ends refuses what waits", "core/backend/run.go", "		c.cancelOwn(now, c.work[id])\n		effects = append(effects, c.end(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,\n			Detail: \"the server's daemon ends\", RetryAfter: time.Second})...)\n", "", "arbutusdeck/core/backend", "TestADaemonThatEnds"},
+	{"a host that ends refuses what waits", "core/backend/run.go", "		c.cancelUnstarted(now, c.attempts[id])\n		effects = append(effects, c.closeAttempt(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,\n			Detail: \"the server's daemon ends\", RetryAfter: time.Second})...)\n", "", "arbutusdeck/core/backend", "TestShutdownRefuses"},
 	{"start only from the queue", "core/execution/ledger.go", "	if !ok || a.phase != Queued {", "	if !ok {", execution, "TestLedger"},
 	{"key record answers a resend", "core/execution/ledger.go", "	if ran && !offer.Key.None() && record.Attempt != offer.Attempt {", "	if ran && false {", execution, explorer},
 	{"key barrier after a refusal or cancel", "core/execution/record.go", "now.Before(until) {\n		return &Refusal{Code: CodeKeyBarred", "false {\n		return &Refusal{Code: CodeKeyBarred", execution, explorer},
