--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -14,7 +14,7 @@
 	"arbutusdeck/core/routing"
 )
 
-func knownFleet(b *testing.B, servers int) (*Core, []membership.Listed, time.Time) {
+func newFleet(b *testing.B, servers int) (*Core, []membership.Listed, time.Time) {
 	var text strings.Builder
 	text.WriteString("lengthClasses: {short: {upTo: 8000, firstToken: 360ms}}\nhalls: {h: {model: m}}\nservers:\n")
 	for i := range servers {
@@ -36,14 +36,14 @@
 	return core, rows, now
 }
 
-// BenchmarkEntryRequest: an entry's decisions for one request.
+// BenchmarkEntryRequest measures an entry's decisions for one request.
 func BenchmarkEntryRequest(b *testing.B) {
 	for _, servers := range []int{20, 810} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			core, _, now := knownFleet(b, servers)
+			core, _, now := newFleet(b, servers)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportAllocs()
@@ -62,10 +62,11 @@
 	}
 }
 
-// BenchmarkEntryControl: one tick's look for probes, and one reading of the list.
+// BenchmarkEntryControl measures the selection of due probes in one tick, and the
+// processing of one host list.
 func BenchmarkEntryControl(b *testing.B) {
 	for _, servers := range []int{20, 810} {
-		core, rows, now := knownFleet(b, servers)
+		core, rows, now := newFleet(b, servers)
 		b.Run(fmt.Sprintf("probes/%d", servers), func(b *testing.B) {
 			for b.Loop() {
 				core.ProbesDue(now, false)
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -1,6 +1,7 @@
-// Package frontend joins the entry's slices (membership, routing, admission,
-// retry budget) into its one decision core. Core is pure and holds nothing that
-// matters: whatever it believes, the host daemons decide.
+// Package frontend combines the entry's components (membership, routing,
+// admission, retry budget) into one state machine. Core does no I/O and holds no
+// authoritative state: its picture of the fleet may be stale, and the host daemons
+// decide on every offer.
 package frontend
 
 import (
@@ -14,12 +15,12 @@
 	"arbutusdeck/core/routing"
 )
 
-// Options are the parts of a Core.
+// Options configures a Core.
 type Options struct {
 	Routing    routing.Options
 	Membership membership.Options
 	Shares     admission.ShareOptions
-	// Random draws routing's candidates.
+	// Random samples the candidate servers of routing and the targets of probes.
 	Random *rand.Rand
 	// RetryRatio and RetryBurst bound retries; see execution.RetryBudget.
 	RetryRatio float64
@@ -40,7 +41,7 @@
 	return options
 }
 
-// Core decides for one entry. It is not safe for concurrent use.
+// Core makes the decisions of one entry. It is not safe for concurrent use.
 type Core struct {
 	snapshot *config.Snapshot
 	picker   *routing.Picker
@@ -50,7 +51,7 @@
 	random   *rand.Rand
 }
 
-// New returns a core without a configuration.
+// New returns a Core without a configuration.
 func New(options Options) *Core {
 	return &Core{
 		picker: routing.New(options.Routing),
@@ -61,7 +62,7 @@
 	}
 }
 
-// Configure brings a snapshot into force.
+// Configure applies a snapshot and returns the resulting changes of membership.
 func (c *Core) Configure(now time.Time, snapshot *config.Snapshot) []membership.Change {
 	c.snapshot = snapshot
 	var names []string
@@ -80,80 +81,83 @@
 	return c.view.Configure(now, names)
 }
 
-// ObserveServer takes in who has sent a message.
+// ObserveServer records that a server has sent a message, with its incarnation and whether
+// it is draining.
 func (c *Core) ObserveServer(now time.Time, server string, incarnation execution.Incarnation, draining bool) []membership.Change {
 	return c.view.Heard(now, server, incarnation, draining)
 }
 
-// ApplyHostList takes in the platform's list of hosts.
+// ApplyHostList applies the platform's list of hosts; see membership.View.ReadList.
 func (c *Core) ApplyHostList(now time.Time, rows []membership.Listed) ([]membership.Change, bool) {
 	return c.view.ReadList(now, rows)
 }
 
-// RecordFailure takes in that a server could not be reached or broke off; pool may be
-// empty.
+// RecordFailure records that a server was unreachable or closed a connection early. pool
+// may be empty.
 func (c *Core) RecordFailure(now time.Time, server, pool string) []membership.Change {
 	c.picker.Failed(now, pool, server)
 	return c.view.Failed(now, server)
 }
 
-// ExpireAfterPause drops what was believed before the process was paused.
+// ExpireAfterPause discards observations made before a pause of the process.
 func (c *Core) ExpireAfterPause(now time.Time) []membership.Change {
 	c.picker.Expire()
 	return c.view.Expire(now)
 }
 
-// Incarnation returns the known incarnation of a server.
+// Incarnation returns the last known incarnation of a server.
 func (c *Core) Incarnation(server string) execution.Incarnation { return c.view.Incarnation(server) }
 
-// Admit spends the workspace's quota, or says when to come back.
+// Admit charges a request to the workspace's quota. If the quota is exhausted it
+// returns a refusal with the delay before a retry.
 func (c *Core) Admit(now time.Time, workspace string, promptTokens int64) *execution.Refusal {
 	w := c.snapshot.Workspaces[workspace]
 	quota := admission.Quota{RequestsPerSecond: w.RequestsPerSecond, TokensPerSecond: w.TokensPerSecond}
 	return c.shares.Admit(now, workspace, quota, promptTokens)
 }
 
-// CountRequest counts a request's first attempt in the retry budget.
+// CountRequest credits a request's first attempt to the retry budget.
 func (c *Core) CountRequest() { c.budget.FirstAttempt() }
 
-// TakeRetry takes a token of the retry budget.
+// TakeRetry takes a token from the retry budget and reports whether one was left.
 func (c *Core) TakeRetry(now time.Time) bool { return c.budget.Take(now) }
 
-// Pick chooses a server and counts the work that it is about to be offered.
+// Pick chooses a server for a query. It returns false if no server is eligible.
 func (c *Core) Pick(now time.Time, q routing.Query) (routing.Reason, execution.Target, bool) {
 	q.Eligible, q.Since = c.view.Eligible, c.view.Since
 	reason, ok := c.picker.Pick(now, q, c.random)
 	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
 }
 
-// AttemptSent counts an attempt that is offered to a server.
+// AttemptSent adds an attempt that is offered to a server to its load.
 func (c *Core) AttemptSent(now time.Time, q routing.Query, server string) {
 	c.picker.Sent(now, q.Pool, server, q)
 }
 
-// AttemptEnded counts the end of an attempt that Sent has counted.
+// AttemptEnded removes an attempt that AttemptSent has added.
 func (c *Core) AttemptEnded(q routing.Query, server string) { c.picker.Ended(q.Pool, server) }
 
-// ObserveLoad takes in a load report.
+// ObserveLoad records a load report.
 func (c *Core) ObserveLoad(pool, server string, report routing.Report) {
 	c.picker.Observe(pool, server, report)
 }
 
-// OfferReply is what a reply to an offer tells besides the verdict's meaning for the
-// request.
+// OfferReply is a host daemon's reply to an offer.
 type OfferReply struct {
 	Verdict execution.Verdict
 	Refusal *execution.Refusal
-	// Report is nil if the reply held no load.
+	// Report is nil if the reply carried no load.
 	Report *routing.Report
-	// DemandShare is the host's hint on this entry's part of the demand.
+	// DemandShare is the fraction of the workspace's demand at the host that came
+	// through this entry.
 	DemandShare float64
-	// DemandKnown is false if the host could not tell.
+	// DemandKnown is false if the host observed too little demand to compute
+	// DemandShare.
 	DemandKnown bool
 }
 
-// HandleOfferReply takes in a reply to an offer. A full server gets a slower pace; its
-// health is not doubted for it.
+// HandleOfferReply records a reply to an offer. A server with a full queue is
+// offered less work, but does not count as unhealthy.
 func (c *Core) HandleOfferReply(now time.Time, q routing.Query, workspace, server string, answer OfferReply) {
 	if answer.DemandKnown {
 		c.shares.Hint(now, workspace, answer.DemandShare)
@@ -171,11 +175,11 @@
 	}
 }
 
-// Probe is a server to ask how it is, and the hall whose load to ask for.
+// Probe is a server to probe and the hall whose load it shall report.
 type Probe struct{ Server, Hall string }
 
-// ProbesDue returns the servers that should be asked now. With refresh, a random
-// live one is among them, so that servers without work stay known.
+// ProbesDue returns the probes to send now. With refresh, it adds a random live
+// server, so that the load of idle servers does not become stale.
 func (c *Core) ProbesDue(now time.Time, refresh bool) []Probe {
 	if c.snapshot == nil {
 		return nil
@@ -191,7 +195,7 @@
 	return probes
 }
 
-// ProbeStarted notes that a probe is under way.
+// ProbeStarted records that a probe was sent.
 func (c *Core) ProbeStarted(now time.Time, server string) { c.view.Probing(now, server) }
 
 func (c *Core) randomLive() []string {
@@ -207,7 +211,7 @@
 	return []string{live[c.random.IntN(len(live))]}
 }
 
-// randomHall returns one hall that the server has engines of, or "".
+// randomHall returns a random hall among those of the server's engines, or "".
 func (c *Core) randomHall(server string) string {
 	halls := c.snapshot.HallsOf(server)
 	if len(halls) == 0 {
@@ -216,7 +220,7 @@
 	return halls[c.random.IntN(len(halls))]
 }
 
-// HasLiveServer says whether any server may be offered work.
+// HasLiveServer reports whether any server can be offered work.
 func (c *Core) HasLiveServer() bool {
 	for _, member := range c.view.Members() {
 		if member.State == membership.Live {
@@ -226,11 +230,13 @@
 	return false
 }
 
-// Members, Loads and Uses are for operators.
+// Members lists the known servers, for the status report.
 func (c *Core) Members() []membership.Member { return c.view.Members() }
 
-// Loads lists what is believed of every server's load.
+// Loads lists the last known or estimated load of every server, for the status
+// report.
 func (c *Core) Loads(now time.Time) []routing.ServerLoad { return c.picker.Loads(now) }
 
-// QuotaUsage lists how the workspaces' quotas are used here.
+// QuotaUsage lists the use of the workspaces' quotas at this entry, for the status
+// report.
 func (c *Core) QuotaUsage(now time.Time) []admission.Use { return c.shares.Uses(now) }
--- a/core/frontend/pools.go
+++ b/core/frontend/pools.go
@@ -10,8 +10,9 @@
 	"arbutusdeck/core/routing"
 )
 
-// serviceRate makes the own work of a plain call negligible in predictions.
-const serviceRate = 1e6
+// servicePrefillRate, in tokens per second, makes the prefill time of a call to a
+// plain service negligible in predictions.
+const servicePrefillRate = 1e6
 
 func poolSpecs(snapshot *config.Snapshot) map[string][]routing.ServerSpec {
 	pools := map[string][]routing.ServerSpec{}
@@ -21,7 +22,7 @@
 	for name, service := range snapshot.Services {
 		pool := config.ServicePool(name)
 		for _, server := range service.Servers {
-			pools[pool] = append(pools[pool], routing.ServerSpec{Name: server, Zone: snapshot.Servers[server].Zone, Rate: serviceRate, Engines: 1})
+			pools[pool] = append(pools[pool], routing.ServerSpec{Name: server, Zone: snapshot.Servers[server].Zone, Rate: servicePrefillRate, Engines: 1})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Groups)) {
@@ -60,17 +61,17 @@
 	return spec
 }
 
-// Placement is the pool for a prompt and, if engine groups serve it, which group
-// each lead server stands for.
+// Placement is the pool for a prompt. If the pool consists of engine groups, Groups
+// maps each lead server to its group.
 type Placement struct {
 	Pool   string
 	Groups map[string]string
 }
 
-// Place returns the pool for a prompt of a hall: the hall itself, or its groups
-// if prompt and answer would fill more than the share of an engine that long work
-// may hold. The refusal says that nothing holds them. tokens is the length of
-// both together.
+// Place returns the pool for a prompt of a hall: the hall itself, or its engine
+// groups if prompt and answer exceed config.LongMemoryShare of the largest engine's
+// memory. tokens is the total length of prompt and answer. It returns a refusal if
+// neither an engine nor a group has enough memory.
 func Place(snapshot *config.Snapshot, hall string, tokens int64) (Placement, *execution.Refusal) {
 	largest := int64(0)
 	for _, spec := range hallSpecs(snapshot, hall) {
