--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// largeFolder is a folder of the target: 810 servers, 270 workspaces in files of
-// their own, 4 halls.
+// largeFolder returns a folder with 4 halls, servers in files of 100, and one file
+// for each workspace. The largest fleet has 810 servers and 270 workspaces.
 func largeFolder(servers, workspaces int) []File {
 	var b strings.Builder
 	b.WriteString("lengthClasses: {short: {upTo: 8000, firstToken: 360ms}, long: {upTo: 1000000, firstToken: 4m, isolated: true}}\nhalls:\n")
@@ -18,16 +18,16 @@
 	b.WriteString("kinds:\n  gloss: {hall: h0, repeatable: true, deadline: 20s}\n")
 	files := []File{{"00.yaml", []byte(b.String())}}
 	for first := 0; first < servers; first += 100 {
-		var page strings.Builder
-		page.WriteString("servers:\n")
+		var text strings.Builder
+		text.WriteString("servers:\n")
 		for i := first; i < min(first+100, servers); i++ {
-			fmt.Fprintf(&page, "  s%03d: {address: '10.%d.%d.7:7300', zone: z%d, engines: {", i, i/250, i%250, i%7)
+			fmt.Fprintf(&text, "  s%03d: {address: '10.%d.%d.7:7300', zone: z%d, engines: {", i, i/250, i%250, i%7)
 			for e := range 4 {
-				fmt.Fprintf(&page, "e%d: {hall: h%d, memoryTokens: 480000, prefillRate: 16000, slots: 16}, ", e, i%4)
+				fmt.Fprintf(&text, "e%d: {hall: h%d, memoryTokens: 480000, prefillRate: 16000, slots: 16}, ", e, i%4)
 			}
-			page.WriteString("}}\n")
+			text.WriteString("}}\n")
 		}
-		files = append(files, File{fmt.Sprintf("10-%03d.yaml", first), []byte(page.String())})
+		files = append(files, File{fmt.Sprintf("10-%03d.yaml", first), []byte(text.String())})
 	}
 	for i := range workspaces {
 		files = append(files, File{fmt.Sprintf("20-%03d.yaml", i),
@@ -36,7 +36,7 @@
 	return files
 }
 
-// BenchmarkLoad: merging and checking a whole folder, done once a change.
+// BenchmarkLoad measures the merge and validation of a folder, done once per change.
 func BenchmarkLoad(b *testing.B) {
 	for _, servers := range []int{20, 200, 810} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -48,7 +48,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			kept, err := Load(1, files)
+			snapshot, err := Load(1, files)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -62,7 +62,7 @@
 			}
 			b.ReportMetric(float64(size), "folder-bytes")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "kept-bytes")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(snapshot)
 		})
 	}
 }
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -23,8 +23,8 @@
 	return rules
 }
 
-// checker collects every problem of a snapshot, so that an operator mends a
-// folder in one go.
+// checker collects all problems of a snapshot, so that an operator sees them at
+// once.
 type checker struct {
 	snapshot *Snapshot
 	problems []Problem
@@ -48,11 +48,12 @@
 }
 
 func (c *checker) add(path, format string, args ...any) {
-	problem := Problem{Position: c.snapshot.source.Find(path), Detail: path + ": " + fmt.Sprintf(format, args...)}
+	problem := Problem{Position: c.snapshot.provenance.Find(path), Detail: path + ": " + fmt.Sprintf(format, args...)}
 	c.problems = append(c.problems, problem)
 }
 
-// Find returns the place of a path or of its nearest parent that was written.
+// Find returns the position of a path, or of its nearest ancestor that stands in a
+// file.
 func (p Provenance) Find(path string) Position {
 	for path != "" {
 		if setting, ok := p[path]; ok {
@@ -74,18 +75,19 @@
 		return
 	}
 	for _, failure := range failures {
-		path := dotted(failure.Namespace())
-		c.add(path, "%s", ruleText(failure))
+		path := settingPath(failure.Namespace())
+		c.add(path, "%s", ruleMessage(failure))
 	}
 }
 
-// dotted turns the validator's Snapshot.kinds[gloss].hall into kinds.gloss.hall.
-func dotted(namespace string) string {
+// settingPath converts the validator's Snapshot.kinds[gloss].hall to
+// kinds.gloss.hall.
+func settingPath(namespace string) string {
 	_, path, _ := strings.Cut(namespace, ".")
 	return strings.NewReplacer("[", ".", "]", "").Replace(path)
 }
 
-func ruleText(failure validator.FieldError) string {
+func ruleMessage(failure validator.FieldError) string {
 	switch failure.Tag() {
 	case "required":
 		return "is missing or zero: give a value"
@@ -107,27 +109,27 @@
 	return "breaks the rule " + failure.Tag()
 }
 
-func keys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-func known[V any](c *checker, path, what, name string, among map[string]V) {
+func checkReference[V any](c *checker, path, what, name string, among map[string]V) {
 	if _, ok := among[name]; ok || name == "" {
 		return
 	}
-	c.add(path, "no %s is named %q; known: %s", what, name, strings.Join(keys(among), ", "))
+	c.add(path, "no %s is named %q; known: %s", what, name, strings.Join(sortedKeys(among), ", "))
 }
 
 func (c *checker) lengthClasses() {
 	s := c.snapshot
-	s.order = keys(s.LengthClasses)
-	slices.SortStableFunc(s.order, func(a, b string) int {
+	s.classNames = sortedKeys(s.LengthClasses)
+	slices.SortStableFunc(s.classNames, func(a, b string) int {
 		return cmp.Compare(s.LengthClasses[a].UpTo, s.LengthClasses[b].UpTo)
 	})
 	isolated := ""
-	for i, name := range s.order {
+	for i, name := range s.classNames {
 		class := s.LengthClasses[name]
 		path := "lengthClasses." + name
-		if i > 0 && class.UpTo == s.LengthClasses[s.order[i-1]].UpTo {
-			c.add(path+".upTo", "equals that of %s: classes need different bounds", s.order[i-1])
+		if i > 0 && class.UpTo == s.LengthClasses[s.classNames[i-1]].UpTo {
+			c.add(path+".upTo", "equals that of %s: classes need different bounds", s.classNames[i-1])
 		}
 		if isolated != "" && !class.Isolated {
 			c.add(path, "is longer than the isolated class %s, so it must be isolated too", isolated)
@@ -139,32 +141,32 @@
 }
 
 func (c *checker) kinds() {
-	for _, name := range keys(c.snapshot.Kinds) {
-		known(c, "kinds."+name+".hall", "hall", c.snapshot.Kinds[name].Hall, c.snapshot.Halls)
+	for _, name := range sortedKeys(c.snapshot.Kinds) {
+		checkReference(c, "kinds."+name+".hall", "hall", c.snapshot.Kinds[name].Hall, c.snapshot.Halls)
 	}
 }
 
 func (c *checker) servers() {
 	addresses := map[string]string{}
-	for _, name := range keys(c.snapshot.Servers) {
+	for _, name := range sortedKeys(c.snapshot.Servers) {
 		server := c.snapshot.Servers[name]
 		path := "servers." + name
 		if other, taken := addresses[server.Address]; taken {
 			c.add(path+".address", "%s is the address of %s too", server.Address, other)
 		}
 		addresses[server.Address] = name
-		for _, engine := range keys(server.Engines) {
-			known(c, path+".engines."+engine+".hall", "hall", server.Engines[engine].Hall, c.snapshot.Halls)
+		for _, engine := range sortedKeys(server.Engines) {
+			checkReference(c, path+".engines."+engine+".hall", "hall", server.Engines[engine].Hall, c.snapshot.Halls)
 		}
 	}
 }
 
 func (c *checker) groups() {
-	for _, name := range keys(c.snapshot.Groups) {
+	for _, name := range sortedKeys(c.snapshot.Groups) {
 		group := c.snapshot.Groups[name]
 		path := "groups." + name
-		known(c, path+".hall", "hall", group.Hall, c.snapshot.Halls)
-		known(c, path+".lead", "server", group.Lead, c.snapshot.Servers)
+		checkReference(c, path+".hall", "hall", group.Hall, c.snapshot.Halls)
+		checkReference(c, path+".lead", "server", group.Lead, c.snapshot.Servers)
 		seen := map[string]bool{}
 		for _, member := range group.Members {
 			if seen[member] {
@@ -182,12 +184,12 @@
 		c.add(path, "%q must be written server/engine", member)
 		return
 	}
-	known(c, path, "server", serverName, c.snapshot.Servers)
+	checkReference(c, path, "server", serverName, c.snapshot.Servers)
 	server, ok := c.snapshot.Servers[serverName]
 	if !ok {
 		return
 	}
-	known(c, path, "engine of "+serverName, engineName, server.Engines)
+	checkReference(c, path, "engine of "+serverName, engineName, server.Engines)
 	engine, ok := server.Engines[engineName]
 	if ok && engine.Hall != group.Hall {
 		c.add(path, "%s belongs to hall %s, the group to %s", member, engine.Hall, group.Hall)
@@ -195,13 +197,13 @@
 }
 
 func (c *checker) services() {
-	for _, name := range keys(c.snapshot.Services) {
+	for _, name := range sortedKeys(c.snapshot.Services) {
 		service := c.snapshot.Services[name]
 		path := "services." + name
 		for _, server := range service.Servers {
-			known(c, path+".servers", "server", server, c.snapshot.Servers)
+			checkReference(c, path+".servers", "server", server, c.snapshot.Servers)
 		}
-		for _, slot := range keys(service.Homes) {
+		for _, slot := range sortedKeys(service.Homes) {
 			c.homeSlot(path+".homes."+slot, service, service.Homes[slot])
 		}
 	}
@@ -223,13 +225,13 @@
 		if slices.Contains(slot.Retired, former) {
 			continue
 		}
-		known(c, path+".former", "server", former, c.snapshot.Servers)
+		checkReference(c, path+".former", "server", former, c.snapshot.Servers)
 	}
 }
 
 func (c *checker) workspaces() {
 	hashes := map[string]string{}
-	for _, name := range keys(c.snapshot.Workspaces) {
+	for _, name := range sortedKeys(c.snapshot.Workspaces) {
 		workspace := c.snapshot.Workspaces[name]
 		path := "workspaces." + name
 		for _, hash := range workspace.KeyHashes {
@@ -239,20 +241,21 @@
 			hashes[hash] = name
 		}
 		for _, kind := range workspace.Kinds {
-			known(c, path+".kinds", "kind", kind, c.snapshot.Kinds)
+			checkReference(c, path+".kinds", "kind", kind, c.snapshot.Kinds)
 		}
 		for _, service := range workspace.Services {
-			known(c, path+".services", "service", service, c.snapshot.Services)
+			checkReference(c, path+".services", "service", service, c.snapshot.Services)
 		}
-		for _, class := range keys(workspace.FirstToken) {
-			known(c, path+".firstToken", "length class", class, c.snapshot.LengthClasses)
+		for _, class := range sortedKeys(workspace.FirstToken) {
+			checkReference(c, path+".firstToken", "length class", class, c.snapshot.LengthClasses)
 		}
 	}
 }
 
-// entries checks that daemons can be told apart by name.
+// entries checks that no entry has the name of a server: daemons are identified by
+// name.
 func (c *checker) entries() {
-	for _, name := range keys(c.snapshot.Entries) {
+	for _, name := range sortedKeys(c.snapshot.Entries) {
 		if _, taken := c.snapshot.Servers[name]; taken {
 			c.add("entries."+name, "is the name of a server too: daemons are known by their names")
 		}
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// base is a small valid folder.
+// base is the first file of a small valid folder.
 const base = `
 lengthClasses:
   short: {upTo: 8000, firstToken: 400ms}
@@ -49,7 +49,7 @@
 		}},
 		{"the last of several wins", []string{"workspaces: {w: {weight: 3}}", "workspaces: {w: {weight: 5}}"}, func(t *testing.T, s *Snapshot) {
 			require.Equal(t, 5.0, s.Workspaces["w"].Weight)
-			require.Equal(t, Setting{Position{"11.yaml", 1}, "5"}, s.source["workspaces.w.weight"])
+			require.Equal(t, Setting{Position{"11.yaml", 1}, "5"}, s.provenance["workspaces.w.weight"])
 		}},
 		{"a list is replaced whole", []string{"services: {orders: {servers: [a, b]}}"}, func(t *testing.T, s *Snapshot) {
 			require.Equal(t, []string{"a", "b"}, s.Services["orders"].Servers)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Each refusal names the file, the line, what is wrong and what would be right.
-func TestRefusals(t *testing.T) {
+// An invalid folder is rejected with the file, the line, the problem and the expected value.
+func TestInvalidFolders(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown key", "kinds: {gloss: {hal: x}}", `10.yaml:1: unknown key "kinds.gloss.hal"; known here: deadline`},
 		{"unknown section", "\nkind: {}", `10.yaml:2: unknown key "kind"; known here: entries`},
@@ -113,8 +113,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Load(1, folder(c.text))
-			var refused *InvalidError
-			require.ErrorAs(t, err, &refused)
+			var invalid *InvalidError
+			require.ErrorAs(t, err, &invalid)
 			require.Contains(t, err.Error(), c.want)
 		})
 	}
@@ -137,26 +137,26 @@
 	}
 }
 
-// A platform or peer with older contents, or with other contents under the
-// revision in force, offers them again. Nothing goes back; a bad folder is
-// refused whole and the last good one stays.
-func TestStoreNeverGoesBack(t *testing.T) {
+// A platform or peer serves an older revision, or other contents under the current
+// revision. The store must not roll back. An invalid folder is rejected as a whole
+// and the current one stays.
+func TestStoreNeverRollsBack(t *testing.T) {
 	store := &Store{}
 	require.Equal(t, Applied, store.Apply(5, folder()).Verdict)
 	require.Equal(t, NotNewer, store.Apply(5, folder()).Verdict)
 	require.Equal(t, NotNewer, store.Apply(4, folder("workspaces: {w: {weight: 9}}")).Verdict)
 	require.Equal(t, Conflicting, store.Apply(5, folder("workspaces: {w: {weight: 9}}")).Verdict)
-	refused := store.Apply(6, folder("workspaces: {w: {weight: -9}}"))
-	require.Equal(t, Rejected, refused.Verdict)
-	require.Error(t, refused.Err)
+	rejected := store.Apply(6, folder("workspaces: {w: {weight: -9}}"))
+	require.Equal(t, Rejected, rejected.Verdict)
+	require.Error(t, rejected.Err)
 	require.Equal(t, uint64(5), store.Revision())
 	require.Equal(t, DefaultWeight, store.Current().Workspaces["w"].Weight)
 	require.Equal(t, Applied, store.Apply(7, folder("workspaces: {w: {weight: 9}}")).Verdict)
 }
 
-// The YAML library panics on a file. The folder is refused, the daemon lives on.
-func TestGuardTurnsAPanicIntoARefusal(t *testing.T) {
-	err := guard(Position{"bad.yaml", 1}, func() error { panic("index out of range") })
+// A panic of the YAML library rejects the folder and must not crash the daemon.
+func TestYAMLPanicRejectsTheFolder(t *testing.T) {
+	err := recoverPanic(Position{"bad.yaml", 1}, func() error { panic("index out of range") })
 	require.ErrorContains(t, err, "bad.yaml:1: not usable as YAML: index out of range")
 }
 
@@ -191,8 +191,8 @@
 	require.NotContains(t, strings.Join(texts, "\n"), "keyHashes")
 }
 
-// A slot moves to another server. The new holder must not run keys that the
-// former one may still run or may have run before.
+// A home slot moves to another server. The new holder must not run keys that the
+// former holder may still run or may have run before.
 func TestHomeSlotMoves(t *testing.T) {
 	const allowance = 2 * time.Second
 	start := time.Unix(1000, 0)
@@ -235,8 +235,8 @@
 	}
 }
 
-// FuzzLoad: whatever the files hold, Load returns a snapshot or a RefusedError
-// that names a place, and gives the same verdict twice.
+// FuzzLoad checks that Load never panics, returns a snapshot or an InvalidError for
+// any files, and gives the same result twice.
 func FuzzLoad(f *testing.F) {
 	f.Add(base, "workspaces: {w: {weight: 3}}")
 	f.Add("kinds: {a: null}", "kinds: [")
--- a/core/config/decode.go
+++ b/core/config/decode.go
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// decode turns the merged mapping into a snapshot, strictly.
+// decode decodes the merged mapping into a snapshot. Unknown keys are errors.
 func (m *merger) decode() (*Snapshot, error) {
 	snapshot := &Snapshot{}
 	if m.root == nil {
@@ -32,8 +32,8 @@
 	return snapshot, nil
 }
 
-// unknownKeys lists the keys that the type of a mapping does not have, in the
-// order of the files.
+// unknownKeys lists the keys of a mapping that its type t does not have, in file
+// order.
 func (m *merger) unknownKeys(mapping *ast.MappingNode, t reflect.Type, path string) []Problem {
 	var problems []Problem
 	for _, value := range mapping.Values {
@@ -41,7 +41,7 @@
 		inner, ok := elementOf(t, key)
 		if !ok {
 			detail := fmt.Sprintf("unknown key %q; known here: %s", join(path, key), strings.Join(slices.Sorted(maps.Keys(fieldsOf(t))), ", "))
-			problems = append(problems, Problem{m.place(value.Key), detail})
+			problems = append(problems, Problem{m.position(value.Key), detail})
 			continue
 		}
 		if nested, isMapping := asMapping(value.Value); isMapping && inner != nil {
@@ -51,7 +51,8 @@
 	return problems
 }
 
-// elementOf returns the type of a key's value, nil if it can't hold a mapping.
+// elementOf returns the type of a key's value, or nil if it can't hold a mapping.
+// It returns false for an unknown key.
 func elementOf(t reflect.Type, key string) (reflect.Type, bool) {
 	inner := t
 	switch t.Kind() {
@@ -70,21 +71,22 @@
 	return inner, true
 }
 
-// decodeProblem names the place of a decoding error and what would be right.
+// decodeProblem converts a decoding error to an InvalidError with the position and
+// the expected type.
 func (m *merger) decodeProblem(err error) error {
-	var mistyped *yaml.TypeError
-	if errors.As(err, &mistyped) {
-		return refuse(m.tokenPlace(mistyped.Token), "%s is wanted here, not %q", wantedText(mistyped.DstType), mistyped.Token.Value)
+	var typeError *yaml.TypeError
+	if errors.As(err, &typeError) {
+		return invalid(m.tokenPosition(typeError.Token), "%s is wanted here, not %q", expectedText(typeError.DstType), typeError.Token.Value)
 	}
 	var detailed yaml.Error
 	if errors.As(err, &detailed) {
-		return refuse(m.tokenPlace(detailed.GetToken()), "%s", detailed.GetMessage())
+		return invalid(m.tokenPosition(detailed.GetToken()), "%s", detailed.GetMessage())
 	}
-	return refuse(Position{}, "%s", shortError(err))
+	return invalid(Position{}, "%s", shortError(err))
 }
 
-// wantedText describes a type to an operator.
-func wantedText(t reflect.Type) string {
+// expectedText describes the expected type to an operator.
+func expectedText(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
@@ -111,8 +113,8 @@
 	return fields
 }
 
-// UnmarshalYAML accepts a text with a unit only: a bare number would leave the
-// unit to guesswork.
+// UnmarshalYAML accepts only a string with a unit, since the unit of a bare number
+// would be ambiguous.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	parsed, err := time.ParseDuration(text)
--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -7,32 +7,34 @@
 	"arbutusdeck/core/execution"
 )
 
-// HomeSlots decides at one host daemon whether a key that a caller made may run
-// here. The daemon holds a slot only if the configuration names it and states
-// that every former holder is retired.
+// HomeSlots decides at a host daemon whether a request with a caller-made
+// idempotency key can run at its server. The daemon owns a slot only if the
+// configuration names the server as holder and lists every former holder as
+// retired.
 //
-// A former holder may live on behind a partition and still accept; and if it
-// restarts under a stale platform, it does not remember having given the slot
-// up, so no acknowledgement of its would hold. Only the operators know that it
-// is off for good.
+// A former holder can still be running and accepting requests behind a network
+// partition. If it restarts while the platform serves stale contents, it does not
+// remember that it lost the slot, so an acknowledgement from it would not be
+// reliable. Only the operators know that it is permanently shut down.
 type HomeSlots struct {
 	server   string
 	snapshot *Snapshot
-	slots    map[homeKey]*heldSlot
+	slots    map[slotKey]*slotState
 }
 
-type homeKey struct{ service, slot string }
+type slotKey struct{ service, slot string }
 
-type heldSlot struct {
-	// former are holders seen by this daemon that the operators left out.
+type slotState struct {
+	// former are holders that this daemon has seen but the configuration omits.
 	former []string
-	// clear is set once every former holder is retired, since then.
-	clear bool
-	since time.Time
+	// exclusive is set while every former holder is retired, ownedSince to the
+	// start of that period.
+	exclusive  bool
+	ownedSince time.Time
 }
 
-// unretired returns a former holder that is not stated to be retired, or "".
-func (s *heldSlot) unretired(home HomeSlot) string {
+// unretired returns a former holder that is not listed as retired, or "".
+func (s *slotState) unretired(home HomeSlot) string {
 	for _, former := range append(slices.Clone(home.Former), s.former...) {
 		if !slices.Contains(home.Retired, former) {
 			return former
@@ -41,50 +43,50 @@
 	return ""
 }
 
-// NewHomeSlots returns the homes of a server that holds no slot yet.
+// NewHomeSlots returns a HomeSlots for a server that holds no slot yet.
 func NewHomeSlots(server string) *HomeSlots {
-	return &HomeSlots{server: server, slots: map[homeKey]*heldSlot{}}
+	return &HomeSlots{server: server, slots: map[slotKey]*slotState{}}
 }
 
-// Apply takes over a snapshot and returns the slots, as service/slot, whose
-// former holder this daemon has seen but the snapshot does not name.
+// Apply applies a snapshot. It returns the slots, as service/slot, whose former
+// holder this daemon has seen but the snapshot does not list.
 func (h *HomeSlots) Apply(now time.Time, snapshot *Snapshot) []string {
 	var unnamed []string
 	previous := h.snapshot
 	h.snapshot = snapshot
-	held := map[homeKey]*heldSlot{}
+	applied := map[slotKey]*slotState{}
 	for service := range snapshot.Services {
 		for slot, home := range snapshot.Services[service].Homes {
 			if home.Server != h.server {
 				continue
 			}
-			key := homeKey{service, slot}
-			kept := h.slots[key]
-			if kept == nil {
-				kept = &heldSlot{}
+			key := slotKey{service, slot}
+			state := h.slots[key]
+			if state == nil {
+				state = &slotState{}
 				if before := previousHolder(previous, service, slot); before != "" && before != h.server && !slices.Contains(home.Former, before) {
-					kept.former = []string{before}
+					state.former = []string{before}
 					unnamed = append(unnamed, service+"/"+slot)
 				}
 			}
-			kept.update(now, home)
-			held[key] = kept
+			state.update(now, home)
+			applied[key] = state
 		}
 	}
-	h.slots = held
+	h.slots = applied
 	slices.Sort(unnamed)
 	return unnamed
 }
 
-// update notes since when the slot is clear. Being named is not enough: until the
-// last former holder is off, it may run keys that are made meanwhile, and those
-// must not run here later.
-func (s *heldSlot) update(now time.Time, home HomeSlot) {
-	clear := s.unretired(home) == ""
-	if clear && !s.clear {
-		s.since = now
+// update records the start of exclusive ownership. It does not start when the
+// server is named as holder: until the last former holder is shut down, it may run
+// keys created in the meantime, which must not run at this server later.
+func (s *slotState) update(now time.Time, home HomeSlot) {
+	exclusive := s.unretired(home) == ""
+	if exclusive && !s.exclusive {
+		s.ownedSince = now
 	}
-	s.clear = clear
+	s.exclusive = exclusive
 }
 
 func previousHolder(snapshot *Snapshot, service, slot string) string {
@@ -94,26 +96,27 @@
 	return snapshot.Services[service].Homes[slot].Server
 }
 
-// Check returns nil if a key made by a caller may run here. Keys made before
-// this daemon held the slot may have run at a former holder.
-func (h *HomeSlots) Check(service, key string, made time.Time, allowance time.Duration) *execution.Refusal {
+// Check returns nil if a request with a caller-made key can run at this server. It
+// refuses keys created before this server owned the slot, plus an allowance for
+// clock skew, since they may have run at a former holder.
+func (h *HomeSlots) Check(service, key string, created time.Time, allowance time.Duration) *execution.Refusal {
 	if h.snapshot == nil {
-		return notHome("no configuration is in force")
+		return refuseNotHome("no configuration is in force")
 	}
 	slot, home, ok := h.snapshot.HomeSlotOf(service, key)
 	if !ok || home.Server != h.server {
-		return notHome("another server is the key's home")
+		return refuseNotHome("another server is the key's home")
 	}
-	held := h.slots[homeKey{service, slot}]
-	if former := held.unretired(home); former != "" {
-		return notHome("the former home " + former + " is not stated to be retired")
+	state := h.slots[slotKey{service, slot}]
+	if former := state.unretired(home); former != "" {
+		return refuseNotHome("the former home " + former + " is not stated to be retired")
 	}
-	if made.Before(held.since.Add(allowance)) {
+	if created.Before(state.ownedSince.Add(allowance)) {
 		return &execution.Refusal{Code: execution.CodeKeyHomeLost, Detail: "the key was made before this home held its slot"}
 	}
 	return nil
 }
 
-func notHome(detail string) *execution.Refusal {
+func refuseNotHome(detail string) *execution.Refusal {
 	return &execution.Refusal{Code: execution.CodeKeyNotHome, Detail: detail}
 }
--- a/core/config/lookup.go
+++ b/core/config/lookup.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ClassOf returns the name of the length class of a prompt, or false if the
-// prompt is longer than every class.
+// ClassOf returns the name of a prompt's length class, or false if the prompt is
+// longer than the longest class.
 func (s *Snapshot) ClassOf(promptTokens int64) (string, bool) {
-	for _, name := range s.order {
+	for _, name := range s.classNames {
 		if promptTokens <= s.LengthClasses[name].UpTo {
 			return name, true
 		}
@@ -20,14 +20,14 @@
 	return "", false
 }
 
-// ClassNames returns the length classes, shortest first.
-func (s *Snapshot) ClassNames() []string { return s.order }
+// ClassNames returns the names of the length classes, shortest first.
+func (s *Snapshot) ClassNames() []string { return s.classNames }
 
-// ClassRank returns the place of a class in ClassNames, or -1.
-func (s *Snapshot) ClassRank(name string) int { return slices.Index(s.order, name) }
+// ClassRank returns the index of a class in ClassNames, or -1.
+func (s *Snapshot) ClassRank(name string) int { return slices.Index(s.classNames, name) }
 
 // FirstTokenTarget returns the target for the time to first token. The
-// workspace's own target goes first, then the kind's, then the class's.
+// workspace's target overrides the kind's, which overrides the class's.
 func (s *Snapshot) FirstTokenTarget(workspace, kind, class string) time.Duration {
 	if target, ok := s.Workspaces[workspace].FirstToken[class]; ok {
 		return target.D()
@@ -38,10 +38,10 @@
 	return s.LengthClasses[class].FirstToken.D()
 }
 
-// HallServers returns the servers that have an engine of the hall, by name.
+// HallServers returns the servers with an engine of the hall, sorted by name.
 func (s *Snapshot) HallServers(hall string) []string {
 	var names []string
-	for _, name := range keys(s.Servers) {
+	for _, name := range sortedKeys(s.Servers) {
 		for _, engine := range s.Servers[name].Engines {
 			if engine.Hall == hall {
 				names = append(names, name)
@@ -52,8 +52,9 @@
 	return names
 }
 
-// WorkspaceByKeyHash returns the workspace whose keyHashes hold the hash. The hash
-// is of the caller's key, so the comparison time tells nothing of the key.
+// WorkspaceByKeyHash returns the workspace with the hash of an API key. The
+// comparison need not be constant-time: its duration depends on the hash and
+// reveals nothing of the key.
 func (s *Snapshot) WorkspaceByKeyHash(hash string) (string, bool) {
 	for name, workspace := range s.Workspaces {
 		if slices.Contains(workspace.KeyHashes, hash) {
@@ -63,13 +64,13 @@
 	return "", false
 }
 
-// HomeSlotOf returns the home slot of a key made by a caller: rendezvous hashing
-// over the slot names. The names are fixed by the configuration, so entries
-// with different views of the fleet agree.
+// HomeSlotOf returns the home slot of a caller-made key by rendezvous hashing over
+// the slot names. The names are fixed by the configuration, so entries with
+// different views of the fleet agree.
 func (s *Snapshot) HomeSlotOf(service, key string) (string, HomeSlot, bool) {
 	homes := s.Services[service].Homes
 	best, bestScore := "", uint64(0)
-	for _, name := range keys(homes) {
+	for _, name := range sortedKeys(homes) {
 		score := xxhash.Sum64String(name + "\x00" + key)
 		if best == "" || score > bestScore {
 			best, bestScore = name, score
@@ -78,33 +79,33 @@
 	return best, homes[best], best != ""
 }
 
-// Explanation is one setting in force and the place that set it.
+// Explanation is one effective setting and the position that set it.
 type Explanation struct {
 	Path     string
 	Value    string
 	Position Position
-	// Default is set when no file says so.
+	// Default is set if no file contains the setting.
 	Default bool
 }
 
-// Explain lists the settings that decide over a request of a workspace, kind
-// and prompt length, each with the file that set it.
+// Explain lists the settings that apply to a request of a workspace, kind and
+// prompt length, each with the position that set it.
 func (s *Snapshot) Explain(workspace, kind string, promptTokens int64) ([]Explanation, error) {
 	if _, ok := s.Workspaces[workspace]; !ok {
-		return nil, fmt.Errorf("no workspace is named %q; known: %v", workspace, keys(s.Workspaces))
+		return nil, fmt.Errorf("no workspace is named %q; known: %v", workspace, sortedKeys(s.Workspaces))
 	}
 	k, ok := s.Kinds[kind]
 	if !ok {
-		return nil, fmt.Errorf("no kind is named %q; known: %v", kind, keys(s.Kinds))
+		return nil, fmt.Errorf("no kind is named %q; known: %v", kind, sortedKeys(s.Kinds))
 	}
 	class, ok := s.ClassOf(promptTokens)
 	if !ok {
-		longest := s.order[len(s.order)-1]
+		longest := s.classNames[len(s.classNames)-1]
 		return nil, fmt.Errorf("%d tokens are above the longest class, %s (%d)", promptTokens, longest, s.LengthClasses[longest].UpTo)
 	}
 	paths := s.explainPaths(workspace, kind, class, k.Hall)
 	for i := range paths {
-		setting, written := s.source[paths[i].Path]
+		setting, written := s.provenance[paths[i].Path]
 		paths[i].Position, paths[i].Default = setting.Position, !written
 	}
 	return paths, nil
@@ -143,29 +144,29 @@
 	return "lengthClasses." + class + ".firstToken"
 }
 
-// Change is one difference between two snapshots; the zero Setting stands for a
-// path that is not there.
+// Change is a difference between two snapshots. The zero Setting stands for an
+// absent path.
 type Change struct {
 	Path string
 	From Setting
 	To   Setting
 }
 
-// Changes lists the values that differ, in path order. A value that only moved to
-// another line or file is no change.
+// Changes lists the values that differ, sorted by path. A value that only moved to
+// another line or file is not a change.
 func Changes(from, to *Snapshot) []Change {
 	var before Provenance
 	if from != nil {
-		before = from.source
+		before = from.provenance
 	}
 	var changes []Change
 	for path, old := range before {
-		if _, kept := to.source[path]; !kept {
+		if _, exists := to.provenance[path]; !exists {
 			changes = append(changes, Change{Path: path, From: old})
 		}
 	}
-	for path, setting := range to.source {
-		if old, known := before[path]; !known || old.Value != setting.Value {
+	for path, setting := range to.provenance {
+		if old, existed := before[path]; !existed || old.Value != setting.Value {
 			changes = append(changes, Change{Path: path, From: before[path], To: setting})
 		}
 	}
@@ -173,7 +174,7 @@
 	return changes
 }
 
-// String gives the value with its place.
+// String returns the value with its position.
 func (s Setting) String() string {
 	if s.Position == (Position{}) {
 		return ""
@@ -184,9 +185,9 @@
 	return s.Value + " (" + s.Position.String() + ")"
 }
 
-// Peers lists the daemons that the snapshot names, other than self, by name, and
-// self's place among them all.
-func (s *Snapshot) Peers(self string) (peers []Peer, turn int) {
+// Peers lists the daemons of the snapshot other than self, sorted by name, and
+// returns self's index among all of them.
+func (s *Snapshot) Peers(self string) (peers []Peer, index int) {
 	all := map[string]string{}
 	for name, server := range s.Servers {
 		all[name] = server.Address
@@ -194,17 +195,17 @@
 	for name, entry := range s.Entries {
 		all[name] = entry.PeerAddress
 	}
-	for i, name := range keys(all) {
+	for i, name := range sortedKeys(all) {
 		if name == self {
-			turn = i
+			index = i
 			continue
 		}
 		peers = append(peers, Peer{Name: name, Address: all[name]})
 	}
-	return peers, turn
+	return peers, index
 }
 
-// AddressOf returns where the daemon of a server or entry is reached.
+// AddressOf returns the address of the daemon of a server or entry.
 func (s *Snapshot) AddressOf(daemon string) (string, bool) {
 	if server, ok := s.Servers[daemon]; ok {
 		return server.Address, true
@@ -213,11 +214,11 @@
 	return entry.PeerAddress, ok
 }
 
-// HallsOf returns the halls that a server has engines of, by name.
+// HallsOf returns the halls of a server's engines, sorted by name.
 func (s *Snapshot) HallsOf(server string) []string {
 	halls := map[string]bool{}
 	for _, engine := range s.Servers[server].Engines {
 		halls[engine.Hall] = true
 	}
-	return keys(halls)
+	return sortedKeys(halls)
 }
--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -14,13 +14,13 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// File is one file of the configuration folder.
+// File is a file of the configuration folder.
 type File struct {
 	Name    string
 	Content []byte
 }
 
-// Position is where a value was written.
+// Position is a line of a file of the folder.
 type Position struct {
 	File string
 	Line int
@@ -28,7 +28,7 @@
 
 func (p Position) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Setting is one value as it was written.
+// Setting is a value as written in a file.
 type Setting struct {
 	Position Position
 	// Value is the text of a scalar or list; empty for a mapping.
@@ -36,10 +36,10 @@
 }
 
 // Provenance maps a dotted path, as in workspaces.scuole.weight, to the setting
-// that holds.
+// that takes effect after the merge.
 type Provenance map[string]Setting
 
-// Problem is one reason to refuse a folder.
+// Problem is a reason to reject a folder.
 type Problem struct {
 	Position Position
 	Detail   string
@@ -47,7 +47,7 @@
 
 func (p Problem) String() string { return p.Position.String() + ": " + p.Detail }
 
-// InvalidError says why a folder was refused as a whole.
+// InvalidError lists the problems of a rejected folder.
 type InvalidError struct{ Problems []Problem }
 
 func (e *InvalidError) Error() string {
@@ -58,38 +58,39 @@
 	return "configuration refused: " + strings.Join(lines, "; ")
 }
 
-func refuse(place Position, format string, args ...any) *InvalidError {
-	return &InvalidError{Problems: []Problem{{Position: place, Detail: fmt.Sprintf(format, args...)}}}
+func invalid(position Position, format string, args ...any) *InvalidError {
+	return &InvalidError{Problems: []Problem{{Position: position, Detail: fmt.Sprintf(format, args...)}}}
 }
 
-// Digest identifies the content of a folder: names and contents in name order.
+// Digest returns the xxhash of the names and contents of a folder's files, in name
+// order.
 func Digest(files []File) uint64 {
 	sum := xxhash.New()
-	for _, file := range sorted(files) {
+	for _, file := range sortedByName(files) {
 		fmt.Fprintf(sum, "%d:%s%d:", len(file.Name), file.Name, len(file.Content))
 		_, _ = sum.Write(file.Content)
 	}
 	return sum.Sum64()
 }
 
-func sorted(files []File) []File {
+func sortedByName(files []File) []File {
 	ordered := slices.Clone(files)
 	slices.SortFunc(ordered, func(a, b File) int { return strings.Compare(a.Name, b.Name) })
 	return ordered
 }
 
-// Load merges the folder in name order, decodes it strictly and checks it as a
-// whole. It is a pure function of the files, so every daemon reaches the same
-// verdict. The error is a *RefusedError.
+// Load merges the files in name order, decodes them strictly and validates the
+// result. It is a pure function of the files, so all daemons accept and reject the
+// same folders. The error is an *InvalidError.
 func Load(revision uint64, files []File) (*Snapshot, error) {
-	m := &merger{places: Provenance{}, owner: map[*token.Token]string{}, index: map[*ast.MappingNode]map[string]int{}}
-	for _, file := range sorted(files) {
-		if err := guard(Position{file.Name, 1}, func() error { return m.add(file) }); err != nil {
+	m := &merger{provenance: Provenance{}, files: map[*token.Token]string{}, index: map[*ast.MappingNode]map[string]int{}}
+	for _, file := range sortedByName(files) {
+		if err := recoverPanic(Position{file.Name, 1}, func() error { return m.add(file) }); err != nil {
 			return nil, err
 		}
 	}
 	var snapshot *Snapshot
-	err := guard(Position{}, func() (err error) {
+	err := recoverPanic(Position{}, func() (err error) {
 		snapshot, err = m.decode()
 		return err
 	})
@@ -98,7 +99,7 @@
 	}
 	snapshot.Revision = revision
 	snapshot.Digest = Digest(files)
-	snapshot.source = m.places
+	snapshot.provenance = m.provenance
 	snapshot.applyDefaults()
 	if problems := snapshot.check(); len(problems) > 0 {
 		return nil, &InvalidError{Problems: problems}
@@ -106,25 +107,26 @@
 	return snapshot, nil
 }
 
-// guard turns a panic of the YAML library into a refusal. Every daemon reads the
-// same folder: without it, one malformed file would end the whole fleet at once.
-func guard(place Position, read func() error) (err error) {
+// recoverPanic converts a panic of the YAML library to an InvalidError. All daemons
+// read the same folder, so one malformed file could otherwise crash the whole
+// fleet.
+func recoverPanic(position Position, read func() error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = refuse(place, "not usable as YAML: %v", cause)
+			err = invalid(position, "not usable as YAML: %v", cause)
 		}
 	}()
 	return read()
 }
 
-// merger folds files into one mapping. Mappings merge key by key; any other
-// value, lists included, replaces what stood there; null deletes the key.
+// merger merges files into one mapping. Mappings are merged key by key; any other
+// value, including a list, replaces the previous one; null deletes the key.
 type merger struct {
-	root   *ast.MappingNode
-	places Provenance
-	owner  map[*token.Token]string
-	// index gives the place of each key of a merged mapping: a folder of a
-	// large fleet has hundreds of entries in one.
+	root       *ast.MappingNode
+	provenance Provenance
+	files      map[*token.Token]string
+	// index caches the indices of the keys of merged mappings, which have
+	// hundreds of keys in the folder of a large fleet.
 	index map[*ast.MappingNode]map[string]int
 }
 
@@ -134,68 +136,68 @@
 	}
 	parsed, err := parser.ParseBytes(file.Content, 0)
 	if err != nil {
-		return refuse(Position{file.Name, errorLine(err)}, "not valid YAML: %s", shortError(err))
+		return invalid(Position{file.Name, errorLine(err)}, "not valid YAML: %s", shortError(err))
 	}
 	if len(parsed.Docs) > 1 {
-		return refuse(Position{file.Name, secondDocument(parsed.Docs[1])}, "one document a file: put the second one into its own file")
+		return invalid(Position{file.Name, documentLine(parsed.Docs[1])}, "one document a file: put the second one into its own file")
 	}
-	m.own(file.Name, parsed)
+	m.recordFile(file.Name, parsed)
 	for _, doc := range parsed.Docs {
 		if doc.Body == nil || doc.Body.Type() == ast.NullType || doc.Body.Type() == ast.CommentType {
 			continue
 		}
 		mapping, ok := asMapping(doc.Body)
 		if !ok {
-			return refuse(m.place(doc.Body), "the file must be a mapping, as in `kinds: {...}`")
+			return invalid(m.position(doc.Body), "the file must be a mapping, as in `kinds: {...}`")
 		}
 		if m.root == nil {
 			m.root = &ast.MappingNode{BaseNode: &ast.BaseNode{}, Start: mapping.Start}
 		}
-		if err := m.fold(m.root, mapping, ""); err != nil {
+		if err := m.merge(m.root, mapping, ""); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// secondDocument returns the line where a document begins.
-func secondDocument(doc *ast.DocumentNode) int {
+// documentLine returns the line where a document begins.
+func documentLine(doc *ast.DocumentNode) int {
 	if doc.Start == nil {
 		return 1
 	}
 	return doc.Start.Position.Line
 }
 
-// own records which file each token came from, so that an error found after
-// the merge still names its file.
-func (m *merger) own(file string, parsed *ast.File) {
+// recordFile records the file of each token, so that errors found after the merge
+// can name it.
+func (m *merger) recordFile(file string, parsed *ast.File) {
 	for _, doc := range parsed.Docs {
 		if doc.Body == nil {
 			continue
 		}
-		ast.Walk(ownerVisitor{m, file}, doc.Body)
+		ast.Walk(fileVisitor{m, file}, doc.Body)
 	}
 }
 
-type ownerVisitor struct {
+type fileVisitor struct {
 	m    *merger
 	file string
 }
 
-func (v ownerVisitor) Visit(node ast.Node) ast.Visitor {
+func (v fileVisitor) Visit(node ast.Node) ast.Visitor {
 	if t := node.GetToken(); t != nil {
-		v.m.owner[t] = v.file
+		v.m.files[t] = v.file
 	}
 	return v
 }
 
-func (m *merger) place(node ast.Node) Position { return m.tokenPlace(node.GetToken()) }
+func (m *merger) position(node ast.Node) Position { return m.tokenPosition(node.GetToken()) }
 
-func (m *merger) tokenPlace(t *token.Token) Position {
+func (m *merger) tokenPosition(t *token.Token) Position {
 	if t == nil {
 		return Position{}
 	}
-	return Position{m.owner[t], t.Position.Line}
+	return Position{m.files[t], t.Position.Line}
 }
 
 func asMapping(node ast.Node) (*ast.MappingNode, bool) {
@@ -208,7 +210,7 @@
 	return nil, false
 }
 
-func (m *merger) fold(into, from *ast.MappingNode, path string) error {
+func (m *merger) merge(into, from *ast.MappingNode, path string) error {
 	seen := map[string]bool{}
 	for _, value := range from.Values {
 		key, err := m.key(value)
@@ -216,7 +218,7 @@
 			return err
 		}
 		if seen[key] {
-			return refuse(m.place(value.Key), "key %q stands twice in this mapping: keep one", key)
+			return invalid(m.position(value.Key), "key %q stands twice in this mapping: keep one", key)
 		}
 		seen[key] = true
 		if err := m.set(into, key, value, join(path, key)); err != nil {
@@ -229,73 +231,73 @@
 func (m *merger) key(value *ast.MappingValueNode) (string, error) {
 	switch value.Key.Type() {
 	case ast.MergeKeyType, ast.AnchorType, ast.AliasType:
-		return "", refuse(m.place(value.Key), "anchors and merge keys are not taken: files refine each other by name order")
+		return "", invalid(m.position(value.Key), "anchors and merge keys are not taken: files refine each other by name order")
 	}
 	switch value.Value.Type() {
 	case ast.AnchorType, ast.AliasType:
-		return "", refuse(m.place(value.Value), "anchors and aliases are not taken: write the value out")
+		return "", invalid(m.position(value.Value), "anchors and aliases are not taken: write the value out")
 	}
 	return value.Key.GetToken().Value, nil
 }
 
 func (m *merger) set(into *ast.MappingNode, key string, value *ast.MappingValueNode, path string) error {
-	at, exists := m.positions(into)[key]
+	i, exists := m.keyIndex(into)[key]
 	if value.Value.Type() == ast.NullType {
 		if exists {
-			into.Values = slices.Delete(into.Values, at, at+1)
+			into.Values = slices.Delete(into.Values, i, i+1)
 			delete(m.index, into)
-			m.forget(path)
+			m.dropProvenance(path)
 		}
 		return nil
 	}
 	mapping, isMapping := asMapping(value.Value)
 	if exists && !isMapping {
-		m.forget(path)
+		m.dropProvenance(path)
 	}
 	if !isMapping {
-		m.places[path] = Setting{m.place(value.Key), value.Value.String()}
+		m.provenance[path] = Setting{m.position(value.Key), value.Value.String()}
 		m.put(into, key, value)
 		return nil
 	}
-	m.places[path] = Setting{Position: m.place(value.Key)}
+	m.provenance[path] = Setting{Position: m.position(value.Key)}
 	target := &ast.MappingNode{BaseNode: &ast.BaseNode{}, Start: mapping.Start}
 	if exists {
-		if old, ok := asMapping(into.Values[at].Value); ok {
+		if old, ok := asMapping(into.Values[i].Value); ok {
 			target = old
 		}
 	}
 	m.put(into, key, &ast.MappingValueNode{BaseNode: &ast.BaseNode{}, Start: value.Start, Key: value.Key, Value: target})
-	return m.fold(target, mapping, path)
+	return m.merge(target, mapping, path)
 }
 
-// positions returns where the keys of a merged mapping stand.
-func (m *merger) positions(mapping *ast.MappingNode) map[string]int {
-	known := m.index[mapping]
-	if known == nil {
-		known = map[string]int{}
+// keyIndex returns the indices of the keys of a merged mapping.
+func (m *merger) keyIndex(mapping *ast.MappingNode) map[string]int {
+	indices := m.index[mapping]
+	if indices == nil {
+		indices = map[string]int{}
 		for i, value := range mapping.Values {
-			known[value.Key.GetToken().Value] = i
+			indices[value.Key.GetToken().Value] = i
 		}
-		m.index[mapping] = known
+		m.index[mapping] = indices
 	}
-	return known
+	return indices
 }
 
 func (m *merger) put(into *ast.MappingNode, key string, value *ast.MappingValueNode) {
-	positions := m.positions(into)
-	if at, exists := positions[key]; exists {
-		into.Values[at] = value
+	indices := m.keyIndex(into)
+	if i, exists := indices[key]; exists {
+		into.Values[i] = value
 		return
 	}
-	positions[key] = len(into.Values)
+	indices[key] = len(into.Values)
 	into.Values = append(into.Values, value)
 }
 
-func (m *merger) forget(path string) {
+func (m *merger) dropProvenance(path string) {
 	prefix := path + "."
-	for known := range m.places {
-		if known == path || strings.HasPrefix(known, prefix) {
-			delete(m.places, known)
+	for other := range m.provenance {
+		if other == path || strings.HasPrefix(other, prefix) {
+			delete(m.provenance, other)
 		}
 	}
 }
@@ -307,7 +309,7 @@
 	return path + "." + key
 }
 
-// shortError keeps the message and drops the excerpt the library adds.
+// shortError returns the message of a YAML error without the excerpt of the source.
 func shortError(err error) string {
 	var detailed yaml.Error
 	if errors.As(err, &detailed) {
--- a/core/config/store.go
+++ b/core/config/store.go
@@ -6,17 +6,18 @@
 	"sync/atomic"
 )
 
-// Verdict is what a Store did with a snapshot.
+// Verdict is the decision of a Store on a folder.
 type Verdict uint8
 
 const (
-	// Applied: it is in force now.
+	// Applied means that the folder is the current configuration now.
 	Applied Verdict = iota + 1
-	// NotNewer: its revision is not above the one in force.
+	// NotNewer means that the revision is not above the current one.
 	NotNewer
-	// Rejected: it is not valid; the one in force stays.
+	// Rejected means that the folder is invalid. The current snapshot stays.
 	Rejected
-	// Conflicting: it has the revision in force with another content.
+	// Conflicting means that the folder has the current revision but another
+	// content.
 	Conflicting
 )
 
@@ -24,46 +25,46 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// ApplyResult tells of an offered snapshot.
+// ApplyResult is the result of Store.Apply.
 type ApplyResult struct {
 	Verdict  Verdict
 	Previous *Snapshot
 	Snapshot *Snapshot
-	// Err is the *RefusedError of a refused snapshot.
+	// Err is the *InvalidError of a rejected folder.
 	Err error
 }
 
-// Store holds the snapshot in force. Only a higher revision replaces it, so a
-// platform or a peer with stale contents can't take the daemon back. It is safe
-// for concurrent use; Current never blocks.
+// Store holds the current snapshot. Only a higher revision replaces it, so that a
+// platform or a peer with stale contents can't roll the daemon back. It is safe for
+// concurrent use; Current never blocks.
 type Store struct {
-	mu      sync.Mutex
-	current atomic.Pointer[held]
-	refused refusedSnapshot
+	mu       sync.Mutex
+	current  atomic.Pointer[appliedFolder]
+	rejected rejectedFolder
 }
 
-type held struct {
+type appliedFolder struct {
 	snapshot *Snapshot
 	files    []File
 }
 
-type refusedSnapshot struct {
+type rejectedFolder struct {
 	revision, digest uint64
 	err              error
 }
 
-// ErrNoSnapshot is returned while no configuration has been adopted.
+// ErrNoSnapshot is returned before the first configuration is applied.
 var ErrNoSnapshot = errors.New("no configuration is in force yet")
 
-// Current returns the snapshot in force, or nil before the first.
+// Current returns the current snapshot, or nil before the first one is applied.
 func (s *Store) Current() *Snapshot {
-	if h := s.current.Load(); h != nil {
-		return h.snapshot
+	if folder := s.current.Load(); folder != nil {
+		return folder.snapshot
 	}
 	return nil
 }
 
-// Revision returns the revision in force, 0 before the first.
+// Revision returns the current revision, or 0 before the first snapshot.
 func (s *Store) Revision() uint64 {
 	if snapshot := s.Current(); snapshot != nil {
 		return snapshot.Revision
@@ -71,7 +72,7 @@
 	return 0
 }
 
-// Digest returns the digest of the snapshot in force.
+// Digest returns the digest of the current snapshot, or 0 before the first one.
 func (s *Store) Digest() uint64 {
 	if snapshot := s.Current(); snapshot != nil {
 		return snapshot.Digest
@@ -79,37 +80,38 @@
 	return 0
 }
 
-// Files returns the files of the snapshot in force, for a peer that asks.
+// Files returns the revision and files of the current snapshot, which peers fetch.
 func (s *Store) Files() (revision uint64, files []File) {
-	h := s.current.Load()
-	if h == nil {
+	folder := s.current.Load()
+	if folder == nil {
 		return 0, nil
 	}
-	return h.snapshot.Revision, h.files
+	return folder.snapshot.Revision, folder.files
 }
 
-// Apply takes a snapshot into force if it is newer and valid.
+// Apply makes a folder the current configuration if it is newer and valid. The last
+// rejected folder is not loaded again when it is received again.
 func (s *Store) Apply(revision uint64, files []File) ApplyResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	previous := s.Current()
-	if verdict := s.compare(previous, revision, files); verdict != 0 {
+	if verdict := s.compareRevision(previous, revision, files); verdict != 0 {
 		return ApplyResult{Verdict: verdict, Previous: previous}
 	}
 	digest := Digest(files)
-	if s.refused.revision == revision && s.refused.digest == digest {
-		return ApplyResult{Verdict: Rejected, Previous: previous, Err: s.refused.err}
+	if s.rejected.revision == revision && s.rejected.digest == digest {
+		return ApplyResult{Verdict: Rejected, Previous: previous, Err: s.rejected.err}
 	}
 	snapshot, err := Load(revision, files)
 	if err != nil {
-		s.refused = refusedSnapshot{revision, digest, err}
+		s.rejected = rejectedFolder{revision, digest, err}
 		return ApplyResult{Verdict: Rejected, Previous: previous, Err: err}
 	}
-	s.current.Store(&held{snapshot, files})
+	s.current.Store(&appliedFolder{snapshot, files})
 	return ApplyResult{Verdict: Applied, Previous: previous, Snapshot: snapshot}
 }
 
-func (s *Store) compare(previous *Snapshot, revision uint64, files []File) Verdict {
+func (s *Store) compareRevision(previous *Snapshot, revision uint64, files []File) Verdict {
 	if previous == nil || revision > previous.Revision {
 		return 0
 	}
@@ -119,9 +121,9 @@
 	return NotNewer
 }
 
-// RejectedRevision returns the revision last refused and why, or 0.
+// RejectedRevision returns the last rejected revision with its error, or 0.
 func (s *Store) RejectedRevision() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused.revision, s.refused.err
+	return s.rejected.revision, s.rejected.err
 }
--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -6,70 +6,72 @@
 	"time"
 )
 
-// FileRef names a file of the platform's folder and its content's digest, the
-// lowercase SHA-256 sum.
+// FileRef is a file name in the platform's folder with the SHA-256 sum of the
+// content in lowercase hexadecimal.
 type FileRef struct {
 	Name   string `json:"name"`
 	Digest string `json:"sha256"`
 }
 
-// Manifest lists the folder at one revision.
+// Manifest lists the files of the folder at one revision.
 type Manifest struct {
 	Revision uint64    `json:"revision"`
 	Files    []FileRef `json:"files"`
 }
 
-// Peer is another daemon that may hold a snapshot.
+// Peer is another daemon, from which a snapshot can be fetched.
 type Peer struct {
 	Name    string
 	Address string
 }
 
-// SyncOptions are the bounds of a Syncer.
+// SyncOptions configures a Syncer.
 type SyncOptions struct {
-	// DirectReadFiles is the number of changed files up to which a daemon reads them
-	// from the platform itself; for more it asks peers first.
+	// DirectReadFiles is the maximum number of changed files that every daemon
+	// reads from the platform directly. Reads of more files are staggered, and
+	// peers are asked meanwhile.
 	DirectReadFiles int
-	// PlatformCallRate is what all daemons together aim at on the platform, in calls a
-	// second; it sets the window over which they spread their calls.
+	// PlatformCallRate is the target for the total rate of platform calls of all
+	// daemons, in calls per second. It sets the window over which they spread
+	// their calls.
 	PlatformCallRate float64
-	// MinSpread is the least window.
+	// MinSpread is the minimum window.
 	MinSpread time.Duration
-	// StaggerPerFile is the time that one daemon's turn to read a whole folder
-	// from the platform lasts, for each of its files.
+	// StaggerPerFile is the delay per file between the reads of whole folders by
+	// two consecutive daemons.
 	StaggerPerFile time.Duration
-	// MaxStagger bounds the wait for a turn; daemons beyond it spread their reads
-	// over as much time again.
+	// MaxStagger bounds the staggered delay. Daemons that exceed it spread their
+	// reads over another MaxStagger.
 	MaxStagger time.Duration
-	// PeerInterval is the time between two questions to peers while one is
-	// behind.
+	// PeerInterval is the time between two requests to peers while the daemon
+	// is starting or behind.
 	PeerInterval time.Duration
-	// StartupPeers is the number of peers that a starting daemon hears before it
-	// is ready, as far as there are that many.
+	// StartupPeers is the number of peers that must reply before a starting
+	// daemon is ready; fewer if there are not that many.
 	StartupPeers int
-	// StartupTimeout is the longest wait for those peers.
+	// StartupTimeout bounds the wait for these replies.
 	StartupTimeout time.Duration
-	// Backoff is the first wait after the platform failed; it doubles up to
-	// BackoffMax.
+	// Backoff is the delay after the first failure of the platform. It doubles
+	// up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 }
 
-// DefaultSyncOptions returns the bounds used when the settings name none.
+// DefaultSyncOptions returns the default options.
 func DefaultSyncOptions() SyncOptions {
 	return SyncOptions{DirectReadFiles: 4, PlatformCallRate: 1000, MinSpread: time.Second, StaggerPerFile: 2500 * time.Microsecond, MaxStagger: time.Minute,
 		PeerInterval: 500 * time.Millisecond, StartupPeers: 3, StartupTimeout: 5 * time.Second,
 		Backoff: 500 * time.Millisecond, MaxBackoff: 10 * time.Second}
 }
 
-// SyncAction is something the adapter has to do: WatchPlatform, ReadFiles,
-// AskPeer or OfferSnapshot.
+// SyncAction is an action that Syncer asks its adapter to perform: WatchPlatform,
+// ReadFiles, AskPeer or ApplySnapshot.
 type SyncAction interface{ syncAction() }
 
 type (
-	// WatchPlatform waits at the platform for a manifest above a revision.
+	// WatchPlatform long-polls the platform for a manifest above a revision.
 	WatchPlatform struct{ Above uint64 }
-	// ReadFiles reads files of one revision from the platform.
+	// ReadFiles reads files of a revision from the platform.
 	ReadFiles struct {
 		Revision uint64
 		Names    []string
@@ -79,8 +81,8 @@
 		Peer  Peer
 		Above uint64
 	}
-	// ApplySnapshot gives a whole folder to the Store; its verdict comes back
-	// as InForce.
+	// ApplySnapshot passes a complete folder to Store.Apply. The adapter then
+	// calls Syncer.SetCurrent.
 	ApplySnapshot struct {
 		Revision uint64
 		Files    []File
@@ -93,22 +95,24 @@
 func (AskPeer) syncAction()       {}
 func (ApplySnapshot) syncAction() {}
 
-// Syncer decides when this daemon asks whom for the configuration. It keeps the
-// platform's calls low: one waiting watch a daemon, few changed files read by
-// everybody within a window that grows with the fleet, whole folders read by one daemon after the other
-// while the rest fetch them from peers.
+// Syncer decides when and from where a daemon fetches the configuration. It limits
+// the load on the platform: each daemon keeps one long-poll open; all daemons read a
+// few changed files directly, within a window that grows with the fleet; whole
+// folders are read by staggered daemons while the others fetch them from peers.
+// It does no I/O and is not safe for concurrent use.
 type Syncer struct {
 	options SyncOptions
 	random  func() float64
 	started time.Time
 
-	inForce  uint64
-	files    map[string]File   // last adopted or read, by name
-	digests  map[string]string // of files
-	peers    []Peer
-	turn     int
-	heard    map[string]bool
-	heardAll bool
+	current      uint64            // current revision
+	files        map[string]File   // last applied, by name
+	digests      map[string]string // of files
+	peers        []Peer
+	index        int // of this daemon among all daemons
+	replied      map[string]bool
+	peersTried   bool // enough requests were sent to have tried all peers
+	peerRequests int  // since the start or Resync
 
 	watching   bool
 	watchAt    time.Time
@@ -120,70 +124,72 @@
 	fetched    map[string]File
 	askingPeer bool
 	askAt      time.Time
-	named      Peer
-	namedRev   uint64
-	asked      int // questions to any peer since the start
+	advertiser Peer   // peer that advertised the highest revision
+	advertised uint64 // 0 if not above the current revision
 }
 
-// NewSyncer returns a syncer that has nothing yet. random returns numbers from
-// 0 up to 1.
+// NewSyncer returns a Syncer without a configuration. random returns numbers in
+// [0, 1).
 func NewSyncer(now time.Time, options SyncOptions, random func() float64) *Syncer {
 	return &Syncer{options: options, random: random, started: now, watchAt: now, askAt: now,
-		files: map[string]File{}, digests: map[string]string{}, heard: map[string]bool{}}
+		files: map[string]File{}, digests: map[string]string{}, replied: map[string]bool{}}
 }
 
-// SetPeers takes over the known daemons and this daemon's place in the order in
-// which whole folders are read. Every daemon sorts the same list alike.
-func (s *Syncer) SetPeers(peers []Peer, turn int) {
-	s.peers, s.turn = peers, turn
+// SetPeers sets the other daemons and this daemon's index among all daemons, which
+// determines the order of staggered reads. Every daemon sorts the list in the same
+// way.
+func (s *Syncer) SetPeers(peers []Peer, index int) {
+	s.peers, s.index = peers, index
 }
 
-// Ready says whether the daemon may serve: a snapshot is in force and several
-// peers were asked for a higher one. Without the second, a replaced host could
-// start with the contents of a stale platform although its peers know better.
+// Ready reports whether the daemon can serve: it has a current snapshot, and
+// several peers were asked for a newer one. Without the second condition, a
+// replaced host could start with the contents of a stale platform although its
+// peers have a newer revision.
 func (s *Syncer) Ready(now time.Time) bool {
-	if s.inForce == 0 {
+	if s.current == 0 {
 		return false
 	}
-	wanted := min(s.options.StartupPeers, len(s.peers))
-	return s.heardAll || len(s.heard) >= wanted || now.Sub(s.started) >= s.options.StartupTimeout
+	required := min(s.options.StartupPeers, len(s.peers))
+	return s.peersTried || len(s.replied) >= required || now.Sub(s.started) >= s.options.StartupTimeout
 }
 
-// Behind says whether a higher revision is known than the one in force.
+// Behind reports whether a revision above the current one is known.
 func (s *Syncer) Behind() bool {
-	return s.namedRev > s.inForce || (s.manifest != nil && s.manifest.Revision > s.inForce)
+	return s.advertised > s.current || (s.manifest != nil && s.manifest.Revision > s.current)
 }
 
-// Resync makes the daemon ask its peers again as at a start. It is called after
-// a pause, when the revision in force may have been passed long ago.
+// Resync makes the daemon ask its peers again as at startup. It is called after a
+// pause of the process, when the current revision may be long outdated.
 func (s *Syncer) Resync(now time.Time) {
 	s.started = now
-	s.heard = map[string]bool{}
-	s.heardAll, s.asked = false, 0
+	s.replied = map[string]bool{}
+	s.peersTried, s.peerRequests = false, 0
 	s.askAt = now
 	s.watchAt = now
 }
 
-// SetCurrent takes in the Store's verdict: the revision now in force and its files.
-// After a refusal the manifest is dropped, so that the daemon waits for the next
-// revision instead of reading the bad one again and again.
+// SetCurrent sets the current revision and its files after Store.Apply. If the
+// folder was rejected, they are the previous ones; its manifest is dropped, so that
+// the daemon does not read the rejected files in a loop but watches again.
 func (s *Syncer) SetCurrent(revision uint64, files []File) {
-	s.inForce = revision
+	s.current = revision
 	for _, file := range files {
 		s.files[file.Name] = file
 		s.digests[file.Name] = FileDigest(file)
 	}
-	if s.namedRev <= revision {
-		s.namedRev = 0
+	if s.advertised <= revision {
+		s.advertised = 0
 	}
 }
 
-// ManifestReceived takes in the platform's answer to a watch; nil if nothing is new.
+// ManifestReceived handles the platform's reply to a watch; manifest is nil if the
+// watch timed out.
 func (s *Syncer) ManifestReceived(now time.Time, manifest *Manifest) []SyncAction {
 	s.watching = false
 	s.backoff = 0
-	if manifest == nil || manifest.Revision <= s.inForce {
-		s.watchAt = now.Add(s.part(s.options.MinSpread))
+	if manifest == nil || manifest.Revision <= s.current {
+		s.watchAt = now.Add(s.jitter(s.options.MinSpread))
 		return s.Tick(now)
 	}
 	if s.manifest != nil && manifest.Revision <= s.manifest.Revision {
@@ -199,37 +205,37 @@
 		}
 		s.missing = append(s.missing, ref.Name)
 	}
-	// Changes that follow one another closely are taken together: without the
-	// wait, each would cost a call of every daemon.
-	s.watchAt = now.Add(s.spread() + s.part(s.spread()))
+	// Batches changes in quick succession: without the delay, each of them
+	// would cost a call of every daemon.
+	s.watchAt = now.Add(s.spreadWindow() + s.jitter(s.spreadWindow()))
 	s.readAt = now.Add(s.readDelay())
 	return s.Tick(now)
 }
 
 func (s *Syncer) readDelay() time.Duration {
 	if len(s.missing) <= s.options.DirectReadFiles {
-		return s.part(s.spread())
+		return s.jitter(s.spreadWindow())
 	}
-	turn := time.Duration(len(s.missing)) * s.options.StaggerPerFile
-	wait := time.Duration(s.turn)*turn + s.part(turn/2)
-	if wait > s.options.MaxStagger {
-		return s.options.MaxStagger + s.part(s.options.MaxStagger)
+	step := time.Duration(len(s.missing)) * s.options.StaggerPerFile
+	delay := time.Duration(s.index)*step + s.jitter(step/2)
+	if delay > s.options.MaxStagger {
+		return s.options.MaxStagger + s.jitter(s.options.MaxStagger)
 	}
-	return wait
+	return delay
 }
 
-// spread is the window in which every daemon may read its few changed files and
-// watch anew without all together exceeding CallRate.
-func (s *Syncer) spread() time.Duration {
+// spreadWindow returns the window over which all daemons read their changed files
+// and renew their watches at PlatformCallRate in total.
+func (s *Syncer) spreadWindow() time.Duration {
 	files := min(len(s.missing), s.options.DirectReadFiles)
 	calls := float64(len(s.peers)+1) * float64(files+1)
 	return max(s.options.MinSpread, time.Duration(calls/s.options.PlatformCallRate*float64(time.Second)))
 }
 
-// part returns a random part of a duration.
-func (s *Syncer) part(d time.Duration) time.Duration { return time.Duration(s.random() * float64(d)) }
+// jitter returns a random duration in [0, d).
+func (s *Syncer) jitter(d time.Duration) time.Duration { return time.Duration(s.random() * float64(d)) }
 
-// WatchFailed takes in a watch without an answer.
+// WatchFailed handles a failed watch.
 func (s *Syncer) WatchFailed(now time.Time) []SyncAction {
 	s.watching = false
 	s.watchAt = now.Add(s.retryDelay())
@@ -241,7 +247,7 @@
 	return time.Duration((0.5 + s.random()) * float64(s.backoff))
 }
 
-// FilesRead takes in files of a revision.
+// FilesRead handles the files of a revision that were read from the platform.
 func (s *Syncer) FilesRead(now time.Time, revision uint64, files []File) []SyncAction {
 	s.reading = false
 	if s.manifest == nil || s.manifest.Revision != revision {
@@ -254,24 +260,25 @@
 	return append(s.complete(), s.Tick(now)...)
 }
 
-// complete offers the manifest's files once all are there.
+// complete applies the manifest's files if all of them are present and match their
+// digests, and drops the manifest.
 func (s *Syncer) complete() []SyncAction {
 	manifest := s.manifest
-	var whole []File
+	var files []File
 	for _, ref := range manifest.Files {
 		file, ok := s.fetched[ref.Name]
 		if !ok || FileDigest(file) != ref.Digest {
 			s.manifest = nil
 			return nil
 		}
-		whole = append(whole, file)
+		files = append(files, file)
 	}
 	s.manifest, s.fetched = nil, nil
-	return []SyncAction{ApplySnapshot{Revision: manifest.Revision, Files: whole, Source: "platform"}}
+	return []SyncAction{ApplySnapshot{Revision: manifest.Revision, Files: files, Source: "platform"}}
 }
 
-// ReadFailed takes in a failed read of files, also of a revision that the
-// platform has passed.
+// ReadFailed handles a failed read of files, including that of a revision that the
+// platform has superseded.
 func (s *Syncer) ReadFailed(now time.Time) []SyncAction {
 	s.reading = false
 	s.manifest = nil
@@ -279,56 +286,56 @@
 	return s.Tick(now)
 }
 
-// RevisionAdvertised takes in a revision that a message from a peer carried.
+// RevisionAdvertised handles the revision in the envelope of a peer's message.
 func (s *Syncer) RevisionAdvertised(now time.Time, peer Peer, revision uint64) []SyncAction {
-	if revision <= s.inForce || revision <= s.namedRev || peer.Address == "" {
+	if revision <= s.current || revision <= s.advertised || peer.Address == "" {
 		return nil
 	}
-	s.named, s.namedRev = peer, revision
+	s.advertiser, s.advertised = peer, revision
 	s.askAt = earlier(s.askAt, now.Add(time.Duration(s.random()*float64(s.options.PeerInterval/4))))
 	return s.Tick(now)
 }
 
-// PeerReplied takes in a peer's snapshot, or revision 0 if it has none above
-// the one asked for.
+// PeerReplied handles a peer's snapshot. revision is 0 if the peer has none above
+// the requested one.
 func (s *Syncer) PeerReplied(now time.Time, peer Peer, revision uint64, files []File) []SyncAction {
 	s.askingPeer = false
-	s.heard[peer.Name] = true
+	s.replied[peer.Name] = true
 	s.askAt = now.Add(s.options.PeerInterval)
 	var actions []SyncAction
-	if revision > s.inForce {
+	if revision > s.current {
 		actions = append(actions, ApplySnapshot{Revision: revision, Files: files, Source: "peer " + peer.Name})
 		s.dropManifest(revision)
 	}
 	return append(actions, s.Tick(now)...)
 }
 
-// dropManifest forgets a manifest that a peer's snapshot has overtaken.
+// dropManifest discards a manifest that a peer's snapshot makes obsolete.
 func (s *Syncer) dropManifest(revision uint64) {
 	if s.manifest != nil && s.manifest.Revision <= revision && !s.reading {
 		s.manifest = nil
 	}
 }
 
-// PeerFailed takes in a peer that did not answer.
+// PeerFailed handles a failed request to a peer.
 func (s *Syncer) PeerFailed(now time.Time, peer Peer) []SyncAction {
 	s.askingPeer = false
 	s.askAt = now.Add(s.options.PeerInterval)
-	if peer.Name == s.named.Name {
-		s.namedRev = 0
+	if peer.Name == s.advertiser.Name {
+		s.advertised = 0
 	}
 	return s.Tick(now)
 }
 
-// Tick returns what is due.
+// Tick returns the actions that are due.
 func (s *Syncer) Tick(now time.Time) []SyncAction {
 	var actions []SyncAction
-	if s.manifest != nil && s.manifest.Revision <= s.inForce && !s.reading {
+	if s.manifest != nil && s.manifest.Revision <= s.current && !s.reading {
 		s.manifest = nil
 	}
 	if !s.watching && s.manifest == nil && !now.Before(s.watchAt) {
 		s.watching = true
-		actions = append(actions, WatchPlatform{Above: s.inForce})
+		actions = append(actions, WatchPlatform{Above: s.current})
 	}
 	actions = append(actions, s.readDue(now)...)
 	return append(actions, s.askDue(now)...)
@@ -354,24 +361,24 @@
 		return nil
 	}
 	s.askingPeer = true
-	return []SyncAction{AskPeer{Peer: peer, Above: s.inForce}}
+	return []SyncAction{AskPeer{Peer: peer, Above: s.current}}
 }
 
-// choosePeer returns the peer that named a higher revision; else, while this
-// daemon is starting or waits for its turn to read, any.
+// choosePeer returns the peer that advertised a newer revision. Without one, it
+// returns a random peer while this daemon is starting or behind.
 func (s *Syncer) choosePeer(now time.Time) (Peer, bool) {
-	if s.namedRev > s.inForce {
-		return s.named, true
+	if s.advertised > s.current {
+		return s.advertiser, true
 	}
 	if len(s.peers) == 0 || (s.Ready(now) && !s.Behind()) {
 		return Peer{}, false
 	}
-	s.asked++
-	if s.asked > 2*len(s.peers) {
-		s.heardAll = true
+	s.peerRequests++
+	if s.peerRequests > 2*len(s.peers) {
+		s.peersTried = true
 	}
-	// A random choice spreads a snapshot like an epidemic; walking the list in
-	// order would make most daemons ask those that have not got it either.
+	// Random choice spreads a snapshot by gossip. If all daemons went through
+	// the list in order, most would ask peers that don't have it either.
 	return s.peers[min(int(s.random()*float64(len(s.peers))), len(s.peers)-1)], true
 }
 
@@ -382,7 +389,8 @@
 	return b
 }
 
-// FileDigest identifies one file's content, as the platform does.
+// FileDigest returns the SHA-256 sum of a file's content in lowercase hexadecimal,
+// as in the platform's manifest.
 func FileDigest(file File) string {
 	sum := sha256.Sum256(file.Content)
 	return hex.EncodeToString(sum[:])
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// syncFleet drives many syncers in virtual time against one platform. Adoption
-// is by revision alone; what a Store refuses is tested with the Store.
+// syncFleet drives many Syncers against one simulated platform in virtual time. A
+// node applies any higher revision; validation is covered by the tests of Store.
 type syncFleet struct {
 	*virtualtime.Clock
 	random    *rand.Rand
@@ -22,31 +22,31 @@
 	manifest  Manifest
 	files     map[string]File
 	down      bool
-	calls     map[int64]int // platform calls by second
+	calls     map[int64]int // platform calls by second of virtual time
 	watchers  []*syncNode
 	peerDelay time.Duration // one way
-	stale     *staleFolder  // shown instead of the present folder
+	stale     *folderState  // served instead of the current folder
 }
 
-type staleFolder struct {
+type folderState struct {
 	manifest Manifest
 	files    map[string]File
 }
 
-func (f *syncFleet) copyFolder() *staleFolder {
-	return &staleFolder{f.manifest, maps.Clone(f.files)}
+func (f *syncFleet) copyFolder() *folderState {
+	return &folderState{f.manifest, maps.Clone(f.files)}
 }
 
 type syncNode struct {
-	id       int
-	fleet    *syncFleet
-	syncer   *Syncer
-	revision uint64
-	files    []File
-	adopted  time.Time
-	epoch    int
-	cut      bool // no way to the platform
-	isolated bool // no way to peers
+	id        int
+	fleet     *syncFleet
+	syncer    *Syncer
+	revision  uint64
+	files     []File
+	appliedAt time.Time
+	epoch     int
+	offline   bool // the platform is unreachable
+	isolated  bool // peers are unreachable
 }
 
 func newSyncFleet(nodes int) *syncFleet {
@@ -82,8 +82,8 @@
 
 func (f *syncFleet) count() { f.calls[f.Now.Unix()]++ }
 
-// busiest returns the most platform calls in one second.
-func (f *syncFleet) busiest() int {
+// peakCallRate returns the maximum number of platform calls in one second.
+func (f *syncFleet) peakCallRate() int {
 	most := 0
 	for _, calls := range f.calls {
 		most = max(most, calls)
@@ -105,7 +105,7 @@
 	platformDelay = 5 * time.Millisecond
 )
 
-// restart makes the node a freshly started daemon that knows all others as seeds.
+// restart replaces the node by a newly started daemon with all others as peers.
 func (n *syncNode) restart() {
 	n.epoch++
 	n.revision, n.files = 0, nil
@@ -147,7 +147,7 @@
 			n.fleet.After(2*n.fleet.peerDelay, func() { n.askPeer(a, epoch) })
 		case ApplySnapshot:
 			if a.Revision > n.revision {
-				n.revision, n.files, n.adopted = a.Revision, a.Files, n.fleet.Now
+				n.revision, n.files, n.appliedAt = a.Revision, a.Files, n.fleet.Now
 			}
 			n.syncer.SetCurrent(n.revision, n.files)
 		}
@@ -156,7 +156,7 @@
 
 func (n *syncNode) watch(a WatchPlatform, epoch int) {
 	n.fleet.count()
-	if n.fleet.down || n.cut {
+	if n.fleet.down || n.offline {
 		n.fleet.After(platformDelay, func() {
 			if epoch == n.epoch {
 				n.act(n.syncer.WatchFailed(n.fleet.Now))
@@ -171,12 +171,12 @@
 	n.fleet.watchers = append(n.fleet.watchers, n)
 }
 
-// published is what the platform shows now.
-func (n *syncNode) published() staleFolder {
+// published returns the folder that the platform serves now.
+func (n *syncNode) published() folderState {
 	if n.fleet.stale != nil {
 		return *n.fleet.stale
 	}
-	return staleFolder{n.fleet.manifest, n.fleet.files}
+	return folderState{n.fleet.manifest, n.fleet.files}
 }
 
 func (n *syncNode) answerWatch(epoch int) {
@@ -190,7 +190,7 @@
 }
 
 func (n *syncNode) readFiles(a ReadFiles, epoch int) {
-	// One call a file, one after the other.
+	// Reads files sequentially, with one call each.
 	for i := range a.Names {
 		n.fleet.After(time.Duration(i)*platformDelay, n.fleet.count)
 	}
@@ -198,14 +198,14 @@
 		if epoch != n.epoch {
 			return
 		}
-		shown := n.published()
-		if n.fleet.down || n.cut || shown.manifest.Revision != a.Revision {
+		served := n.published()
+		if n.fleet.down || n.offline || served.manifest.Revision != a.Revision {
 			n.act(n.syncer.ReadFailed(n.fleet.Now))
 			return
 		}
 		var files []File
 		for _, name := range a.Names {
-			files = append(files, shown.files[name])
+			files = append(files, served.files[name])
 		}
 		n.act(n.syncer.FilesRead(n.fleet.Now, a.Revision, files))
 	})
@@ -228,41 +228,42 @@
 	}
 }
 
-// settle runs until every node has the newest revision and returns how long
-// that took.
+// settle runs until every node has the newest revision and returns the time that
+// took.
 func (f *syncFleet) settle(t *testing.T, limit time.Duration) time.Duration {
 	t.Helper()
-	begun := f.Now
+	started := f.Now
 	for f.behind() > 0 {
-		require.Less(t, f.Now.Sub(begun), limit, "%d daemons are behind", f.behind())
+		require.Less(t, f.Now.Sub(started), limit, "%d daemons are behind", f.behind())
 		f.Run(50 * time.Millisecond)
 	}
-	return f.Now.Sub(begun)
+	return f.Now.Sub(started)
 }
 
 const (
 	targetDaemons = 350
-	// allDaemons counts a host daemon for each worker of the target too.
+	// allDaemons adds a host daemon for each of 810 workers.
 	allDaemons    = 350 + 810
 	targetFiles   = 300
 	platformLimit = 2000 // calls a second
-	inForceWithin = 10 * time.Second
+	applyLimit    = 10 * time.Second
 )
 
-// The whole fleet restarts at once and every daemon has to read the folder. The
-// platform is asked by a few, the others fetch from them.
+// The whole fleet restarts at once and every daemon needs the folder. Only a few
+// daemons may read it from the platform; the others fetch it from peers.
 func TestWholeFleetRestarts(t *testing.T) {
 	for _, daemons := range []int{20, targetDaemons, allDaemons} {
 		f := newSyncFleet(daemons)
 		f.publish(targetFiles, targetFiles)
 		took := f.settle(t, time.Minute)
-		t.Logf("%d daemons, %d files: in force everywhere after %s, busiest second %d platform calls", daemons, targetFiles, took, f.busiest())
-		require.Less(t, f.busiest(), platformLimit)
+		t.Logf("%d daemons, %d files: current everywhere after %s, busiest second %d platform calls", daemons, targetFiles, took, f.peakCallRate())
+		require.Less(t, f.peakCallRate(), platformLimit)
 	}
 }
 
-// An operator changes one file, then all files, then many times in a row.
-func TestChangesAreInForceInTime(t *testing.T) {
+// A change of one file, of all files, and a series of changes each reach all daemons
+// in time without exceeding the platform's rate limit.
+func TestChangesReachAllDaemonsInTime(t *testing.T) {
 	cases := []struct {
 		name    string
 		changed int
@@ -280,22 +281,22 @@
 				f.Run(time.Second)
 			}
 			took := f.settle(t, time.Minute) + time.Second
-			t.Logf("%d daemons, %s: in force everywhere within %s, busiest second %d platform calls", daemons, c.name, took, f.busiest())
-			require.LessOrEqual(t, took, inForceWithin)
-			require.Less(t, f.busiest(), platformLimit)
+			t.Logf("%d daemons, %s: current everywhere within %s, busiest second %d platform calls", daemons, c.name, took, f.peakCallRate())
+			require.LessOrEqual(t, took, applyLimit)
+			require.Less(t, f.peakCallRate(), platformLimit)
 		}
 	}
 }
 
-// Half of the fleet can't reach the platform when a change is published. The
-// other half hears of it and names the revision in its messages.
+// Half of the fleet can't reach the platform when a change is published. It learns
+// of the revision from messages of the other half and fetches it from these peers.
 func TestChangeReachesDaemonsWithoutThePlatform(t *testing.T) {
 	f := newSyncFleet(100)
 	f.publish(10, 10)
 	f.settle(t, time.Minute)
 	f.watchers = nil
 	for _, n := range f.nodes[50:] {
-		n.cut = true
+		n.offline = true
 		n.act(n.syncer.WatchFailed(f.Now))
 	}
 	f.watchers = append(f.watchers, f.nodes[:50]...)
@@ -305,11 +306,11 @@
 	for i, n := range f.nodes[50:] {
 		n.act(n.syncer.RevisionAdvertised(f.Now, Peer{Name: fmt.Sprint(i), Address: fmt.Sprint(i)}, f.revision))
 	}
-	f.settle(t, inForceWithin)
+	f.settle(t, applyLimit)
 }
 
-// A host is replaced while the platform shows contents from before the last
-// change; its peers know better. It must not become ready with the old contents.
+// A host is replaced while the platform serves stale contents and its peers have a
+// newer revision. The new daemon must not become ready with the stale contents.
 func TestReplacedHostUnderStalePlatform(t *testing.T) {
 	f := newSyncFleet(20)
 	f.publish(10, 10)
@@ -318,7 +319,7 @@
 	f.publish(10, 1)
 	f.settle(t, time.Minute)
 	f.stale = old
-	f.peerDelay = 200 * time.Millisecond // the stale answer comes first
+	f.peerDelay = 200 * time.Millisecond // the platform's stale reply arrives first
 	n := f.nodes[7]
 	n.restart()
 	for !n.syncer.Ready(f.Now) {
@@ -329,8 +330,8 @@
 	require.Equal(t, f.revision, n.revision)
 }
 
-// The same host is cut off from all peers too. It becomes ready after the stated
-// limit with the old contents, and goes forward as soon as it hears of more.
+// The replaced host can't reach its peers either. It becomes ready with the stale
+// contents after StartupTimeout and updates once a peer advertises a newer revision.
 func TestReplacedHostCutOffFromPeers(t *testing.T) {
 	f := newSyncFleet(20)
 	f.publish(10, 10)
@@ -353,9 +354,9 @@
 	require.Equal(t, f.nodes[1].revision, n.revision)
 }
 
-// A daemon wakes after a long pause. It must not serve on what it knew before
-// until it has asked its peers again.
-func TestAwokenDaemonAsksAgain(t *testing.T) {
+// After a long pause of the process a daemon's configuration may be outdated. It
+// must not be ready until it has asked its peers again.
+func TestDaemonResyncsAfterAPause(t *testing.T) {
 	f := newSyncFleet(20)
 	f.publish(10, 10)
 	f.settle(t, time.Minute)
