--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -87,7 +87,8 @@
 	return c.view.Heard(now, server, incarnation, draining)
 }
 
-// ApplyHostList applies the platform's list of hosts; see membership.View.ReadList.
+// ApplyHostList applies the platform's list of hosts. It returns false if the list
+// is ignored as implausible because it shrank too much at once.
 func (c *Core) ApplyHostList(now time.Time, rows []membership.Listed) ([]membership.Change, bool) {
 	return c.view.ReadList(now, rows)
 }
