--- a/core/process/base.go
+++ b/core/process/base.go
@@ -19,7 +19,7 @@
 	"arbutusdeck/core/wire"
 )
 
-// BaseOptions are the parts of a Base.
+// BaseOptions configures a Base.
 type BaseOptions struct {
 	Settings    Settings
 	Log         *logrus.Entry
@@ -27,18 +27,19 @@
 	Platform    PlatformReader
 	Sync        config.SyncOptions
 	Incarnation execution.Incarnation
-	// DialTimeout bounds the opening of a connection to another daemon.
+	// DialTimeout bounds the time to connect to another daemon.
 	DialTimeout time.Duration
-	// OnSnapshot is called with every snapshot that has come into force.
+	// OnSnapshot is called with every snapshot after it is applied.
 	OnSnapshot func(snapshot *config.Snapshot)
-	// OnHosts is called with every reading of the host list.
+	// OnHosts is called with every host list read from the platform.
 	OnHosts func(hosts []platform.Host)
-	// OnStateChange is called with every change of the daemon's state.
+	// OnStateChange is called with every new state of the daemon.
 	OnStateChange func(to lifecycle.State)
 }
 
-// Base is what both daemons are made of: identity, configuration, connections to
-// other daemons, state, trail and metrics.
+// Base holds the components common to host daemons and entries: identity,
+// configuration, connections to other daemons, lifecycle state, audit trail and
+// metrics.
 type Base struct {
 	Log      *logrus.Entry
 	Store    *config.Store
@@ -53,7 +54,7 @@
 	peers map[string]PeerStatus
 }
 
-// PeerStatus is what the last message of another daemon told of it.
+// PeerStatus is the status that another daemon sent with its last message.
 type PeerStatus struct {
 	Incarnation string    `json:"incarnation"`
 	Revision    uint64    `json:"revision"`
@@ -61,10 +62,10 @@
 	LastHeard   time.Time `json:"heard"`
 }
 
-// maxPeers bounds the daemons that are remembered.
+// maxPeers bounds the number of daemons whose status is kept.
 const maxPeers = 4096
 
-// NewBase returns a base that serves nothing yet.
+// NewBase returns a Base that does not serve yet.
 func NewBase(options BaseOptions) *Base {
 	b := &Base{
 		Log:      options.Log,
@@ -83,13 +84,13 @@
 	return b
 }
 
-// Name is the daemon's name.
+// Name returns the daemon's name.
 func (b *Base) Name() string { return b.options.Settings.Name }
 
-// Incarnation returns this start's name.
+// Incarnation returns the ID of this run of the daemon.
 func (b *Base) Incarnation() execution.Incarnation { return b.options.Incarnation }
 
-// Manager owns the daemon's state.
+// Manager returns the manager of the daemon's lifecycle state.
 func (b *Base) Manager() *lifecycle.Manager { return b.manager }
 
 func (b *Base) changeState(from, to lifecycle.State) {
@@ -97,25 +98,25 @@
 	b.options.OnStateChange(to)
 }
 
-// Audit adds an event of now and of the revision in force.
+// Audit adds an event to the audit trail, with the current time and revision.
 func (b *Base) Audit(event audit.Event) {
 	event.Time, event.Revision = time.Now(), b.Store.Revision()
 	b.options.Trail.Add(event)
 }
 
-// AuditPause tells that this process did not run for a while.
+// AuditPause adds an audit event for a pause of this process.
 func (b *Base) AuditPause(gap time.Duration) {
 	b.Audit(audit.Event{Area: audit.Lifecycle, Subject: b.Name(), From: "running", To: "running",
 		Why: fmt.Sprintf("this process was paused for %s", gap.Round(time.Millisecond)), Source: "process"})
 }
 
-// Envelope is piggybacked on every message to another daemon.
+// Envelope returns the envelope of messages to other daemons.
 func (b *Base) Envelope() *wire.Envelope {
 	return &wire.Envelope{Sender: b.Name(), Incarnation: string(b.Incarnation()), Revision: b.Store.Revision(),
 		Digest: b.Store.Digest(), Draining: b.manager.State() == lifecycle.Draining}
 }
 
-// AddressOf returns where another daemon is reached.
+// AddressOf returns the address of another daemon by name.
 func (b *Base) AddressOf(daemon string) (string, bool) {
 	snapshot := b.Store.Current()
 	if snapshot == nil {
@@ -124,12 +125,13 @@
 	return snapshot.AddressOf(daemon)
 }
 
-// ObserveEnvelope takes in the revision that a message's envelope names.
+// ObserveEnvelope records the sender's status from the envelope of a message, and
+// requests its snapshot if its revision is newer.
 func (b *Base) ObserveEnvelope(envelope *wire.Envelope) {
 	if envelope == nil || envelope.Sender == "" {
 		return
 	}
-	b.remember(envelope)
+	b.recordPeer(envelope)
 	if envelope.Revision <= b.Store.Revision() {
 		return
 	}
@@ -138,7 +140,7 @@
 	}
 }
 
-func (b *Base) remember(envelope *wire.Envelope) {
+func (b *Base) recordPeer(envelope *wire.Envelope) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.peers) >= maxPeers {
@@ -153,12 +155,12 @@
 	return maps.Clone(b.peers)
 }
 
-// PeerServer returns the server that answers other daemons' questions for snapshots.
+// PeerServer returns the server from which other daemons fetch snapshots.
 func (b *Base) PeerServer() wire.TwirpServer {
 	return wire.NewPeerServer(&wire.PeerServer{Store: b.Store, Envelope: b.Envelope})
 }
 
-// Ready returns nil while new work is taken, and why not otherwise.
+// Ready returns nil while the daemon accepts new work, and an error otherwise.
 func (b *Base) Ready() error {
 	if b.Store.Current() == nil {
 		return config.ErrNoSnapshot
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// Admin returns the administration API with the daemon's own sections.
+// Admin returns the administration API with additional status sections.
 func (b *Base) Admin(sections map[string]admin.Section) http.Handler {
 	sections["daemon"] = func() any { return b.status() }
 	sections["peers"] = func() any { return b.peerStatus() }
@@ -177,7 +179,7 @@
 		Trail: b.options.Trail, Sections: sections})
 }
 
-// Status is the first section of a daemon's status.
+// Status is the section "daemon" of a daemon's status.
 type Status struct {
 	Name            string                `json:"name"`
 	Zone            string                `json:"zone"`
@@ -186,16 +188,16 @@
 	Revision        uint64                `json:"revision"`
 	RefusedRevision uint64                `json:"refusedRevision,omitempty"`
 	RefusedWhy      string                `json:"refusedWhy,omitempty"`
-	// OpenRequests counts what a planned stop waits for.
+	// OpenRequests counts the requests that a graceful shutdown waits for.
 	OpenRequests int `json:"openRequests"`
 }
 
 func (b *Base) status() Status {
-	refused, why := b.Store.RejectedRevision()
+	rejected, err := b.Store.RejectedRevision()
 	status := Status{Name: b.Name(), Zone: b.options.Settings.Zone, Incarnation: b.Incarnation(), State: b.manager.State(),
-		Revision: b.Store.Revision(), RefusedRevision: refused, OpenRequests: b.manager.Open()}
-	if why != nil {
-		status.RefusedWhy = why.Error()
+		Revision: b.Store.Revision(), RefusedRevision: rejected, OpenRequests: b.manager.Open()}
+	if err != nil {
+		status.RefusedWhy = err.Error()
 	}
 	return status
 }
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -16,64 +16,66 @@
 	"arbutusdeck/core/platform"
 )
 
-// PlatformReader is the part of the platform that the configuration needs.
+// PlatformReader reads the configuration folder and the host list from the
+// platform.
 type PlatformReader interface {
 	Watch(ctx context.Context, above uint64) (*config.Manifest, error)
 	ReadFile(ctx context.Context, revision uint64, name string) (config.File, error)
 	Hosts(ctx context.Context) ([]platform.Host, error)
 }
 
-// PeerReader fetches a snapshot above a revision from another daemon. It
-// returns revision 0 if the peer has none.
+// PeerReader fetches a snapshot above a revision from another daemon. It returns
+// revision 0 if the peer has none.
 type PeerReader interface {
 	FetchSnapshot(ctx context.Context, peer config.Peer, above uint64) (uint64, []config.File, error)
 }
 
-// ConfigLoopOptions are the parts of a ConfigLoop.
+// ConfigLoopOptions configures a ConfigLoop.
 type ConfigLoopOptions struct {
 	Store    *config.Store
 	Platform PlatformReader
 	Peers    PeerReader
 	Trail    *audit.Trail
 	Log      *logrus.Entry
-	// OnSnapshot is called with every snapshot that has come into force.
+	// OnSnapshot is called with every snapshot after it is applied.
 	OnSnapshot func(snapshot *config.Snapshot)
-	// OnHosts is called with every reading of the host list.
+	// OnHosts is called with every host list read from the platform.
 	OnHosts func(hosts []platform.Host)
-	// HostInterval is the time between two readings of the list.
+	// HostInterval is the minimum time between two reads of the host list; 0
+	// means DefaultHostInterval.
 	HostInterval time.Duration
 	Sync         config.SyncOptions
 	Seeds        []SeedPeer
 	Name         string
 }
 
-// DefaultHostInterval is the time between two readings of the host list.
+// DefaultHostInterval is the default of ConfigLoopOptions.HostInterval.
 const DefaultHostInterval = 5 * time.Second
 
-// ConfigLoop drives a config.Syncer: it carries out its actions and feeds their
-// results back.
+// ConfigLoop drives a config.Syncer: it executes its actions and passes their
+// results back to it.
 type ConfigLoop struct {
-	options ConfigLoopOptions
-	tomb    *tomb.Tomb
-	named   chan namedRevision
+	options    ConfigLoopOptions
+	tomb       *tomb.Tomb
+	advertised chan advertisedRevision
 
 	mu     sync.Mutex
 	syncer *config.Syncer
 }
 
-// namedRevision is a revision that a message from a peer carried.
-type namedRevision struct {
+// advertisedRevision is the revision in the envelope of a peer's message.
+type advertisedRevision struct {
 	peer     config.Peer
 	revision uint64
 }
 
-// maxNamed bounds the named revisions that wait for the loop; more are dropped,
-// since the next message names the revision again.
-const maxNamed = 16
+// maxAdvertised bounds the queue of advertised revisions. Further ones are dropped,
+// since the next message advertises the revision again.
+const maxAdvertised = 16
 
-// NewConfigLoop returns a loop that Run starts.
+// NewConfigLoop returns a ConfigLoop that is started by Run.
 func NewConfigLoop(options ConfigLoopOptions) *ConfigLoop {
-	loop := &ConfigLoop{options: options, named: make(chan namedRevision, maxNamed)}
+	loop := &ConfigLoop{options: options, advertised: make(chan advertisedRevision, maxAdvertised)}
 	loop.syncer = config.NewSyncer(time.Now(), options.Sync, rand.Float64)
 	loop.syncer.SetPeers(seedPeers(options.Seeds), 0)
 	return loop
@@ -87,22 +89,22 @@
 	return peers
 }
 
-// syncTick is how often the syncer's timers are looked at.
-const syncTick = 100 * time.Millisecond
+// syncInterval is the interval of Syncer.Tick, which checks the timers.
+const syncInterval = 100 * time.Millisecond
 
-// Run carries the loop until the tomb dies.
+// Run runs the loop until the tomb is dying.
 func (l *ConfigLoop) Run(t *tomb.Tomb) error {
 	l.mu.Lock()
 	l.tomb = t
 	l.mu.Unlock()
 	t.Go(l.watchHosts)
-	ticker := time.NewTicker(syncTick)
+	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
 	for {
 		l.step(func(now time.Time) []config.SyncAction { return l.syncer.Tick(now) })
 		select {
 		case <-ticker.C:
-		case n := <-l.named:
+		case n := <-l.advertised:
 			l.step(func(now time.Time) []config.SyncAction { return l.syncer.RevisionAdvertised(now, n.peer, n.revision) })
 		case <-t.Dying():
 			return nil
@@ -110,47 +112,49 @@
 	}
 }
 
-// Ready says whether the daemon may serve.
+// Ready reports whether the configuration is recent enough to serve; see
+// config.Syncer.Ready.
 func (l *ConfigLoop) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.syncer.Ready(time.Now())
 }
 
-// Resync makes the loop ask its peers afresh, after the process was paused.
+// Resync makes the loop ask its peers again after a pause of the process.
 func (l *ConfigLoop) Resync() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.syncer.Resync(time.Now())
 }
 
-// RevisionAdvertised takes in the revision that a message from a peer carried.
+// RevisionAdvertised handles the revision in the envelope of a peer's message.
 func (l *ConfigLoop) RevisionAdvertised(peer config.Peer, revision uint64) {
 	if revision <= l.options.Store.Revision() {
 		return
 	}
 	select {
-	case l.named <- namedRevision{peer, revision}:
+	case l.advertised <- advertisedRevision{peer, revision}:
 	default:
 	}
 }
 
-// step feeds the syncer and carries out what it returns, without the lock.
-func (l *ConfigLoop) step(feed func(now time.Time) []config.SyncAction) {
+// step calls the syncer under the lock and executes the returned actions after
+// releasing it.
+func (l *ConfigLoop) step(call func(now time.Time) []config.SyncAction) {
 	l.mu.Lock()
-	actions := feed(time.Now())
+	actions := call(time.Now())
 	l.mu.Unlock()
 	for _, action := range actions {
-		l.carryOut(action)
+		l.execute(action)
 	}
 }
 
-func (l *ConfigLoop) carryOut(action config.SyncAction) {
+func (l *ConfigLoop) execute(action config.SyncAction) {
 	l.mu.Lock()
 	t := l.tomb
 	l.mu.Unlock()
-	if offer, ok := action.(config.ApplySnapshot); ok {
-		l.offer(offer)
+	if apply, ok := action.(config.ApplySnapshot); ok {
+		l.apply(apply)
 		return
 	}
 	if !t.Alive() {
@@ -162,9 +166,9 @@
 		case config.WatchPlatform:
 			l.watch(ctx, a)
 		case config.ReadFiles:
-			l.read(ctx, a)
+			l.readFiles(ctx, a)
 		case config.AskPeer:
-			l.ask(ctx, a)
+			l.askPeer(ctx, a)
 		}
 		return nil
 	})
@@ -180,12 +184,12 @@
 	})
 }
 
-func (l *ConfigLoop) read(ctx context.Context, action config.ReadFiles) {
+func (l *ConfigLoop) readFiles(ctx context.Context, action config.ReadFiles) {
 	var files []config.File
 	for _, name := range action.Names {
 		file, err := l.options.Platform.ReadFile(ctx, action.Revision, name)
 		if err != nil {
-			l.options.Log.WithError(err).WithField("file", name).Warn("reading the configuration failed")
+			l.options.Log.WithError(err).WithField("file", name).Warn("failed to read a configuration file from the platform")
 			l.step(l.syncer.ReadFailed)
 			return
 		}
@@ -194,7 +198,7 @@
 	l.step(func(now time.Time) []config.SyncAction { return l.syncer.FilesRead(now, action.Revision, files) })
 }
 
-func (l *ConfigLoop) ask(ctx context.Context, action config.AskPeer) {
+func (l *ConfigLoop) askPeer(ctx context.Context, action config.AskPeer) {
 	revision, files, err := l.options.Peers.FetchSnapshot(ctx, action.Peer, action.Above)
 	l.step(func(now time.Time) []config.SyncAction {
 		if err != nil {
@@ -204,81 +208,82 @@
 	})
 }
 
-func (l *ConfigLoop) offer(action config.ApplySnapshot) {
-	adoption := l.options.Store.Apply(action.Revision, action.Files)
-	l.audit(action, adoption)
-	if adoption.Verdict == config.Applied {
-		l.options.OnSnapshot(adoption.Snapshot)
+func (l *ConfigLoop) apply(action config.ApplySnapshot) {
+	result := l.options.Store.Apply(action.Revision, action.Files)
+	l.audit(action, result)
+	if result.Verdict == config.Applied {
+		l.options.OnSnapshot(result.Snapshot)
 	}
 	revision, files := l.options.Store.Files()
 	l.mu.Lock()
 	l.syncer.SetCurrent(revision, files)
-	if adoption.Verdict == config.Applied {
-		l.setPeers(adoption.Snapshot)
+	if result.Verdict == config.Applied {
+		l.setPeers(result.Snapshot)
 	}
 	l.mu.Unlock()
 }
 
-func (l *ConfigLoop) audit(action config.ApplySnapshot, adoption config.ApplyResult) {
+func (l *ConfigLoop) audit(action config.ApplySnapshot, result config.ApplyResult) {
 	event := audit.Event{Time: time.Now(), Area: audit.Configuration, Subject: "folder", Source: action.Source,
-		Revision: action.Revision, From: fmt.Sprint(previousRevision(adoption)), To: fmt.Sprint(action.Revision)}
-	switch adoption.Verdict {
+		Revision: action.Revision, From: fmt.Sprint(previousRevision(result)), To: fmt.Sprint(action.Revision)}
+	switch result.Verdict {
 	case config.NotNewer:
 		return
 	case config.Applied:
-		event.Why = fmt.Sprintf("%d settings changed", len(config.Changes(adoption.Previous, adoption.Snapshot)))
-		l.auditChanges(action, adoption)
+		event.Why = fmt.Sprintf("%d settings changed", len(config.Changes(result.Previous, result.Snapshot)))
+		l.auditChanges(action, result)
 	default:
 		event.Refused = true
-		event.Why = adoption.Verdict.String()
-		if adoption.Err != nil {
-			event.Why = adoption.Err.Error()
+		event.Why = result.Verdict.String()
+		if result.Err != nil {
+			event.Why = result.Err.Error()
 		}
 		l.options.Log.WithField("revision", action.Revision).Error(event.Why)
 	}
 	l.options.Trail.Add(event)
 }
 
-// maxAuditedChanges bounds the single changes of one snapshot in the trail.
+// maxAuditedChanges bounds the audit events for the changed settings of one
+// snapshot.
 const maxAuditedChanges = 200
 
-func (l *ConfigLoop) auditChanges(action config.ApplySnapshot, adoption config.ApplyResult) {
-	if adoption.Previous == nil {
+func (l *ConfigLoop) auditChanges(action config.ApplySnapshot, result config.ApplyResult) {
+	if result.Previous == nil {
 		return
 	}
-	changes := config.Changes(adoption.Previous, adoption.Snapshot)
+	changes := config.Changes(result.Previous, result.Snapshot)
 	for i, change := range changes {
 		if i == maxAuditedChanges {
 			return
 		}
 		l.options.Trail.Add(audit.Event{Time: time.Now(), Area: audit.Configuration, Subject: change.Path,
-			From: shown(change.Path, change.From), To: shown(change.Path, change.To), Why: "the folder changed", Source: action.Source, Revision: action.Revision})
+			From: auditText(change.Path, change.From), To: auditText(change.Path, change.To), Why: "the folder changed", Source: action.Source, Revision: action.Revision})
 	}
 }
 
-// shown is a setting as the trail tells it: hashes of credentials by their place
-// only.
-func shown(path string, setting config.Setting) string {
+// auditText formats a setting for the audit trail. It omits hashes of credentials and
+// shows only their position.
+func auditText(path string, setting config.Setting) string {
 	if strings.HasSuffix(path, ".keyHashes") {
 		setting.Value = ""
 	}
 	return setting.String()
 }
 
-func previousRevision(adoption config.ApplyResult) uint64 {
-	if adoption.Previous == nil {
+func previousRevision(result config.ApplyResult) uint64 {
+	if result.Previous == nil {
 		return 0
 	}
-	return adoption.Previous.Revision
+	return result.Previous.Revision
 }
 
-// setPeers makes all daemons that the snapshot names peers.
+// setPeers sets the daemons of the snapshot as peers, or the seeds if there are none.
 func (l *ConfigLoop) setPeers(snapshot *config.Snapshot) {
-	peers, turn := snapshot.Peers(l.options.Name)
+	peers, index := snapshot.Peers(l.options.Name)
 	if len(peers) == 0 {
 		peers = seedPeers(l.options.Seeds)
 	}
-	l.syncer.SetPeers(peers, turn)
+	l.syncer.SetPeers(peers, index)
 }
 
 func (l *ConfigLoop) watchHosts() error {
--- a/core/process/log.go
+++ b/core/process/log.go
@@ -14,7 +14,8 @@
 	return newLogger(os.Stderr, level).WithFields(logrus.Fields{"daemon": daemon, "name": name})
 }
 
-// NewDiscardLogger returns a logger that drops everything, for tests and the demo.
+// NewDiscardLogger returns a logger that discards its output, for tests and the
+// demo.
 func NewDiscardLogger() *logrus.Entry { return logrus.NewEntry(newLogger(io.Discard, "error")) }
 
 func newLogger(out io.Writer, level string) *logrus.Logger {
@@ -27,9 +28,9 @@
 	return logger
 }
 
-// LineWriter hands lines to a slower writer without ever blocking the caller. A
-// reader of standard output that stalls would otherwise hold up every request.
-// Lines beyond the buffer and beyond the rate are dropped and counted.
+// LineWriter queues lines for a slower writer and never blocks the caller: a stalled
+// reader of standard output would otherwise block every request. Lines that exceed
+// the buffer or the rate are dropped and counted.
 type LineWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -39,14 +40,14 @@
 	last    time.Time
 }
 
-// NewLineWriter returns a writer that buffers some lines and passes on at most
-// rate lines a second on the mean, in bursts of a second's worth. Run must be
+// NewLineWriter returns a LineWriter that buffers up to buffer lines and passes on
+// rate lines per second on average, with bursts of up to rate lines. Run must be
 // called once.
 func NewLineWriter(out io.Writer, buffer int, rate float64) *LineWriter {
 	return &LineWriter{out: out, lines: make(chan []byte, buffer), rate: rate, tokens: rate}
 }
 
-// Write queues one line. It is called under the logger's own lock.
+// Write queues one line. Calls must not be concurrent; the logger serializes them.
 func (w *LineWriter) Write(line []byte) (int, error) {
 	now := time.Now()
 	w.tokens = min(w.rate, w.tokens+now.Sub(w.last).Seconds()*w.rate)
@@ -64,10 +65,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *LineWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Run writes queued lines until stop is closed, and then what is still queued.
+// Run writes queued lines until stop is closed, then flushes the queue.
 func (w *LineWriter) Run(stop <-chan struct{}) error {
 	for {
 		select {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Flush writes what is queued.
+// Flush writes all queued lines.
 func (w *LineWriter) Flush() {
 	for {
 		select {
@@ -92,15 +93,15 @@
 	}
 }
 
-// emit drops a line that can't be written: there is nowhere left to tell of it
-// but the count.
+// emit writes a line. If that fails, the line is only counted as dropped, since the
+// log is not available to report the error.
 func (w *LineWriter) emit(line []byte) {
 	if _, err := w.out.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// NewLineLogger returns a logger of JSON lines on a writer.
+// NewLineLogger returns a logger that writes JSON lines to out.
 func NewLineLogger(out io.Writer, level, daemon, name string) *logrus.Entry {
 	return newLogger(out, level).WithFields(logrus.Fields{"daemon": daemon, "name": name})
 }
--- a/core/process/run.go
+++ b/core/process/run.go
@@ -27,11 +27,13 @@
 	ExitAddressInUse   = 5
 )
 
-// ErrAddressInUse says that another process listens on the daemon's address. It
-// may be this daemon's own predecessor, paused: two of them must never serve.
-var ErrAddressInUse = errors.New("address is taken")
+// ErrAddressInUse is returned if another process listens on the daemon's address.
+// That process may be a paused instance of this daemon: two instances must never
+// serve at the same time.
+var ErrAddressInUse = errors.New("address already in use")
 
-// Listen opens a TCP listener.
+// Listen opens a TCP listener with the socket options of package netopts. The error
+// wraps ErrAddressInUse if another process listens on the address.
 func Listen(address string) (net.Listener, error) {
 	options := net.ListenConfig{KeepAliveConfig: netopts.KeepAlive, Control: netopts.Control}
 	listener, err := options.Listen(context.Background(), "tcp", address)
@@ -49,17 +51,18 @@
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 32 << 10
-	// writeTime bounds the writing of answers whose handlers have returned.
-	writeTime = 200 * time.Millisecond
+	// flushTimeout bounds the time to write buffered responses at shutdown.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// ServeHTTP serves a handler under the tomb with the limits of the daemons' listeners.
+// ServeHTTP serves a handler under the tomb with the limits of the daemons'
+// listeners; see Serve.
 func ServeHTTP(t *tomb.Tomb, listener net.Listener, handler http.Handler) {
 	Serve(t, listener, &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes})
 }
 
-// Serve runs a server under the tomb. When the tomb dies it takes no new connections, and answers whose
-// handlers have returned are written to their end.
+// Serve runs a server under the tomb. When the tomb is dying, it stops accepting connections and writes the
+// responses whose handlers have returned.
 func Serve(t *tomb.Tomb, listener net.Listener, server *http.Server) {
 	t.Go(func() error {
 		err := server.Serve(listener)
@@ -74,37 +77,39 @@
 	})
 }
 
-// closeServer closes a server once what is buffered of its answers is written, after writeTime at the
-// latest. net/http writes the rest of a short answer, and the end of a stream, after the handler has
-// returned, when a request is not counted as open any more.
+// closeServer closes a server after its buffered responses are written, but after flushTimeout at the
+// latest. net/http writes the rest of a short response, and the end of a stream, after the handler has
+// returned and the request no longer counts as open.
 func closeServer(server *http.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), writeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("closing a server: %w", err)
+		return fmt.Errorf("closing HTTP server: %w", err)
 	}
 	return server.Close()
 }
 
-// Daemon is what Main runs.
+// Daemon is a daemon that Main runs.
 type Daemon interface {
-	// Start begins to serve under the tomb.
+	// Start starts the daemon's goroutines under the tomb.
 	Start(t *tomb.Tomb) error
-	// Manager owns the daemon's state.
+	// Manager returns the manager of the daemon's lifecycle state.
 	Manager() *lifecycle.Manager
 }
 
-// Main runs a daemon until a signal and then stops it as planned: no new work,
-// every open request finishes, then the exit. SIGINT during the stop or the limit
-// ends it at once; the error then wraps lifecycle.ErrCut. SIGTERM again does not: a
-// platform that repeats it, as when two rolling restarts overlap, would cut off the
-// requests that the first one let finish. It has SIGKILL for ending a process at once.
+// Main runs a daemon until SIGTERM, SIGINT or the end of ctx, then shuts it down
+// gracefully: it accepts no new work and waits for all open requests. stopLimit or a
+// SIGINT during the shutdown aborts the open requests; the exit code of the error is
+// then ExitAborted. A second SIGTERM is ignored: a platform that repeats it, for
+// example when two rolling restarts overlap, would otherwise abort requests that the
+// first one allowed to finish. It can use SIGKILL to end a process immediately.
 func Main(ctx context.Context, daemon Daemon, stopLimit time.Duration) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	t := &tomb.Tomb{}
-	// A tomb without goroutines never dies; this one lasts until the end.
+	// A tomb without goroutines never becomes dead. This one runs until the tomb is
+	// dying.
 	t.Go(func() error {
 		<-t.Dying()
 		return nil
@@ -119,7 +124,7 @@
 		return t.Wait()
 	}
 	daemon.Manager().Drain()
-	second, cancel := context.WithCancel(context.Background())
+	waitCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		for {
@@ -128,12 +133,12 @@
 				if again == syscall.SIGINT {
 					cancel()
 				}
-			case <-second.Done():
+			case <-waitCtx.Done():
 				return
 			}
 		}
 	}()
-	err := daemon.Manager().Wait(second, stopLimit)
+	err := daemon.Manager().Wait(waitCtx, stopLimit)
 	return errors.Join(err, shutDown(t))
 }
 
@@ -142,7 +147,7 @@
 	return t.Wait()
 }
 
-// ExitCode turns a daemon's error into the documented exit code.
+// ExitCode returns the documented exit code for a daemon's error.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
--- a/core/process/run_test.go
+++ b/core/process/run_test.go
@@ -11,7 +11,7 @@
 	"gopkg.in/tomb.v2"
 )
 
-// slowListener accepts connections that take a while for each write, as those of a busy host do.
+// slowListener accepts connections with slow writes, as on a busy host.
 type slowListener struct{ net.Listener }
 
 func (l slowListener) Accept() (net.Conn, error) {
@@ -26,19 +26,18 @@
 	return c.Conn.Write(data)
 }
 
-// Callers of long streams got all events with status 200, but not the end of the answer. Their entry was
-// being stopped, and the stream, which outlasted all others, was the last open request. It counted as ended
-// when its handler returned; the process closed all connections then, while the server still had the end
-// in its buffer. Evidence: of 2,800 entries with four threads, each stopped under one long stream, five
-// cut it there, each telling of no open request and one answer that was not written; none of 3,000 since.
-func TestTheLastAnswerIsWrittenBeforeTheProcessEnds(t *testing.T) {
+// Callers of long streams received all events but not the end of the response: the stream was the last open
+// request of an entry that was shutting down. The request counted as closed when its handler returned, and the
+// process closed all connections while the server still had the end of the stream in its buffer. Before the
+// fix, 5 of 2,800 entries with four threads truncated a stream in this way; after it, none of 3,000 did.
+func TestBufferedResponseIsWrittenBeforeExit(t *testing.T) {
 	for name, flush := range map[string]bool{"stream": true, "whole answer": false} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := Listen("127.0.0.1:0")
 			require.NoError(t, err)
 			daemon := &tomb.Tomb{}
 			ServeHTTP(daemon, slowListener{listener}, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				defer daemon.Kill(nil) // no request is open any more
+				defer daemon.Kill(nil) // the last request counts as closed
 				_, _ = io.WriteString(w, "the answer")
 				if flush {
 					_ = http.NewResponseController(w).Flush()
--- a/core/process/settings.go
+++ b/core/process/settings.go
@@ -1,5 +1,6 @@
-// Package process holds what both daemons need to be processes: their settings,
-// logs, listeners, tick loop and the loop that keeps the configuration current.
+// Package process holds the process-level parts common to host daemons and entries:
+// settings, logging, listeners, startup and shutdown, and the loop that keeps the
+// configuration current.
 package process
 
 import (
@@ -15,46 +16,47 @@
 	"arbutusdeck/core/config"
 )
 
-// ErrSettings is wrapped by every error in a daemon's own settings.
-var ErrSettings = errors.New("settings refused")
+// ErrSettings is wrapped by all errors in a daemon's settings.
+var ErrSettings = errors.New("invalid settings")
 
-// Settings are the settings that both daemons have. They tell a process who and
-// where it is; everything about the fleet stands in the configuration folder.
+// Settings are the settings common to host daemons and entries: the identity and
+// addresses of one process. The fleet is described by the configuration folder.
 type Settings struct {
 	// Name is the daemon's name: for a host daemon the server's name in the
-	// configuration, for an entry the name among entries.
+	// configuration, for an entry its name among the entries.
 	Name string `yaml:"name" validate:"required"`
 	// Zone is the availability zone.
 	Zone string `yaml:"zone" validate:"required"`
-	// AdminAddress is where the administration API listens.
+	// AdminAddress is the IP and port of the administration API.
 	AdminAddress string `yaml:"adminAddress" validate:"required,hostname_port"`
-	// AdminToken is the credential of the administration API.
+	// AdminToken is the bearer token of the administration API.
 	AdminToken string `yaml:"adminToken" validate:"required,min=16"`
-	// Platform is the platform's URL.
+	// Platform is the platform's base URL.
 	Platform string `yaml:"platform" validate:"required,url"`
-	// PeerAddress is where other daemons reach this one.
+	// PeerAddress is the IP and port for connections of other daemons.
 	PeerAddress string `yaml:"peerAddress" validate:"required,hostname_port"`
-	// Secret is shared by all daemons: it authenticates them to each other and
+	// Secret is shared by all daemons. It authenticates them to each other and
 	// signs issued keys.
 	Secret string `yaml:"secret" validate:"required,min=16"`
-	// Peers are a few daemons to ask for the configuration at a start.
+	// Peers are daemons to ask for the configuration at startup.
 	Peers []SeedPeer `yaml:"peers" validate:"dive"`
-	// StopLimit bounds a planned stop.
+	// StopLimit bounds a graceful shutdown; 0 means DefaultStopLimit.
 	StopLimit config.Duration `yaml:"stopLimit" validate:"gte=0"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"logLevel" validate:"omitempty,oneof=debug info warn error"`
 }
 
-// SeedPeer is a daemon known from the settings.
+// SeedPeer is a peer from the settings, used before a configuration is known.
 type SeedPeer struct {
 	Name    string `yaml:"name" validate:"required"`
 	Address string `yaml:"address" validate:"required,hostname_port"`
 }
 
-// DefaultStopLimit is how long a planned stop waits for open streams.
+// DefaultStopLimit is the default time for which a graceful shutdown waits for open
+// requests.
 const DefaultStopLimit = 15 * time.Minute
 
-// StopLimitOrDefault returns the bound of a planned stop.
+// StopLimitOrDefault returns StopLimit, or DefaultStopLimit if it is 0.
 func (s Settings) StopLimitOrDefault() time.Duration {
 	if s.StopLimit == 0 {
 		return DefaultStopLimit
@@ -62,9 +64,9 @@
 	return s.StopLimit.D()
 }
 
-// LoadSettings reads a settings file strictly into target, lets override change
-// it (flags and environment) and checks it. Errors wrap ErrSettings and name the
-// file and the line or the field.
+// LoadSettings reads a settings file into target, calls override to apply flags and
+// environment, and validates the result. Unknown keys are errors. Errors wrap
+// ErrSettings and contain the file and the line or field.
 func LoadSettings(path string, target any, override func()) error {
 	if path != "" {
 		if err := decodeSettings(path, target); err != nil {
@@ -76,7 +78,7 @@
 	var failures validator.ValidationErrors
 	if errors.As(err, &failures) {
 		first := failures[0]
-		return fmt.Errorf("%w: %s: %s is %q, which breaks the rule %q", ErrSettings, path, first.Namespace(), fmt.Sprint(first.Value()), first.Tag()+" "+first.Param())
+		return fmt.Errorf("%w: %s: %s is %q, which violates the rule %q", ErrSettings, path, first.Namespace(), fmt.Sprint(first.Value()), first.Tag()+" "+first.Param())
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrSettings, err)
--- a/core/process/version.go
+++ b/core/process/version.go
@@ -3,7 +3,7 @@
 // Version is the version of both binaries.
 var Version = "0.1.0"
 
-// ExitCodesHelp documents the exit codes of both binaries.
+// ExitCodesHelp is the help text on the exit codes of both binaries.
 const ExitCodesHelp = `Exit codes:
    0  done; after serve: stopped as planned, nothing cut off
    1  failed; the message says why
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -143,7 +143,7 @@
 	{"the limit of a stop is answered", "entry/gateway/run.go", "func() { stop(errStopLimit) })", "func() {})", gatewayPkg, "TestAtTheLimitOfAStopCallers"},
 	{"the limit of a stop ends the wait for a body", "entry/gateway/front.go", "func() { e.setDeadline((*http.ResponseController).SetReadDeadline, time.Now()) })", "func() {})", gatewayPkg, "TestAtTheLimitOfAStopNoBody"},
 	{"a stop leaves time for answers", "core/lifecycle/manager.go", "	m.awaitAnswers()\n", "", "arbutusdeck/core/lifecycle", "TestTheLimitOfAStop"},
-	{"the last bytes are written before the exit", "core/process/run.go", "server.Shutdown(ctx)", "ctx.Err()", "arbutusdeck/core/process", "TestTheLastAnswer"},
+	{"the last bytes are written before the exit", "core/process/run.go", "server.Shutdown(ctx)", "ctx.Err()", "arbutusdeck/core/process", "TestBufferedResponse"},
 	{"no answer outlasts the entry", "core/placement/choose.go", "refusal == \"\" && outlasts(best, q)", "false", placementPkg, "TestAnAnswerThatMayOutlast"},
 	{"an entry that stops knows how long it lives", "entry/gateway/run.go", "Life: e.s.life(now), ", "", gatewayPkg, "TestAnEntryThatStopsRefuses"},
 	{"an answer that may be cut is better than none", "entry/gateway/stop.go", "!known || wait > 0 {\n		return 0", "!known || wait > 0 {\n		return time.Nanosecond", gatewayPkg, "TestAnEntryThatStopsRefuses"},
