--- a/core/admin/api.go
+++ b/core/admin/api.go
@@ -1,6 +1,6 @@
-// Package admin is the read-only administration API of a daemon: health and
-// readiness for the balancer, metrics for scrapers, and for operators what the
-// daemon believes and why.
+// Package admin implements the read-only administration API of a daemon: health and
+// readiness for the load balancer, metrics for scrapers, and status and audit trail
+// for operators.
 package admin
 
 import (
@@ -16,44 +16,45 @@
 	"arbutusdeck/core/wire"
 )
 
-// Section returns one part of the status as a value for JSON.
+// Section returns one section of the status as a value to encode as JSON.
 type Section func() any
 
-// Options are the parts of an API.
+// Options configures the API.
 type Options struct {
-	// Token is the credential of everything but health and readiness.
+	// Token is the bearer token for all endpoints except health and readiness.
 	Token string
-	// Ready returns nil while new work is taken, and why not otherwise.
+	// Ready returns nil while the daemon accepts new work, and an error
+	// otherwise.
 	Ready    func() error
 	Registry metrics.Registry
 	Trail    *audit.Trail
-	// Sections by name; each is served at /v1/status/{name}, and all
-	// together at /v1/status.
+	// Sections are the sections of the status by name. Each is served at
+	// /v1/status/{name}, and all of them at /v1/status.
 	Sections map[string]Section
 }
 
-// Problem is the body of an error.
+// Problem is the body of an error response.
 type Problem struct {
 	Code   string `json:"code"`
 	Detail string `json:"detail"`
 }
 
-// Handler returns the API.
+// Handler returns the HTTP handler of the API.
 func Handler(options Options) http.Handler {
 	a := api{options}
 	router := bunrouter.New()
 	router.GET("/healthz", a.health)
 	router.GET("/readyz", a.ready)
-	router.GET("/metrics", a.guarded(a.metrics))
-	router.GET("/v1/status", a.guarded(a.status))
-	router.GET("/v1/status/:section", a.guarded(a.section))
-	router.GET("/v1/audit", a.guarded(a.audit))
+	router.GET("/metrics", a.authenticated(a.metrics))
+	router.GET("/v1/status", a.authenticated(a.status))
+	router.GET("/v1/status/:section", a.authenticated(a.section))
+	router.GET("/v1/audit", a.authenticated(a.audit))
 	return router
 }
 
 type api struct{ options Options }
 
-func (a api) guarded(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
+func (a api) authenticated(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, request bunrouter.Request) error {
 		if !wire.BearerMatches(request.Request, a.options.Token) {
 			return writeProblem(w, http.StatusUnauthorized, "unauthorized", "give the administration token as a bearer token")
@@ -89,23 +90,24 @@
 	return writeJSON(w, http.StatusOK, section())
 }
 
-// defaultAuditLimit is the number of events in one answer unless asked for.
+// defaultAuditLimit is the maximum number of events in a response if the request
+// sets none.
 const defaultAuditLimit = 200
 
 func (a api) audit(w http.ResponseWriter, request bunrouter.Request) error {
 	query := request.URL.Query()
-	after, err := number(query.Get("after"), 0)
+	after, err := parseNumber(query.Get("after"), 0)
 	if err != nil {
 		return writeProblem(w, http.StatusBadRequest, "bad_after", "after must be a sequence number")
 	}
-	limit, err := number(query.Get("limit"), defaultAuditLimit)
+	limit, err := parseNumber(query.Get("limit"), defaultAuditLimit)
 	if err != nil {
 		return writeProblem(w, http.StatusBadRequest, "bad_limit", "limit must be a number")
 	}
 	return writeJSON(w, http.StatusOK, a.options.Trail.Since(after, int(limit)))
 }
 
-func number(text string, fallback uint64) (uint64, error) {
+func parseNumber(text string, fallback uint64) (uint64, error) {
 	if text == "" {
 		return fallback, nil
 	}
--- a/core/admin/metrics.go
+++ b/core/admin/metrics.go
@@ -13,14 +13,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// metricPrefix starts every exported name.
+// metricPrefix is the prefix of all exported names.
 const metricPrefix = "arbutusdeck_"
 
-// quantiles are exported of timers and histograms.
+// quantiles are the exported quantiles of timers and histograms.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// RegisterRuntime adds gauges of the process itself: goroutines, and the bytes
-// that its heap holds.
+// RegisterRuntime registers gauges of the process: the number of goroutines, and the
+// allocated bytes of the heap.
 func RegisterRuntime(registry metrics.Registry) {
 	metrics.NewRegisteredFunctionalGauge("goroutines", registry, func() int64 { return int64(runtime.NumGoroutine()) })
 	metrics.NewRegisteredFunctionalGauge("heap.bytes", registry, func() int64 {
@@ -34,23 +34,23 @@
 	return WriteMetrics(w, a.options.Registry)
 }
 
-// WriteMetrics writes all metrics of a registry as text for scrapers.
+// WriteMetrics writes all metrics of a registry in the Prometheus text format.
 func WriteMetrics(w http.ResponseWriter, registry metrics.Registry) error {
 	w.Header().Set("Content-Type", string(expfmt.NewFormat(expfmt.TypeTextPlain)))
-	var failed error
+	var writeErr error
 	registry.Each(func(name string, metric any) {
-		family := exported(name, metric)
-		if family == nil || failed != nil {
+		family := metricFamily(name, metric)
+		if family == nil || writeErr != nil {
 			return
 		}
-		_, failed = expfmt.MetricFamilyToText(w, family)
+		_, writeErr = expfmt.MetricFamilyToText(w, family)
 	})
-	return failed
+	return writeErr
 }
 
-// exported turns a metric into a family of the text format that scrapers read.
-// Timers are given in seconds.
-func exported(name string, metric any) *dto.MetricFamily {
+// metricFamily converts a metric to a Prometheus metric family. Timers are exported
+// in seconds. It returns nil for an unsupported type.
+func metricFamily(name string, metric any) *dto.MetricFamily {
 	family := &dto.MetricFamily{Name: proto.String(metricPrefix + strings.NewReplacer(".", "_", "-", "_").Replace(name))}
 	switch m := metric.(type) {
 	case metrics.Counter:
--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -1,6 +1,6 @@
-// Package audit keeps the trail of changes: of configuration, membership, roles
-// and limits, and every refusal of one. The trail is bounded in memory and
-// written as JSON lines.
+// Package audit records changes of configuration, membership, orders, limits and
+// lifecycle, and refused changes. The trail keeps a bounded number of events in
+// memory and writes them as JSON lines.
 package audit
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Area is the part of the system that an event belongs to.
+// Area is the part of the system that an event concerns.
 type Area string
 
 // Areas of events.
@@ -24,52 +24,53 @@
 	Requests      Area = "requests"
 )
 
-// Event is one change, or the refusal of one.
+// Event is a change or a refused change.
 type Event struct {
 	Sequence uint64    `json:"sequence"`
 	Time     time.Time `json:"time"`
 	Area     Area      `json:"area"`
-	// Subject is what changed: a server, an engine, a configuration path.
+	// Subject names what changed: a server, an engine or a configuration path.
 	Subject string `json:"subject"`
 	From    string `json:"from"`
 	To      string `json:"to"`
 	Why     string `json:"why"`
-	// Source is where the cause came from: platform, peer, list, message.
+	// Source is the origin of the change: platform, peer, list or message.
 	Source   string `json:"source"`
 	Revision uint64 `json:"revision"`
 	Refused  bool   `json:"refused,omitempty"`
 }
 
-// Trail is safe for concurrent use.
+// Trail is a ring buffer of the last events. It is safe for concurrent use.
 type Trail struct {
-	mu     sync.Mutex
-	out    io.Writer
-	limit  int
-	next   uint64
-	events []Event
-	start  int
+	mu           sync.Mutex
+	out          io.Writer
+	limit        int
+	nextSequence uint64
+	events       []Event
+	oldest       int
 }
 
 // DefaultLimit is the number of events kept in memory.
 const DefaultLimit = 2000
 
-// NewTrail returns a trail that keeps limit events and writes each to out as one
-// JSON line; out may be nil.
+// NewTrail returns a Trail that keeps the last limit events and writes each event
+// to out as a JSON line. out can be nil.
 func NewTrail(out io.Writer, limit int) *Trail {
-	return &Trail{out: out, limit: max(limit, 1), next: 1}
+	return &Trail{out: out, limit: max(limit, 1), nextSequence: 1}
 }
 
-// Add numbers the event and records it. The event's time is the caller's.
+// Add assigns the next sequence number to the event and records it. The caller sets
+// the time. An event that can't be written to out is still kept.
 func (t *Trail) Add(event Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	event.Sequence = t.next
-	t.next++
+	event.Sequence = t.nextSequence
+	t.nextSequence++
 	if len(t.events) < t.limit {
 		t.events = append(t.events, event)
 	} else {
-		t.events[t.start] = event
-		t.start = (t.start + 1) % t.limit
+		t.events[t.oldest] = event
+		t.oldest = (t.oldest + 1) % t.limit
 	}
 	if t.out == nil {
 		return
@@ -82,13 +83,14 @@
 	}
 }
 
-// Since returns the kept events after a sequence, oldest first, at most limit.
+// Since returns up to limit kept events with a sequence number above sequence, oldest
+// first. A limit of 0 means all.
 func (t *Trail) Since(sequence uint64, limit int) []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var found []Event
 	for i := range t.events {
-		event := t.events[(t.start+i)%len(t.events)]
+		event := t.events[(t.oldest+i)%len(t.events)]
 		if event.Sequence > sequence {
 			found = append(found, event)
 		}
--- a/core/commands/flags.go
+++ b/core/commands/flags.go
@@ -6,7 +6,7 @@
 	"arbutusdeck/core/process"
 )
 
-// settingFlag is one setting that a flag or the environment may override.
+// settingFlag is a setting that a flag or environment variable can override.
 type settingFlag struct {
 	name, env, usage string
 	field            func(*process.Settings) *string
@@ -23,8 +23,8 @@
 	{"log-level", "ARBUTUS_LOG_LEVEL", "debug, info, warn or error", func(s *process.Settings) *string { return &s.LogLevel }},
 }
 
-// SettingsFlags returns the flags of serve. A flag goes before the environment,
-// the environment before the file.
+// SettingsFlags returns the flags of the command serve. A flag overrides the
+// environment, and the environment overrides the settings file.
 func SettingsFlags(into *process.Settings) []cli.Flag {
 	flags := []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the daemon's settings `FILE` (YAML)", Sources: cli.EnvVars("ARBUTUS_SETTINGS")}}
 	for _, flag := range settingFlags {
@@ -33,7 +33,8 @@
 	return flags
 }
 
-// ApplyFlags puts the given flags over the settings of the file.
+// ApplyFlags overrides settings of the file with the flags and environment variables
+// that are set, whose values are in given.
 func ApplyFlags(c *cli.Command, settings *process.Settings, given process.Settings) {
 	for _, flag := range settingFlags {
 		if c.IsSet(flag.name) {
--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -1,5 +1,5 @@
-// Package commands holds the operators' commands that both binaries have: check,
-// explain, status and audit.
+// Package commands implements the operators' commands common to both binaries:
+// check, explain, status and audit.
 package commands
 
 import (
@@ -20,13 +20,15 @@
 	"arbutusdeck/core/process"
 )
 
-// errRefused says that check refused a folder; its exit code is its own.
-var errRefused = errors.New("the folder was refused")
+// errConfigRejected is returned for an invalid configuration folder. It has its own
+// exit code.
+var errConfigRejected = errors.New("the folder was refused")
 
-// errUsage says that a command was called wrongly.
+// errUsage is returned for invalid arguments.
 var errUsage = errors.New("wrong use")
 
-// Run runs a command line and returns the exit code.
+// Run runs a command line, prints its error to standard error and returns the exit
+// code.
 func Run(command *cli.Command, args []string) int {
 	command.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	err := command.Run(context.Background(), args)
@@ -35,7 +37,7 @@
 	}
 	fmt.Fprintln(os.Stderr, err)
 	switch {
-	case errors.Is(err, errRefused):
+	case errors.Is(err, errConfigRejected):
 		return process.ExitConfigRejected
 	case errors.Is(err, errUsage):
 		return process.ExitUsage
@@ -48,7 +50,7 @@
 	return []*cli.Command{checkCommand(), explainCommand(), statusCommand(), auditCommand()}
 }
 
-// ReadFolder reads the *.yaml and *.yml files of a folder.
+// ReadFolder reads the *.yaml and *.yml files of a folder, without subfolders.
 func ReadFolder(folder string) ([]config.File, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -78,12 +80,12 @@
 		return nil, err
 	}
 	snapshot, err := config.Load(1, files)
-	var refused *config.InvalidError
-	if errors.As(err, &refused) {
-		for _, problem := range refused.Problems {
+	var invalid *config.InvalidError
+	if errors.As(err, &invalid) {
+		for _, problem := range invalid.Problems {
 			fmt.Fprintln(os.Stderr, problem)
 		}
-		return nil, fmt.Errorf("%w: %d problem(s)", errRefused, len(refused.Problems))
+		return nil, fmt.Errorf("%w: %d problem(s)", errConfigRejected, len(invalid.Problems))
 	}
 	return snapshot, err
 }
@@ -124,12 +126,12 @@
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
-			return printRows(c.Root().Writer, rows)
+			return printExplanation(c.Root().Writer, rows)
 		},
 	}
 }
 
-func printRows(out io.Writer, rows []config.Explanation) error {
+func printExplanation(out io.Writer, rows []config.Explanation) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		from := row.Position.String()
@@ -159,7 +161,7 @@
 			if section := c.Args().First(); section != "" {
 				path += "/" + section
 			}
-			return show(ctx, c, path)
+			return printAdmin(ctx, c, path)
 		},
 	}
 }
@@ -172,16 +174,17 @@
 			&cli.Uint64Flag{Name: "after", Usage: "only events after this sequence number"},
 			&cli.Uint64Flag{Name: "limit", Value: 200, Usage: "at most this many events"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return show(ctx, c, fmt.Sprintf("/v1/audit?after=%d&limit=%d", c.Uint64("after"), c.Uint64("limit")))
+			return printAdmin(ctx, c, fmt.Sprintf("/v1/audit?after=%d&limit=%d", c.Uint64("after"), c.Uint64("limit")))
 		},
 	}
 }
 
-// showTimeout bounds a call to a daemon's administration API.
-const showTimeout = 10 * time.Second
+// adminTimeout bounds a call to a daemon's administration API.
+const adminTimeout = 10 * time.Second
 
-func show(ctx context.Context, c *cli.Command, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, showTimeout)
+// printAdmin prints the response of a daemon's administration API to a GET request.
+func printAdmin(ctx context.Context, c *cli.Command, path string) error {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.String("admin")+path, nil)
 	if err != nil {
