--- a/core/netopts/netopts.go
+++ b/core/netopts/netopts.go
@@ -1,7 +1,7 @@
-// Package netopts holds the socket options of connections between daemons. A peer
-// that is cut off sends no reset: without these options its streams would look
-// open until the kernel's own limits, a quarter of an hour or more, and the
-// leases that hang on them would not end.
+// Package netopts sets the socket options of connections between daemons. A peer
+// behind a network partition sends no reset. Without these options its streams would
+// appear open until the kernel's default timeouts, 15 minutes or more, and the leases
+// that depend on them would not expire.
 package netopts
 
 import (
@@ -12,28 +12,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout is how long sent data may stay unacknowledged.
+// UserTimeout is the time for which sent data can stay unacknowledged before the
+// connection is closed.
 const UserTimeout = 8 * time.Second
 
-// KeepAlive finds a silent peer within some ten seconds.
+// KeepAlive detects an unresponsive peer on an idle connection within about ten
+// seconds.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 2}
 
-// Control sets UserTimeout on a socket; an accepted one inherits it.
+// Control sets UserTimeout on a socket. Accepted sockets inherit it from the
+// listening socket.
 func Control(network, address string, connection syscall.RawConn) error {
 	return ControlFor(UserTimeout)(network, address, connection)
 }
 
-// ControlFor sets a user timeout on a socket. It also bounds how long keep-alive probes
-// stay unanswered: the kernel counts them only where no user timeout is set.
+// ControlFor returns a function that sets a TCP user timeout on a socket. The user
+// timeout also bounds the time for which keep-alive probes stay unanswered: the kernel
+// uses the count of KeepAlive only if no user timeout is set.
 func ControlFor(timeout time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return func(_, _ string, connection syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := connection.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}
 }
--- a/core/netopts/refuses_test.go
+++ b/core/netopts/refuses_test.go
@@ -11,20 +11,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process listens, takes no connection for a while, and ends. Only then its host refuses.
-func TestAHostRefusesOnceNobodyListens(t *testing.T) {
+// A host refuses connections only after the listener is closed, not while the process accepts none.
+func TestHostRefusesConnectionsAfterListenerCloses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
-	require.False(t, RefusesConnections(t.Context(), address, time.Second), "it listens, though it takes nothing")
+	require.False(t, RefusesConnections(t.Context(), address, time.Second), "the process listens without accepting connections")
 	require.NoError(t, listener.Close())
 	require.True(t, RefusesConnections(t.Context(), address, time.Second))
 	require.False(t, RefusesConnections(t.Context(), "not an address", time.Second))
 }
 
-// A busy host did not run this process for the whole timeout. The refusal was there meanwhile, and the end of a server
-// was missed: the request under which it ended was sent to one server more.
-func TestATimeoutThatMayBeThisProcessItsOwnIsLookedAtAgain(t *testing.T) {
+// On a busy host this process was not scheduled for the whole dial timeout. The host's refusal had arrived, but only
+// the timeout was reported, so the crash of a server was missed: the request under which it crashed was sent to one
+// more server.
+func TestRefusalIsCheckedAgainAfterATimeout(t *testing.T) {
 	dials := 0
 	dial := func(results ...error) func(context.Context, string, string) (net.Conn, error) {
 		dials = 0
@@ -34,10 +35,10 @@
 		}
 	}
 	require.True(t, refuses(t.Context(), "10.0.0.1:1", dial(os.ErrDeadlineExceeded, syscall.ECONNREFUSED)))
-	require.False(t, refuses(t.Context(), "10.0.0.1:1", dial(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded)), "a host that is cut off")
+	require.False(t, refuses(t.Context(), "10.0.0.1:1", dial(os.ErrDeadlineExceeded, os.ErrDeadlineExceeded)), "an unreachable host")
 	require.Equal(t, 2, dials)
 	require.False(t, refuses(t.Context(), "10.0.0.1:1", dial(syscall.EHOSTUNREACH)))
-	gone, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.False(t, refuses(gone, "10.0.0.1:1", dial(os.ErrDeadlineExceeded)))
+	require.False(t, refuses(cancelled, "10.0.0.1:1", dial(os.ErrDeadlineExceeded)))
 }
--- a/core/platform/client.go
+++ b/core/platform/client.go
@@ -1,5 +1,5 @@
-// Package platform reads what the platform publishes: the configuration folder,
-// its watch and the lagging list of hosts. Nothing here writes.
+// Package platform is a read-only client for the platform's API: the configuration
+// folder, a long-poll for its changes, and the list of hosts, which lags behind.
 package platform
 
 import (
@@ -15,45 +15,49 @@
 	"arbutusdeck/core/config"
 )
 
-// Errors of Client; they are wrapped with the cause.
+// Errors of Client.
 var (
-	// ErrUnavailable: the platform did not answer, or not as its protocol says.
+	// ErrUnavailable is wrapped if the platform did not reply or its reply
+	// violates the protocol.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrSuperseded: the platform no longer holds the revision asked for.
+	// ErrSuperseded is returned if the platform no longer stores the requested
+	// revision.
 	ErrSuperseded = errors.New("revision superseded")
 )
 
-// Host is one row of the platform's list.
+// Host is a row of the platform's list of hosts.
 type Host struct {
 	Server  string `json:"server"`
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Options are the bounds of a Client.
+// Options configures a Client.
 type Options struct {
-	// BaseURL is the platform's address, as in http://10.0.0.2:7000.
+	// BaseURL is the platform's base URL, as in http://10.0.0.2:7000.
 	BaseURL string
-	// WatchWait is how long one watch waits at the platform.
+	// WatchWait is the time for which the platform holds a watch open; 0 means
+	// DefaultWatchWait.
 	WatchWait time.Duration
-	// Timeout bounds every other call, and a watch beyond its wait.
+	// Timeout bounds every other call, and a watch in addition to WatchWait; 0
+	// means DefaultTimeout.
 	Timeout time.Duration
-	// HTTP makes the calls; nil takes a client of its own.
+	// HTTP is the client for the calls; nil means a new one.
 	HTTP *http.Client
 }
 
-// Defaults of Options.
+// Defaults of Options, and the limit of a value.
 const (
 	DefaultWatchWait = 25 * time.Second
 	DefaultTimeout   = 3 * time.Second
-	// MaxValueBytes is the largest value that the platform holds, in bytes.
+	// MaxValueBytes is the maximum size of a value on the platform, in bytes.
 	MaxValueBytes = 1 << 20
 )
 
 // Client calls the platform over HTTP.
 type Client struct{ options Options }
 
-// NewClient returns a client; zero options take the defaults.
+// NewClient returns a Client. Zero options are replaced by their defaults.
 func NewClient(options Options) *Client {
 	if options.WatchWait == 0 {
 		options.WatchWait = DefaultWatchWait
@@ -67,8 +71,8 @@
 	return &Client{options}
 }
 
-// Watch waits for a manifest above a revision. It returns nil without an error
-// if there was none within the wait.
+// Watch long-polls for a manifest above a revision. It returns nil without an error
+// if there was none within WatchWait.
 func (c *Client) Watch(ctx context.Context, above uint64) (*config.Manifest, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.WatchWait+c.options.Timeout)
 	defer cancel()
--- a/core/virtualtime/clock.go
+++ b/core/virtualtime/clock.go
@@ -1,5 +1,5 @@
-// Package virtualtime is a clock that is moved by its events: tests and
-// experiments that run in it give the same result each time.
+// Package virtualtime implements a discrete-event clock, which makes tests and
+// simulations deterministic.
 package virtualtime
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Clock holds the present time and what is to happen later. Events of the same
-// time happen in the order in which they were added.
+// Clock holds the current virtual time and a queue of events. Events at the same
+// time run in the order in which they were added. It is not safe for concurrent use.
 type Clock struct {
 	Now      time.Time
 	queue    queue
@@ -32,10 +32,10 @@
 }
 func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -44,21 +44,22 @@
 	return last
 }
 
-// NewClock returns a clock that shows now.
+// NewClock returns a Clock that starts at now.
 func NewClock(now time.Time) *Clock { return &Clock{Now: now} }
 
-// Next returns a number that no other call returns.
+// Next returns a number that no other call returns. Events are numbered in the same
+// sequence.
 func (c *Clock) Next() uint64 {
 	c.sequence++
 	return c.sequence
 }
 
-// After runs something later.
+// After schedules run to be called by Run after d.
 func (c *Clock) After(d time.Duration, run func()) {
 	heap.Push(&c.queue, event{c.Now.Add(d), c.Next(), run})
 }
 
-// Run lets time pass.
+// Run advances the clock by d and runs the events that are due.
 func (c *Clock) Run(d time.Duration) {
 	end := c.Now.Add(d)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
--- a/proof/mutations/quarantine_mutations_test.go
+++ b/proof/mutations/quarantine_mutations_test.go
@@ -11,7 +11,7 @@
 	{"a restarted entry is told at once", "core/peering/group.go", "		known.recordsTold = time.Time{} // what the start before was told is lost\n", "		_ = known\n", peeringPkg, "TestARestartedEntryIsToldRecords"},
 	{"a lost record is told again", "entry/gateway/beats.go", "	m.SetRecordsSum(s.watch.Sum())\n", "", gatewayPkg, "TestARecordThatIsLost"},
 	{"a server that lives is no end", "core/netopts/refuses.go", "			_ = connection.Close()\n			return false\n", "			_ = connection.Close()\n			return true\n", gatewayPkg, "TestARequestWhoseServersLive"},
-	{"a timeout that may be its own is looked at again", "core/netopts/refuses.go", "const looks = 2\n", "const looks = 1\n", "arbutusdeck/core/netopts", "TestATimeoutThatMayBe"},
+	{"a timeout that may be its own is looked at again", "core/netopts/refuses.go", "const dialAttempts = 2\n", "const dialAttempts = 1\n", "arbutusdeck/core/netopts", "TestRefusalIsCheckedAgain"},
 	{"a silent end is found out", "entry/gateway/ended.go", "		go e.s.look(context.Background(), request, choice)\n", "", gatewayPkg, "TestAnEndThatWasSilent"},
 	{"an end that nobody waits for is found out", "entry/gateway/ended.go", "		e.s.lookLater(request, choice)\n", "", gatewayPkg, "TestAnEndThatNobodyWaitsFor"},
 	{"suspects are kept apart", "entry/gateway/run.go", "	others := e.otherSuspects(now)\n", "	var others []string\n", gatewayPkg, "TestTwoSuspects"},
