--- a/core/process/base.go
+++ b/core/process/base.go
@@ -181,13 +181,13 @@
 
 // Status is the section "daemon" of a daemon's status.
 type Status struct {
-	Name            string                `json:"name"`
-	Zone            string                `json:"zone"`
-	Incarnation     execution.Incarnation `json:"incarnation"`
-	State           lifecycle.State       `json:"state"`
-	Revision        uint64                `json:"revision"`
-	RefusedRevision uint64                `json:"refusedRevision,omitempty"`
-	RefusedWhy      string                `json:"refusedWhy,omitempty"`
+	Name             string                `json:"name"`
+	Zone             string                `json:"zone"`
+	Incarnation      execution.Incarnation `json:"incarnation"`
+	State            lifecycle.State       `json:"state"`
+	Revision         uint64                `json:"revision"`
+	RejectedRevision uint64                `json:"refusedRevision,omitempty"`
+	RefusedWhy       string                `json:"refusedWhy,omitempty"`
 	// OpenRequests counts the requests that a graceful shutdown waits for.
 	OpenRequests int `json:"openRequests"`
 }
@@ -195,7 +195,7 @@
 func (b *Base) status() Status {
 	rejected, err := b.Store.RejectedRevision()
 	status := Status{Name: b.Name(), Zone: b.options.Settings.Zone, Incarnation: b.Incarnation(), State: b.manager.State(),
-		Revision: b.Store.Revision(), RefusedRevision: rejected, OpenRequests: b.manager.Open()}
+		Revision: b.Store.Revision(), RejectedRevision: rejected, OpenRequests: b.manager.Open()}
 	if err != nil {
 		status.RefusedWhy = err.Error()
 	}
