--- a/core/process/base.go
+++ b/core/process/base.go
@@ -187,7 +187,7 @@
 	State            lifecycle.State       `json:"state"`
 	Revision         uint64                `json:"revision"`
 	RejectedRevision uint64                `json:"refusedRevision,omitempty"`
-	RefusedWhy       string                `json:"refusedWhy,omitempty"`
+	RejectedReason   string                `json:"refusedWhy,omitempty"`
 	// OpenRequests counts the requests that a graceful shutdown waits for.
 	OpenRequests int `json:"openRequests"`
 }
@@ -197,7 +197,7 @@
 	status := Status{Name: b.Name(), Zone: b.options.Settings.Zone, Incarnation: b.Incarnation(), State: b.manager.State(),
 		Revision: b.Store.Revision(), RejectedRevision: rejected, OpenRequests: b.manager.Open()}
 	if err != nil {
-		status.RefusedWhy = err.Error()
+		status.RejectedReason = err.Error()
 	}
 	return status
 }
