--- a/core/virtualtime/clock.go
+++ b/core/virtualtime/clock.go
@@ -47,16 +47,16 @@
 // NewClock returns a Clock that starts at now.
 func NewClock(now time.Time) *Clock { return &Clock{Now: now} }
 
-// Next returns a number that no other call returns. Events are numbered in the same
+// NextSequence returns a number that no other call returns. Events are numbered in the same
 // sequence.
-func (c *Clock) Next() uint64 {
+func (c *Clock) NextSequence() uint64 {
 	c.sequence++
 	return c.sequence
 }
 
 // After schedules run to be called by Run after d.
 func (c *Clock) After(d time.Duration, run func()) {
-	heap.Push(&c.queue, event{c.Now.Add(d), c.Next(), run})
+	heap.Push(&c.queue, event{c.Now.Add(d), c.NextSequence(), run})
 }
 
 // Run advances the clock by d and runs the events that are due.
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -213,7 +213,7 @@
 // before Submit returns.
 func (e *Entry) Submit(request Request) *Submission {
 	l := e.lab
-	number := l.Next()
+	number := l.NextSequence()
 	s := &Submission{Sent: l.Now, id: execution.RequestID(fmt.Sprintf("q%d", number)), number: int(number), request: request, entry: e}
 	if !e.alive {
 		s.Ended = l.Now
