--- a/core/config/merge.go
+++ b/core/config/merge.go
@@ -83,7 +83,7 @@
 // result. It is a pure function of the files, so all daemons accept and reject the
 // same folders. The error is an *InvalidError.
 func Load(revision uint64, files []File) (*Snapshot, error) {
-	m := &merger{provenance: Provenance{}, files: map[*token.Token]string{}, index: map[*ast.MappingNode]map[string]int{}}
+	m := &merger{provenance: Provenance{}, tokenFiles: map[*token.Token]string{}, index: map[*ast.MappingNode]map[string]int{}}
 	for _, file := range sortedByName(files) {
 		if err := recoverPanic(Position{file.Name, 1}, func() error { return m.add(file) }); err != nil {
 			return nil, err
@@ -124,7 +124,7 @@
 type merger struct {
 	root       *ast.MappingNode
 	provenance Provenance
-	files      map[*token.Token]string
+	tokenFiles map[*token.Token]string
 	// index caches the indices of the keys of merged mappings, which have
 	// hundreds of keys in the folder of a large fleet.
 	index map[*ast.MappingNode]map[string]int
@@ -186,7 +186,7 @@
 
 func (v fileVisitor) Visit(node ast.Node) ast.Visitor {
 	if t := node.GetToken(); t != nil {
-		v.m.files[t] = v.file
+		v.m.tokenFiles[t] = v.file
 	}
 	return v
 }
@@ -197,7 +197,7 @@
 	if t == nil {
 		return Position{}
 	}
-	return Position{m.files[t], t.Position.Line}
+	return Position{m.tokenFiles[t], t.Position.Line}
 }
 
 func asMapping(node ast.Node) (*ast.MappingNode, bool) {
--- a/core/config/sync.go
+++ b/core/config/sync.go
@@ -105,27 +105,27 @@
 	random  func() float64
 	started time.Time
 
-	current      uint64            // current revision
-	files        map[string]File   // last applied, by name
-	digests      map[string]string // of files
-	peers        []Peer
-	index        int // of this daemon among all daemons
-	replied      map[string]bool
-	peersTried   bool // enough requests were sent to have tried all peers
-	peerRequests int  // since the start or Resync
-
-	watching   bool
-	watchAt    time.Time
-	backoff    time.Duration
-	manifest   *Manifest
-	missing    []string
-	reading    bool
-	readAt     time.Time
-	fetched    map[string]File
-	askingPeer bool
-	askAt      time.Time
-	advertiser Peer   // peer that advertised the highest revision
-	advertised uint64 // 0 if not above the current revision
+	current    uint64            // current revision
+	files      map[string]File   // last applied, by name
+	digests    map[string]string // of files
+	peers      []Peer
+	index      int // of this daemon among all daemons
+	replied    map[string]bool
+	peersTried bool // enough requests were sent to have tried all peers
+
+	watching     bool
+	watchAt      time.Time
+	backoff      time.Duration
+	manifest     *Manifest
+	missing      []string
+	reading      bool
+	readAt       time.Time
+	fetched      map[string]File
+	askingPeer   bool
+	askAt        time.Time
+	advertiser   Peer   // peer that advertised the highest revision
+	advertised   uint64 // 0 if not above the current revision
+	peerRequests int    // requests to any peer since the start or Resync
 }
 
 // NewSyncer returns a Syncer without a configuration. random returns numbers in
--- a/core/config/sync_test.go
+++ b/core/config/sync_test.go
@@ -245,7 +245,7 @@
 	// allDaemons adds a host daemon for each of 810 workers.
 	allDaemons    = 350 + 810
 	targetFiles   = 300
-	platformLimit = 2000 // calls a second
+	platformLimit = 2000 // calls per second
 	applyLimit    = 10 * time.Second
 )
 
