--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -33,7 +33,7 @@
 	Subject string `json:"subject"`
 	From    string `json:"from"`
 	To      string `json:"to"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 	// Source is the origin of the change: platform, peer, list or message.
 	Source   string `json:"source"`
 	Revision uint64 `json:"revision"`
--- a/core/process/base.go
+++ b/core/process/base.go
@@ -107,7 +107,7 @@
 // AuditPause adds an audit event for a pause of this process.
 func (b *Base) AuditPause(gap time.Duration) {
 	b.Audit(audit.Event{Area: audit.Lifecycle, Subject: b.Name(), From: "running", To: "running",
-		Why: fmt.Sprintf("this process was paused for %s", gap.Round(time.Millisecond)), Source: "process"})
+		Reason: fmt.Sprintf("this process was paused for %s", gap.Round(time.Millisecond)), Source: "process"})
 }
 
 // Envelope returns the envelope of messages to other daemons.
--- a/core/process/configloop.go
+++ b/core/process/configloop.go
@@ -230,15 +230,15 @@
 	case config.NotNewer:
 		return
 	case config.Applied:
-		event.Why = fmt.Sprintf("%d settings changed", len(config.Changes(result.Previous, result.Snapshot)))
+		event.Reason = fmt.Sprintf("%d settings changed", len(config.Changes(result.Previous, result.Snapshot)))
 		l.auditChanges(action, result)
 	default:
 		event.Refused = true
-		event.Why = result.Verdict.String()
+		event.Reason = result.Verdict.String()
 		if result.Err != nil {
-			event.Why = result.Err.Error()
+			event.Reason = result.Err.Error()
 		}
-		l.options.Log.WithField("revision", action.Revision).Error(event.Why)
+		l.options.Log.WithField("revision", action.Revision).Error(event.Reason)
 	}
 	l.options.Trail.Add(event)
 }
@@ -257,7 +257,7 @@
 			return
 		}
 		l.options.Trail.Add(audit.Event{Time: time.Now(), Area: audit.Configuration, Subject: change.Path,
-			From: auditText(change.Path, change.From), To: auditText(change.Path, change.To), Why: "the folder changed", Source: action.Source, Revision: action.Revision})
+			From: auditText(change.Path, change.From), To: auditText(change.Path, change.To), Reason: "the folder changed", Source: action.Source, Revision: action.Revision})
 	}
 }
 
--- a/entry/gateway/evacuation.go
+++ b/entry/gateway/evacuation.go
@@ -61,7 +61,7 @@
 			from, to = to, from
 		}
 		s.log.WithFields(logrus.Fields{"zone": state.Zone, "from": from, "to": to, "revision": state.Revision, "source": source}).Warn("availability zone changed")
-		s.audit(audit.Event{Area: audit.Membership, Subject: "zone " + state.Zone, From: from, To: to, Why: "asked for by the operators", Source: source, Revision: state.Revision})
+		s.audit(audit.Event{Area: audit.Membership, Subject: "zone " + state.Zone, From: from, To: to, Reason: "asked for by the operators", Source: source, Revision: state.Revision})
 	}
 	if len(changed) > 0 {
 		s.divide()
--- a/entry/gateway/platformloop.go
+++ b/entry/gateway/platformloop.go
@@ -260,7 +260,7 @@
 	s.log.WithError(changes.Rejected[0].Err).WithFields(logrus.Fields{"revision": changes.Revision, "rows": len(changes.Rejected), "source": source}).
 		Error("rows of the store can't be read; they name no server to use, and a configuration among them leaves the last good one in force")
 	for _, rejection := range changes.Rejected {
-		s.audit(audit.Event{Area: audit.Configuration, Subject: "row", Why: rejection.Err.Error(), Source: source, Revision: rejection.Revision, Refused: true})
+		s.audit(audit.Event{Area: audit.Configuration, Subject: "row", Reason: rejection.Err.Error(), Source: source, Revision: rejection.Revision, Refused: true})
 	}
 }
 
@@ -285,7 +285,7 @@
 	table, err := routes.NewTable(*definition)
 	if err != nil {
 		s.log.WithError(err).WithFields(logrus.Fields{"version": definition.Version, "source": source}).Error("configuration refused; the last good one stays in force")
-		s.audit(audit.Event{Area: audit.Configuration, Subject: "configuration", Why: err.Error(), Source: source, Revision: definition.Version, Refused: true})
+		s.audit(audit.Event{Area: audit.Configuration, Subject: "configuration", Reason: err.Error(), Source: source, Revision: definition.Version, Refused: true})
 		return
 	}
 	for {
@@ -303,7 +303,7 @@
 	s.divide()
 	s.log.WithFields(logrus.Fields{"from": from, "version": table.Version(), "source": source, "routes": len(definition.Routes),
 		"services": len(definition.Services), "workspaces": len(definition.Workspaces)}).Info("configuration in force")
-	s.audit(audit.Event{Area: audit.Configuration, Subject: "configuration", Why: "adopted", Source: source, Revision: table.Version()})
+	s.audit(audit.Event{Area: audit.Configuration, Subject: "configuration", Reason: "adopted", Source: source, Revision: table.Version()})
 }
 
 func (s *Server) noteServers(changes []directory.Change, source string) {
@@ -317,7 +317,7 @@
 	for _, change := range changes {
 		s.log.WithFields(logrus.Fields{"server": change.Server, "service": change.Service, "from": change.From, "to": change.To,
 			"why": change.Why, "revision": change.Revision, "source": source}).Info("server changed")
-		s.audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: change.From, To: change.To, Why: change.Why,
+		s.audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: change.From, To: change.To, Reason: change.Why,
 			Source: source, Revision: change.Revision})
 	}
 }
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -166,5 +166,5 @@
 
 func (s *Server) quarantineChanged(f quarantine.Fingerprint, from, to, why string) {
 	s.log.WithFields(logrus.Fields{"fingerprint": f.String(), "from": from, "to": to, "why": why}).Warn("a request under which servers end")
-	s.audit(audit.Event{Area: audit.Requests, Subject: f.String(), From: from, To: to, Why: why, Source: "entries"})
+	s.audit(audit.Event{Area: audit.Requests, Subject: f.String(), From: from, To: to, Reason: why, Source: "entries"})
 }
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -154,7 +154,7 @@
 
 func (s *Server) stateChanged(from, to lifecycle.State) {
 	s.log.WithFields(logrus.Fields{"from": from, "to": to, "open": s.manager.Open(), "unwritten": s.connections.countAnswering()}).Info("state changed")
-	s.audit(audit.Event{Area: audit.Lifecycle, Subject: s.options.Settings.Name, From: string(from), To: string(to), Why: "lifecycle", Source: "process"})
+	s.audit(audit.Event{Area: audit.Lifecycle, Subject: s.options.Settings.Name, From: string(from), To: string(to), Reason: "lifecycle", Source: "process"})
 	if from == lifecycle.Starting {
 		close(s.started)
 	}
--- a/entry/server/quarantine.go
+++ b/entry/server/quarantine.go
@@ -51,7 +51,7 @@
 		"refused": refused}).Info("a server has ended under a request that had just begun there")
 	s.tellRecords([]quarantine.Record{record})
 	if refused {
-		s.Audit(audit.Event{Area: audit.Requests, Subject: t.fingerprint.String(), From: "served", To: "refused", Why: "servers ended under it", Source: "message"})
+		s.Audit(audit.Event{Area: audit.Requests, Subject: t.fingerprint.String(), From: "served", To: "refused", Reason: "servers ended under it", Source: "message"})
 	}
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -238,6 +238,6 @@
 func (s *Server) auditMembers(changes []membership.Change, source string) {
 	for _, change := range changes {
 		s.Audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: string(change.From), To: string(change.To),
-			Why: change.Why, Source: source})
+			Reason: change.Why, Source: source})
 	}
 }
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -72,7 +72,7 @@
 }
 
 func (s *Server) auditMemory(subject, why string) {
-	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Why: why, Source: "host"})
+	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Reason: why, Source: "host"})
 }
 
 func (s *Server) askPart(ask backend.RequestPart) {
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -155,7 +155,7 @@
 	s.mu.Unlock()
 	for _, slot := range unnamed {
 		s.Audit(audit.Event{Area: audit.Configuration, Subject: slot, Refused: true,
-			Why: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
+			Reason: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	s.core.Drain()
 	s.Audit(audit.Event{Area: audit.Membership, Subject: s.Name(), From: "serving", To: "leaving",
-		Why: "the host list says so", Source: "list"})
+		Reason: "the host list says so", Source: "list"})
 }
 
 // changeState brings the daemon's state into the core.
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -121,9 +121,9 @@
 	s.core.OrderSettled(time.Now(), order.Engine, orderResult(err), 0)
 	s.mu.Unlock()
 	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Wanted.String(),
-		Why: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
+		Reason: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
 	if err != nil {
-		event.Why += ": " + err.Error()
+		event.Reason += ": " + err.Error()
 	}
 	s.Audit(event)
 }
