--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -50,8 +50,8 @@
 	oldest       int
 }
 
-// DefaultLimit is the number of events kept in memory.
-const DefaultLimit = 2000
+// DefaultMaxEvents is the number of events kept in memory.
+const DefaultMaxEvents = 2000
 
 // NewTrail returns a Trail that keeps the last limit events and writes each event
 // to out as a JSON line. out can be nil.
--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	log := process.NewLogger(settings.LogLevel, "arbutus-entry", settings.Name)
-	trail := audit.NewTrail(os.Stdout, audit.DefaultLimit)
+	trail := audit.NewTrail(os.Stdout, audit.DefaultMaxEvents)
 	daemon := server.New(server.DefaultOptions(*settings, log, trail))
 	log.WithField("incarnation", daemon.Incarnation()).Info("starting")
 	if err := process.Main(ctx, daemon, settings.StopLimitOrDefault()); err != nil {
@@ -101,7 +101,7 @@
 	}
 	lines := process.NewLineWriter(os.Stdout, gateway.DefaultLogBuffer, rate)
 	daemon := gateway.New(gateway.Options{
-		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultLimit),
+		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultMaxEvents),
 		Log: process.NewLineLogger(lines, settings.LogLevel, "arbutus-entry", settings.Name),
 	})
 	if err := process.Main(ctx, daemon, daemon.StopLimit()); err != nil {
--- a/entry/demo/demo.go
+++ b/entry/demo/demo.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		settings := host.Settings{Settings: common(written.Common), Engines: written.Engines, Services: written.Services, SchedulingPolicy: string(policy)}
-		daemonOptions := host.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultLimit))
+		daemonOptions := host.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultMaxEvents))
 		if policy == scheduling.FirstComeFirstServed {
 			daemonOptions.Backend.Limits.Patience = patient
 		}
@@ -132,7 +132,7 @@
 		return err
 	}
 	settings := entry.Settings{Settings: common(written.Common), ListenAddress: written.ListenAddress}
-	return entry.New(entry.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultLimit))).Start(t)
+	return entry.New(entry.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultMaxEvents))).Start(t)
 }
 
 // patient switches early refusals off, which the plain baseline does not have.
--- a/host/cmd/arbutus-host/main.go
+++ b/host/cmd/arbutus-host/main.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	log := process.NewLogger(settings.LogLevel, "arbutus-host", settings.Name)
-	trail := audit.NewTrail(os.Stdout, audit.DefaultLimit)
+	trail := audit.NewTrail(os.Stdout, audit.DefaultMaxEvents)
 	daemon := server.New(server.DefaultOptions(*settings, log, trail))
 	log.WithField("incarnation", daemon.Incarnation()).Info("starting")
 	if err := process.Main(ctx, daemon, settings.StopLimitOrDefault()); err != nil {
