--- a/core/process/base.go
+++ b/core/process/base.go
@@ -41,11 +41,11 @@
 // configuration, connections to other daemons, lifecycle state, audit trail and
 // metrics.
 type Base struct {
-	Log      *logrus.Entry
-	Store    *config.Store
-	Loop     *ConfigLoop
-	Dialer   *wire.Dialer
-	Registry metrics.Registry
+	Log        *logrus.Entry
+	Store      *config.Store
+	ConfigLoop *ConfigLoop
+	Dialer     *wire.Dialer
+	Registry   metrics.Registry
 
 	options BaseOptions
 	manager *lifecycle.Manager
@@ -76,7 +76,7 @@
 		peers:    map[string]PeerStatus{},
 	}
 	b.manager = lifecycle.NewManager(b.changeState)
-	b.Loop = NewConfigLoop(ConfigLoopOptions{
+	b.ConfigLoop = NewConfigLoop(ConfigLoopOptions{
 		Store: b.Store, Platform: options.Platform, Peers: b.Dialer, Trail: options.Trail, Log: options.Log,
 		OnSnapshot: options.OnSnapshot, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
 	})
@@ -136,7 +136,7 @@
 		return
 	}
 	if address, ok := b.AddressOf(envelope.Sender); ok {
-		b.Loop.RevisionAdvertised(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
+		b.ConfigLoop.RevisionAdvertised(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
 	}
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -129,7 +129,7 @@
 		}
 		process.ServeHTTP(t, listener, handler)
 	}
-	t.Go(func() error { return s.Loop.Run(t) })
+	t.Go(func() error { return s.ConfigLoop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.exchangeLoop)
 	return nil
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -52,7 +52,7 @@
 // becomeReady serves once a configuration is confirmed, at least one server has answered and the
 // other entries were asked what they refuse, or the time for both is over.
 func (s *Server) becomeReady(now, configured time.Time) {
-	if s.Manager().State() != lifecycle.Starting || configured.IsZero() || !s.Loop.Ready() {
+	if s.Manager().State() != lifecycle.Starting || configured.IsZero() || !s.ConfigLoop.Ready() {
 		return
 	}
 	s.mu.Lock()
@@ -76,7 +76,7 @@
 	if gap == 0 {
 		return
 	}
-	s.Loop.Resync()
+	s.ConfigLoop.Resync()
 	s.auditMembers(changes, "process")
 	s.AuditPause(gap)
 }
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	process.ServeHTTP(t, adminListener, s.Admin(s.sections()))
-	t.Go(func() error { return s.Loop.Run(t) })
+	t.Go(func() error { return s.ConfigLoop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.engineLoop)
 	t.Go(s.endLoop)
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -37,7 +37,7 @@
 // tick looks for a pause first: after one, everything that this process believed
 // has run out, and it must not act on it.
 func (s *Server) tick(now time.Time) {
-	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.Loop.Ready() {
+	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.ConfigLoop.Ready() {
 		s.Manager().Serve()
 	}
 	s.mu.Lock()
@@ -48,7 +48,7 @@
 	effects := s.core.Tick(now)
 	s.mu.Unlock()
 	if gap > 0 {
-		s.Loop.Resync()
+		s.ConfigLoop.Resync()
 		s.AuditPause(gap)
 	}
 	s.carryOut(effects)
