--- a/core/platform/client.go
+++ b/core/platform/client.go
@@ -27,9 +27,9 @@
 
 // Host is a row of the platform's list of hosts.
 type Host struct {
-	Server  string `json:"server"`
-	Address string `json:"address"`
-	Leaving bool   `json:"leaving"`
+	Server   string `json:"server"`
+	Address  string `json:"address"`
+	Draining bool   `json:"leaving"`
 }
 
 // Options configures a Client.
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -224,7 +224,7 @@
 func (s *Server) readHosts(hosts []platform.Host) {
 	var rows []membership.Listed
 	for _, host := range hosts {
-		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Leaving})
+		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Draining})
 	}
 	s.mu.Lock()
 	changes, believed := s.core.ApplyHostList(time.Now(), rows)
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -163,7 +163,7 @@
 // new work, once the list can't be telling of the daemon before this one.
 func (s *Server) readHosts(hosts []platform.Host) {
 	for _, host := range hosts {
-		if host.Server == s.Name() && host.Leaving && s.Manager().State() == lifecycle.Serving {
+		if host.Server == s.Name() && host.Draining && s.Manager().State() == lifecycle.Serving {
 			s.leave()
 		}
 	}
--- a/proof/processes/callers_test.go
+++ b/proof/processes/callers_test.go
@@ -177,7 +177,7 @@
 	time.Sleep(21 * time.Second) // the list may lag that long behind a restart
 	var hosts []core.Host
 	for name, server := range s.fleet.Config.Servers {
-		hosts = append(hosts, core.Host{Server: name, Address: server.Address, Leaving: name == fleet.ServerName(0)})
+		hosts = append(hosts, core.Host{Server: name, Address: server.Address, Draining: name == fleet.ServerName(0)})
 	}
 	s.fleet.Platform.SetHosts(hosts)
 	s.eventually("both sides know", func() bool {
