--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -50,7 +50,7 @@
 	oldest       int
 }
 
-// DefaultMaxEvents is the number of events kept in memory.
+// DefaultMaxEvents is the default number of events kept in memory.
 const DefaultMaxEvents = 2000
 
 // NewTrail returns a Trail that keeps the last limit events and writes each event
--- a/core/commands/operator.go
+++ b/core/commands/operator.go
@@ -110,7 +110,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "say what a folder means for a workspace, kind and prompt length, and which file says so",
+		Usage:     "show the effective settings for a workspace, kind and prompt length, with the file that sets each",
 		ArgsUsage: "FOLDER",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workspace", Required: true, Usage: "the workspace"},
@@ -153,7 +153,7 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "status",
-		Usage:     "show what a running daemon believes",
+		Usage:     "show the status of a running daemon",
 		ArgsUsage: "[SECTION]",
 		Flags:     adminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
