--- a/core/backend/status.go
+++ b/core/backend/status.go
@@ -9,7 +9,8 @@
 	"arbutusdeck/core/scheduling"
 )
 
-// LedgerStatus counts the ledger's open attempts, keys and records of attempts.
+// LedgerStatus counts the ledger's open attempts, its records of keys, and its
+// attempts including tombstones.
 type LedgerStatus struct {
 	Open     int `json:"open"`
 	Keys     int `json:"keys"`
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -81,8 +81,8 @@
 	return c.view.Configure(now, names)
 }
 
-// ObserveServer records that a server has sent a message, with its incarnation and whether
-// it is draining.
+// ObserveServer records that a server has sent a message, with its incarnation and
+// whether it is draining.
 func (c *Core) ObserveServer(now time.Time, server string, incarnation execution.Incarnation, draining bool) []membership.Change {
 	return c.view.Heard(now, server, incarnation, draining)
 }
@@ -93,8 +93,8 @@
 	return c.view.ReadList(now, rows)
 }
 
-// RecordFailure records that a server was unreachable or closed a connection early. pool
-// may be empty.
+// RecordFailure records that a server was unreachable or closed a connection early.
+// pool may be empty.
 func (c *Core) RecordFailure(now time.Time, server, pool string) []membership.Change {
 	c.picker.Failed(now, pool, server)
 	return c.view.Failed(now, server)
