--- a/core/frontend/bench_test.go
+++ b/core/frontend/bench_test.go
@@ -14,7 +14,7 @@
 	"arbutusdeck/core/routing"
 )
 
-func knownFleet(b *testing.B, servers int) (*Core, []membership.ListedServer, time.Time) {
+func newFleet(b *testing.B, servers int) (*Core, []membership.ListedServer, time.Time) {
 	var text strings.Builder
 	text.WriteString("lengthClasses: {short: {upTo: 8000, firstToken: 360ms}}\nhalls: {h: {model: m}}\nservers:\n")
 	for i := range servers {
@@ -30,20 +30,20 @@
 	var rows []membership.ListedServer
 	for name := range snapshot.Servers {
 		rows = append(rows, membership.ListedServer{Server: name})
-		core.Heard(now, name, execution.Incarnation(name+"#1"), false)
-		core.Observe("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
+		core.ObserveServer(now, name, execution.Incarnation(name+"#1"), false)
+		core.ObserveLoad("h", name, routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}})
 	}
 	return core, rows, now
 }
 
-// BenchmarkEntryRequest: an entry's decisions for one request.
+// BenchmarkEntryRequest measures an entry's decisions for one request.
 func BenchmarkEntryRequest(b *testing.B) {
 	for _, servers := range []int{20, 810} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			core, _, now := knownFleet(b, servers)
+			core, _, now := newFleet(b, servers)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportAllocs()
@@ -52,20 +52,21 @@
 				q := routing.Query{Pool: "h", PromptTokens: 1500, AnswerTokens: 100}
 				core.Admit(now, "w", 1500)
 				_, target, _ := core.Pick(now, q)
-				core.Sent(now, q, target.Server)
+				core.AttemptSent(now, q, target.Server)
 				report := routing.Report{Rate: 16000, Observed: now, Classes: []routing.ClassTokens{{Rank: 0, Tokens: 100}}}
-				core.Offered(now, q, "w", target.Server, Answer{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
-				core.Ended(q, target.Server)
+				core.HandleOfferReply(now, q, "w", target.Server, OfferReply{Verdict: execution.Accepted, Report: &report, DemandShare: 0.3, DemandKnown: true})
+				core.AttemptEnded(q, target.Server)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(servers), "bytes/server")
 		})
 	}
 }
 
-// BenchmarkEntryControl: one tick's look for probes, and one reading of the list.
+// BenchmarkEntryControl measures the selection of due probes in one tick, and the
+// processing of one host list.
 func BenchmarkEntryControl(b *testing.B) {
 	for _, servers := range []int{20, 810} {
-		core, rows, now := knownFleet(b, servers)
+		core, rows, now := newFleet(b, servers)
 		b.Run(fmt.Sprintf("probes/%d", servers), func(b *testing.B) {
 			for b.Loop() {
 				core.ProbesDue(now, false)
@@ -73,7 +74,7 @@
 		})
 		b.Run(fmt.Sprintf("list/%d", servers), func(b *testing.B) {
 			for b.Loop() {
-				core.ReadList(now, rows)
+				core.ApplyHostList(now, rows)
 			}
 		})
 	}
--- a/core/process/base.go
+++ b/core/process/base.go
@@ -19,7 +19,7 @@
 	"arbutusdeck/core/wire"
 )
 
-// BaseOptions are the parts of a Base.
+// BaseOptions configures a Base.
 type BaseOptions struct {
 	Settings    Settings
 	Log         *logrus.Entry
@@ -27,24 +27,25 @@
 	Platform    PlatformReader
 	Sync        config.SyncOptions
 	Incarnation execution.Incarnation
-	// DialTimeout bounds the opening of a connection to another daemon.
+	// DialTimeout bounds the time to connect to another daemon.
 	DialTimeout time.Duration
-	// OnAdopt is called with every snapshot that has come into force.
-	OnAdopt func(snapshot *config.Snapshot)
-	// OnHosts is called with every reading of the host list.
+	// OnSnapshot is called with every snapshot after it is applied.
+	OnSnapshot func(snapshot *config.Snapshot)
+	// OnHosts is called with every host list read from the platform.
 	OnHosts func(hosts []platform.Host)
-	// OnState is called with every change of the daemon's state.
-	OnState func(to lifecycle.State)
+	// OnStateChange is called with every new state of the daemon.
+	OnStateChange func(to lifecycle.State)
 }
 
-// Base is what both daemons are made of: identity, configuration, connections to
-// other daemons, state, trail and metrics.
+// Base holds the components common to host daemons and entries: identity,
+// configuration, connections to other daemons, lifecycle state, audit trail and
+// metrics.
 type Base struct {
-	Log      *logrus.Entry
-	Store    *config.Store
-	Loop     *ConfigLoop
-	Dialer   *wire.Dialer
-	Registry metrics.Registry
+	Log        *logrus.Entry
+	Store      *config.Store
+	ConfigLoop *ConfigLoop
+	Dialer     *wire.Dialer
+	Registry   metrics.Registry
 
 	options BaseOptions
 	manager *lifecycle.Manager
@@ -53,18 +54,18 @@
 	peers map[string]PeerStatus
 }
 
-// PeerStatus is what the last message of another daemon told of it.
+// PeerStatus is the status that another daemon sent with its last message.
 type PeerStatus struct {
 	Incarnation string    `json:"incarnation"`
 	Revision    uint64    `json:"revision"`
 	Draining    bool      `json:"draining"`
-	Heard       time.Time `json:"heard"`
+	LastHeard   time.Time `json:"heard"`
 }
 
-// maxPeers bounds the daemons that are remembered.
+// maxPeers bounds the number of daemons whose status is kept.
 const maxPeers = 4096
 
-// NewBase returns a base that serves nothing yet.
+// NewBase returns a Base that does not serve yet.
 func NewBase(options BaseOptions) *Base {
 	b := &Base{
 		Log:      options.Log,
@@ -75,47 +76,47 @@
 		peers:    map[string]PeerStatus{},
 	}
 	b.manager = lifecycle.NewManager(b.changeState)
-	b.Loop = NewConfigLoop(ConfigLoopOptions{
+	b.ConfigLoop = NewConfigLoop(ConfigLoopOptions{
 		Store: b.Store, Platform: options.Platform, Peers: b.Dialer, Trail: options.Trail, Log: options.Log,
-		OnAdopt: options.OnAdopt, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
+		OnSnapshot: options.OnSnapshot, OnHosts: options.OnHosts, Sync: options.Sync, Seeds: options.Settings.Peers, Name: options.Settings.Name,
 	})
 	admin.RegisterRuntime(b.Registry)
 	return b
 }
 
-// Name is the daemon's name.
+// Name returns the daemon's name.
 func (b *Base) Name() string { return b.options.Settings.Name }
 
-// Incarnation returns this start's name.
+// Incarnation returns the ID of this run of the daemon.
 func (b *Base) Incarnation() execution.Incarnation { return b.options.Incarnation }
 
-// Manager owns the daemon's state.
+// Manager returns the manager of the daemon's lifecycle state.
 func (b *Base) Manager() *lifecycle.Manager { return b.manager }
 
 func (b *Base) changeState(from, to lifecycle.State) {
 	b.Audit(audit.Event{Area: audit.Lifecycle, Subject: b.Name(), From: string(from), To: string(to), Source: "process"})
-	b.options.OnState(to)
+	b.options.OnStateChange(to)
 }
 
-// Audit adds an event of now and of the revision in force.
+// Audit adds an event to the audit trail, with the current time and revision.
 func (b *Base) Audit(event audit.Event) {
 	event.Time, event.Revision = time.Now(), b.Store.Revision()
 	b.options.Trail.Add(event)
 }
 
-// AuditPause tells that this process did not run for a while.
+// AuditPause adds an audit event for a pause of this process.
 func (b *Base) AuditPause(gap time.Duration) {
 	b.Audit(audit.Event{Area: audit.Lifecycle, Subject: b.Name(), From: "running", To: "running",
-		Why: fmt.Sprintf("this process was paused for %s", gap.Round(time.Millisecond)), Source: "process"})
+		Reason: fmt.Sprintf("this process was paused for %s", gap.Round(time.Millisecond)), Source: "process"})
 }
 
-// Envelope is piggybacked on every message to another daemon.
+// Envelope returns the envelope of messages to other daemons.
 func (b *Base) Envelope() *wire.Envelope {
 	return &wire.Envelope{Sender: b.Name(), Incarnation: string(b.Incarnation()), Revision: b.Store.Revision(),
 		Digest: b.Store.Digest(), Draining: b.manager.State() == lifecycle.Draining}
 }
 
-// AddressOf returns where another daemon is reached.
+// AddressOf returns the address of another daemon by name.
 func (b *Base) AddressOf(daemon string) (string, bool) {
 	snapshot := b.Store.Current()
 	if snapshot == nil {
@@ -124,27 +125,28 @@
 	return snapshot.AddressOf(daemon)
 }
 
-// HeardRevision takes in the revision that a message's envelope names.
-func (b *Base) HeardRevision(envelope *wire.Envelope) {
+// ObserveEnvelope records the sender's status from the envelope of a message, and
+// requests its snapshot if its revision is newer.
+func (b *Base) ObserveEnvelope(envelope *wire.Envelope) {
 	if envelope == nil || envelope.Sender == "" {
 		return
 	}
-	b.remember(envelope)
+	b.recordPeer(envelope)
 	if envelope.Revision <= b.Store.Revision() {
 		return
 	}
 	if address, ok := b.AddressOf(envelope.Sender); ok {
-		b.Loop.PeerNamed(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
+		b.ConfigLoop.RevisionAdvertised(config.Peer{Name: envelope.Sender, Address: address}, envelope.Revision)
 	}
 }
 
-func (b *Base) remember(envelope *wire.Envelope) {
+func (b *Base) recordPeer(envelope *wire.Envelope) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.peers) >= maxPeers {
 		clear(b.peers)
 	}
-	b.peers[envelope.Sender] = PeerStatus{Incarnation: envelope.Incarnation, Revision: envelope.Revision, Draining: envelope.Draining, Heard: time.Now()}
+	b.peers[envelope.Sender] = PeerStatus{Incarnation: envelope.Incarnation, Revision: envelope.Revision, Draining: envelope.Draining, LastHeard: time.Now()}
 }
 
 func (b *Base) peerStatus() map[string]PeerStatus {
@@ -153,12 +155,12 @@
 	return maps.Clone(b.peers)
 }
 
-// Peers returns the server that answers other daemons' questions for snapshots.
-func (b *Base) Peers() wire.TwirpServer {
+// PeerServer returns the server from which other daemons fetch snapshots.
+func (b *Base) PeerServer() wire.TwirpServer {
 	return wire.NewPeerServer(&wire.PeerServer{Store: b.Store, Envelope: b.Envelope})
 }
 
-// Ready returns nil while new work is taken, and why not otherwise.
+// Ready returns nil while the daemon accepts new work, and an error otherwise.
 func (b *Base) Ready() error {
 	if b.Store.Current() == nil {
 		return config.ErrNoSnapshot
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// Admin returns the administration API with the daemon's own sections.
+// Admin returns the administration API with additional status sections.
 func (b *Base) Admin(sections map[string]admin.Section) http.Handler {
 	sections["daemon"] = func() any { return b.status() }
 	sections["peers"] = func() any { return b.peerStatus() }
@@ -177,25 +179,25 @@
 		Trail: b.options.Trail, Sections: sections})
 }
 
-// Status is the first section of a daemon's status.
+// Status is the section "daemon" of a daemon's status.
 type Status struct {
-	Name            string                `json:"name"`
-	Zone            string                `json:"zone"`
-	Incarnation     execution.Incarnation `json:"incarnation"`
-	State           lifecycle.State       `json:"state"`
-	Revision        uint64                `json:"revision"`
-	RefusedRevision uint64                `json:"refusedRevision,omitempty"`
-	RefusedWhy      string                `json:"refusedWhy,omitempty"`
-	// OpenRequests counts what a planned stop waits for.
+	Name             string                `json:"name"`
+	Zone             string                `json:"zone"`
+	Incarnation      execution.Incarnation `json:"incarnation"`
+	State            lifecycle.State       `json:"state"`
+	Revision         uint64                `json:"revision"`
+	RejectedRevision uint64                `json:"refusedRevision,omitempty"`
+	RejectedReason   string                `json:"refusedWhy,omitempty"`
+	// OpenRequests counts the requests that a graceful shutdown waits for.
 	OpenRequests int `json:"openRequests"`
 }
 
 func (b *Base) status() Status {
-	refused, why := b.Store.RefusedRevision()
+	rejected, err := b.Store.RejectedRevision()
 	status := Status{Name: b.Name(), Zone: b.options.Settings.Zone, Incarnation: b.Incarnation(), State: b.manager.State(),
-		Revision: b.Store.Revision(), RefusedRevision: refused, OpenRequests: b.manager.Open()}
-	if why != nil {
-		status.RefusedWhy = why.Error()
+		Revision: b.Store.Revision(), RejectedRevision: rejected, OpenRequests: b.manager.Open()}
+	if err != nil {
+		status.RejectedReason = err.Error()
 	}
 	return status
 }
--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -25,7 +25,7 @@
 		Usage:       "take callers' requests and find each a backend server",
 		Version:     process.Version,
 		Description: process.ExitCodesHelp,
-		Commands:    append([]*cli.Command{serveCommand(), forwardCommand(), accountCommand(), demoCommand()}, commands.Operator()...),
+		Commands:    append([]*cli.Command{serveCommand(), forwardCommand(), accountCommand(), demoCommand()}, commands.OperatorCommands()...),
 	}
 	os.Exit(commands.Run(command, os.Args))
 }
@@ -61,7 +61,7 @@
 func serve(ctx context.Context, c *cli.Command, settings *server.Settings) error {
 	given := settings.Settings
 	override := func() {
-		commands.Override(c, &settings.Settings, given)
+		commands.ApplyFlags(c, &settings.Settings, given)
 		if c.IsSet("listen-address") {
 			settings.ListenAddress = c.String("listen-address")
 		}
@@ -70,7 +70,7 @@
 		return err
 	}
 	log := process.NewLogger(settings.LogLevel, "arbutus-entry", settings.Name)
-	trail := audit.NewTrail(os.Stdout, audit.DefaultLimit)
+	trail := audit.NewTrail(os.Stdout, audit.DefaultMaxEvents)
 	daemon := server.New(server.DefaultOptions(*settings, log, trail))
 	log.WithField("incarnation", daemon.Incarnation()).Info("starting")
 	if err := process.Main(ctx, daemon, settings.StopLimitOrDefault()); err != nil {
@@ -101,7 +101,7 @@
 	}
 	lines := process.NewLineWriter(os.Stdout, gateway.DefaultLogBuffer, rate)
 	daemon := gateway.New(gateway.Options{
-		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultLimit),
+		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultMaxEvents),
 		Log: process.NewLineLogger(lines, settings.LogLevel, "arbutus-entry", settings.Name),
 	})
 	if err := process.Main(ctx, daemon, daemon.StopLimit()); err != nil {
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -69,7 +69,7 @@
 	deadline := time.NewTimer(time.Until(t.options.Deadline))
 	defer deadline.Stop()
 	s.mu.Lock()
-	s.core.Began()
+	s.core.CountRequest()
 	s.mu.Unlock()
 	event := execution.Event(execution.RequestStarted{})
 	gone, ending := ctx.Done(), s.Manager().Aborting().Done()
@@ -239,7 +239,7 @@
 	response, err := d.s.Dialer.HTTP().Do(request.WithContext(ctx))
 	if err != nil {
 		ended.Sent = !notSent(err)
-		if action.Resume && netopts.IsRefused(err) {
+		if action.Resume && netopts.IsConnectionRefused(err) {
 			d.s.noteEnd(d.t, action.Target.Server) // with the daemon beside it
 		}
 		d.streamFailed(action)
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -95,8 +95,8 @@
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnAdopt: s.adopt, OnHosts: s.readHosts,
-		OnState: func(lifecycle.State) {},
+		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts,
+		OnStateChange: func(lifecycle.State) {},
 	})
 	s.counters = newCounters(s.Registry)
 	return s
@@ -129,7 +129,7 @@
 		}
 		process.ServeHTTP(t, listener, handler)
 	}
-	t.Go(func() error { return s.Loop.Run(t) })
+	t.Go(func() error { return s.ConfigLoop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.exchangeLoop)
 	return nil
@@ -137,7 +137,7 @@
 
 func (s *Server) peerRouter() http.Handler {
 	router := bunrouter.New()
-	peers := s.Peers()
+	peers := s.PeerServer()
 	router.POST(peers.PathPrefix()+":method", bunrouter.HTTPHandler(peers))
 	entries := wire.NewEntryServer(&wire.EntryServer{Envelope: s.Envelope, Exchange: s.join})
 	router.POST(entries.PathPrefix()+":method", bunrouter.HTTPHandler(entries))
@@ -149,9 +149,9 @@
 	if envelope == nil {
 		return
 	}
-	s.HeardRevision(envelope)
+	s.ObserveEnvelope(envelope)
 	s.mu.Lock()
-	changes := s.core.Heard(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
+	changes := s.core.ObserveServer(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
 	s.mu.Unlock()
 	s.auditMembers(changes, "message")
 }
@@ -159,7 +159,7 @@
 // failed takes in that a server could not be reached or broke off.
 func (s *Server) failed(server, pool string) {
 	s.mu.Lock()
-	changes := s.core.Failed(time.Now(), server, pool)
+	changes := s.core.RecordFailure(time.Now(), server, pool)
 	s.mu.Unlock()
 	s.auditMembers(changes, "message")
 }
@@ -168,13 +168,13 @@
 func (s *Server) sent(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Sent(time.Now(), t.query, server)
+	s.core.AttemptSent(time.Now(), t.query, server)
 }
 
 func (s *Server) ended(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Ended(t.query, server)
+	s.core.AttemptEnded(t.query, server)
 }
 
 // offered takes in what a reply to an offer tells besides its verdict.
@@ -182,14 +182,14 @@
 	s.heard(reply.Envelope)
 	now := time.Now()
 	result := wire.ToResult(reply)
-	answer := frontend.Answer{Verdict: result.Verdict, Refusal: result.Refusal, DemandShare: reply.DemandShare, DemandKnown: reply.DemandKnown}
+	answer := frontend.OfferReply{Verdict: result.Verdict, Refusal: result.Refusal, DemandShare: reply.DemandShare, DemandKnown: reply.DemandKnown}
 	if reply.Load != nil {
 		report := wire.ToReport(now, reply.Load, s.Store.Current().ClassRank)
 		answer.Report = &report
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Offered(now, t.query, t.offer.Workspace, server, answer)
+	s.core.HandleOfferReply(now, t.query, t.offer.Workspace, server, answer)
 }
 
 // observeFrame takes in what a frame tells besides its payload.
@@ -198,7 +198,7 @@
 		now := time.Now()
 		report := wire.ToReport(now, m.Load, s.Store.Current().ClassRank)
 		s.mu.Lock()
-		s.core.Observe(t.query.Pool, server, report)
+		s.core.ObserveLoad(t.query.Pool, server, report)
 		s.mu.Unlock()
 	}
 	s.heard(m.Envelope)
@@ -224,10 +224,10 @@
 func (s *Server) readHosts(hosts []platform.Host) {
 	var rows []membership.ListedServer
 	for _, host := range hosts {
-		rows = append(rows, membership.ListedServer{Server: host.Server, Draining: host.Leaving})
+		rows = append(rows, membership.ListedServer{Server: host.Server, Draining: host.Draining})
 	}
 	s.mu.Lock()
-	changes, believed := s.core.ReadList(time.Now(), rows)
+	changes, believed := s.core.ApplyHostList(time.Now(), rows)
 	s.mu.Unlock()
 	s.auditMembers(changes, "list")
 	if !believed {
@@ -238,6 +238,6 @@
 func (s *Server) auditMembers(changes []membership.Change, source string) {
 	for _, change := range changes {
 		s.Audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: string(change.From), To: string(change.To),
-			Why: change.Reason, Source: source})
+			Reason: change.Reason, Source: source})
 	}
 }
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -52,11 +52,11 @@
 // becomeReady serves once a configuration is confirmed, at least one server has answered and the
 // other entries were asked what they refuse, or the time for both is over.
 func (s *Server) becomeReady(now, configured time.Time) {
-	if s.Manager().State() != lifecycle.Starting || configured.IsZero() || !s.Loop.Ready() {
+	if s.Manager().State() != lifecycle.Starting || configured.IsZero() || !s.ConfigLoop.Ready() {
 		return
 	}
 	s.mu.Lock()
-	live := s.core.AnyLive()
+	live := s.core.HasLiveServer()
 	s.mu.Unlock()
 	if live && s.met.Load() || now.Sub(configured) > firstRound {
 		s.Manager().Serve()
@@ -70,13 +70,13 @@
 	gap := s.pause.Tick(now.Round(0))
 	var changes []membership.Change
 	if gap > 0 {
-		changes = s.core.Awoke(now)
+		changes = s.core.ExpireAfterPause(now)
 	}
 	s.mu.Unlock()
 	if gap == 0 {
 		return
 	}
-	s.Loop.Restart()
+	s.ConfigLoop.Resync()
 	s.auditMembers(changes, "process")
 	s.AuditPause(gap)
 }
@@ -90,7 +90,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.core.Probing(now, probe.Server)
+		s.core.ProbeStarted(now, probe.Server)
 		s.mu.Unlock()
 		go func() {
 			defer probes.Release(1)
@@ -118,5 +118,5 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Observe(probe.Hall, probe.Server, wire.ToReport(now, reply.Load, s.Store.Current().ClassRank))
+	s.core.ObserveLoad(probe.Hall, probe.Server, wire.ToReport(now, reply.Load, s.Store.Current().ClassRank))
 }
--- a/host/cmd/arbutus-host/main.go
+++ b/host/cmd/arbutus-host/main.go
@@ -20,7 +20,7 @@
 		Usage:       "decide, beside one backend server, what its engines and services run",
 		Version:     process.Version,
 		Description: process.ExitCodesHelp,
-		Commands:    append([]*cli.Command{serveCommand()}, commands.Operator()...),
+		Commands:    append([]*cli.Command{serveCommand()}, commands.OperatorCommands()...),
 	}
 	os.Exit(commands.Run(command, os.Args))
 }
@@ -37,12 +37,12 @@
 
 func serve(ctx context.Context, c *cli.Command, settings *server.Settings) error {
 	overrides := settings.Settings
-	override := func() { commands.Override(c, &settings.Settings, overrides) }
+	override := func() { commands.ApplyFlags(c, &settings.Settings, overrides) }
 	if err := process.LoadSettings(c.String("settings"), settings, override); err != nil {
 		return err
 	}
 	log := process.NewLogger(settings.LogLevel, "arbutus-host", settings.Name)
-	trail := audit.NewTrail(os.Stdout, audit.DefaultLimit)
+	trail := audit.NewTrail(os.Stdout, audit.DefaultMaxEvents)
 	daemon := server.New(server.DefaultOptions(*settings, log, trail))
 	log.WithField("incarnation", daemon.Incarnation()).Info("starting")
 	if err := process.Main(ctx, daemon, settings.StopLimitOrDefault()); err != nil {
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -21,11 +21,11 @@
 func (s *Server) carryOut(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case backend.Start:
+		case backend.StartRun:
 			s.start(e)
 		case backend.StopRun:
 			s.stopRun(e.Attempt)
-		case backend.Ended:
+		case backend.CloseStream:
 			s.ended(e)
 		case backend.Pause:
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error { return c.Pause(ctx, string(e.Attempt)) })
@@ -35,9 +35,9 @@
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error {
 				return c.SetPriority(ctx, string(e.Attempt), e.Priority)
 			})
-		case backend.AskPart:
+		case backend.RequestPart:
 			go s.askPart(e)
-		case backend.GiveBackPart:
+		case backend.ReleasePart:
 			go s.giveBackPart(e)
 		case backend.CancelOrphan:
 			s.cancelOrphan(e)
@@ -72,22 +72,22 @@
 }
 
 func (s *Server) auditMemory(subject, why string) {
-	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Why: why, Source: "host"})
+	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Reason: why, Source: "host"})
 }
 
-func (s *Server) askPart(ask backend.AskPart) {
+func (s *Server) askPart(ask backend.RequestPart) {
 	granted := s.reservePart(ask)
 	s.mu.Lock()
-	effects := s.core.PartAnswered(time.Now(), ask, granted)
+	effects := s.core.PartReplied(time.Now(), ask, granted)
 	s.mu.Unlock()
 	s.carryOut(effects)
 }
 
-func (s *Server) reservePart(ask backend.AskPart) bool {
+func (s *Server) reservePart(ask backend.RequestPart) bool {
 	if ask.Part.Server == s.Name() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.core.HoldPart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
+		return s.core.ReservePart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
@@ -102,7 +102,7 @@
 
 // giveBackPart releases a part. A release that is lost is made good by the end
 // of the part's lease.
-func (s *Server) giveBackPart(e backend.GiveBackPart) {
+func (s *Server) giveBackPart(e backend.ReleasePart) {
 	if e.Part.Server == s.Name() {
 		s.mu.Lock()
 		effects := s.core.ReleasePart(time.Now(), e.Reservation)
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -72,7 +72,7 @@
 }
 
 // start calls the engine for an attempt.
-func (s *Server) start(e backend.Start) {
+func (s *Server) start(e backend.StartRun) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.mu.Lock()
 	r := s.runs[e.Attempt]
@@ -86,7 +86,7 @@
 	}()
 }
 
-func (s *Server) callEngine(ctx context.Context, r *run, e backend.Start) error {
+func (s *Server) callEngine(ctx context.Context, r *run, e backend.StartRun) error {
 	client := s.clientOf(r, e.Engine)
 	if client == nil {
 		return engine.ErrNotSent
@@ -117,7 +117,7 @@
 	if service == "" || !s.Store.Current().Services[service].ChecksFencing {
 		return 0
 	}
-	return uint64(s.core.Began().UnixMilli())
+	return uint64(s.core.StartedAt().UnixMilli())
 }
 
 // piece takes in a piece of the answer. Only the first one is news to the core.
@@ -170,7 +170,7 @@
 
 // ended closes an attempt's answer. Its frames stay for as long as the stream
 // may be resumed.
-func (s *Server) ended(e backend.Ended) {
+func (s *Server) ended(e backend.CloseStream) {
 	if e.Outcome == execution.Finished {
 		s.counters.finished.Inc(1)
 	} else {
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -87,7 +87,7 @@
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnAdopt: s.adopt, OnHosts: s.readHosts, OnState: s.changeState,
+		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts, OnStateChange: s.changeState,
 	})
 	s.counters = newCounters(s.Registry)
 	s.reports = newReports(s.Registry)
@@ -129,7 +129,7 @@
 		return err
 	}
 	process.ServeHTTP(t, adminListener, s.Admin(s.sections()))
-	t.Go(func() error { return s.Loop.Run(t) })
+	t.Go(func() error { return s.ConfigLoop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.engineLoop)
 	t.Go(s.endLoop)
@@ -139,7 +139,7 @@
 func (s *Server) router() http.Handler {
 	router := bunrouter.New()
 	twirpHost := wire.NewHostDaemonServer(hostService{s})
-	twirpPeer := s.Peers()
+	twirpPeer := s.PeerServer()
 	router.POST(twirpHost.PathPrefix()+":method", bunrouter.HTTPHandler(twirpHost))
 	router.POST(twirpPeer.PathPrefix()+":method", bunrouter.HTTPHandler(twirpPeer))
 	router.POST("/attempts/:attempt/stream", s.openStream)
@@ -155,7 +155,7 @@
 	s.mu.Unlock()
 	for _, slot := range unnamed {
 		s.Audit(audit.Event{Area: audit.Configuration, Subject: slot, Refused: true,
-			Why: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
+			Reason: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
 	}
 }
 
@@ -163,7 +163,7 @@
 // new work, once the list can't be telling of the daemon before this one.
 func (s *Server) readHosts(hosts []platform.Host) {
 	for _, host := range hosts {
-		if host.Server == s.Name() && host.Leaving && s.Manager().State() == lifecycle.Serving {
+		if host.Server == s.Name() && host.Draining && s.Manager().State() == lifecycle.Serving {
 			s.leave()
 		}
 	}
@@ -172,12 +172,12 @@
 func (s *Server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core.Draining() || time.Since(s.core.Began()) < membership.HostListLag {
+	if s.core.Draining() || time.Since(s.core.StartedAt()) < membership.HostListLag {
 		return
 	}
 	s.core.Drain()
 	s.Audit(audit.Event{Area: audit.Membership, Subject: s.Name(), From: "serving", To: "leaving",
-		Why: "the host list says so", Source: "list"})
+		Reason: "the host list says so", Source: "list"})
 }
 
 // changeState brings the daemon's state into the core.
@@ -186,7 +186,7 @@
 	defer s.mu.Unlock()
 	switch to {
 	case lifecycle.Serving:
-		s.core.Serve()
+		s.core.StartServing()
 	case lifecycle.Draining:
 		s.core.Drain()
 	}
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -37,18 +37,18 @@
 // tick looks for a pause first: after one, everything that this process believed
 // has run out, and it must not act on it.
 func (s *Server) tick(now time.Time) {
-	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.Loop.Ready() {
+	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.ConfigLoop.Ready() {
 		s.Manager().Serve()
 	}
 	s.mu.Lock()
 	gap := s.pause.Tick(now.Round(0))
 	if gap > 0 {
-		s.core.Awoke(now)
+		s.core.ExpireAfterPause(now)
 	}
 	effects := s.core.Tick(now)
 	s.mu.Unlock()
 	if gap > 0 {
-		s.Loop.Restart()
+		s.ConfigLoop.Resync()
 		s.AuditPause(gap)
 	}
 	s.carryOut(effects)
@@ -62,7 +62,7 @@
 		return nil
 	}
 	s.mu.Lock()
-	effects := s.core.End(time.Now())
+	effects := s.core.Shutdown(time.Now())
 	s.mu.Unlock()
 	s.carryOut(effects)
 	return nil
@@ -121,9 +121,9 @@
 	s.core.OrderSettled(time.Now(), order.Engine, orderResult(err), 0)
 	s.mu.Unlock()
 	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Desired.String(),
-		Why: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
+		Reason: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
 	if err != nil {
-		event.Why += ": " + err.Error()
+		event.Reason += ": " + err.Error()
 	}
 	s.Audit(event)
 }
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -146,7 +146,7 @@
 
 func (e *Entry) lookForPause() {
 	if e.pause.Tick(e.lab.Now) > 0 {
-		e.Core.Awoke(e.lab.Now)
+		e.Core.ExpireAfterPause(e.lab.Now)
 	}
 }
 
@@ -181,17 +181,17 @@
 }
 
 func (e *Entry) probe(p frontend.Probe) {
-	e.Core.Probing(e.lab.Now, p.Server)
+	e.Core.ProbeStarted(e.lab.Now, p.Server)
 	h := e.lab.Host(p.Server)
 	e.lab.call("probe", e.Name, h.Name, probeTimeout, func() any {
 		return probeReply{h.Core.Incarnation(), h.Core.Draining(), h.Core.Load(e.lab.Now, p.Hall)}
 	}, func(reply any, ok bool) {
 		if !ok {
-			e.Core.Failed(e.lab.Now, p.Server, "")
+			e.Core.RecordFailure(e.lab.Now, p.Server, "")
 			return
 		}
 		r := reply.(probeReply)
-		e.Core.Heard(e.lab.Now, p.Server, r.incarnation, r.draining)
+		e.Core.ObserveServer(e.lab.Now, p.Server, r.incarnation, r.draining)
 		if p.Hall != "" {
 			e.observe(p.Hall, p.Server, r.load)
 		}
@@ -201,7 +201,7 @@
 // observe hands a load report to the core.
 func (e *Entry) observe(pool, server string, load scheduling.Load) {
 	if !e.lab.FreezeReports {
-		e.Core.Observe(pool, server, e.report(load))
+		e.Core.ObserveLoad(pool, server, e.report(load))
 	}
 }
 
@@ -213,7 +213,7 @@
 // before Submit returns.
 func (e *Entry) Submit(request Request) *Submission {
 	l := e.lab
-	number := l.Next()
+	number := l.NextSequence()
 	s := &Submission{Sent: l.Now, id: execution.RequestID(fmt.Sprintf("q%d", number)), number: int(number), request: request, entry: e}
 	if !e.alive {
 		s.Ended = l.Now
@@ -240,7 +240,7 @@
 		return s
 	}
 	e.open[s] = true
-	e.Core.Began()
+	e.Core.CountRequest()
 	l.After(request.Deadline, func() { e.reach(func() { e.feed(s, execution.DeadlinePassed{}) }) })
 	e.feed(s, execution.RequestStarted{})
 	return s
@@ -301,7 +301,7 @@
 
 func (e *Entry) sendOffer(s *Submission, a execution.SendOffer) {
 	h := e.lab.Host(a.Target.Server)
-	e.Core.Sent(e.lab.Now, s.query, h.Name)
+	e.Core.AttemptSent(e.lab.Now, s.query, h.Name)
 	offer := backend.Offer{
 		Offer: execution.Offer{Attempt: a.Attempt, Request: s.id, Target: a.Target.Incarnation, Workspace: s.request.Workspace,
 			Service: s.request.Service, Key: s.request.Key, Expires: a.Expires},
@@ -310,19 +310,19 @@
 	}
 	e.lab.call("offer", e.Name, h.Name, offerTimeout, func() any { return h.offer(offer, s, e) }, func(reply any, ok bool) {
 		if !ok {
-			e.Core.Ended(s.query, h.Name)
-			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
+			e.Core.AttemptEnded(s.query, h.Name)
+			e.Core.RecordFailure(e.lab.Now, h.Name, s.query.Pool)
 			e.feed(s, execution.OfferLost{Attempt: a.Attempt})
 			return
 		}
 		r := reply.(backend.Reply)
-		answer := frontend.Answer{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
+		answer := frontend.OfferReply{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
 		if !e.lab.FreezeReports {
 			report := e.report(r.Load)
 			answer.Report = &report
 		}
-		e.Core.Heard(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
-		e.Core.Offered(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
+		e.Core.ObserveServer(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
+		e.Core.HandleOfferReply(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
 		e.feed(s, execution.OfferAnswered{Attempt: a.Attempt, Result: r.OfferResult})
 	})
 }
@@ -336,7 +336,7 @@
 	}
 	e.lab.send(Message{kind, e.Name, h.Name}, serve, func() {
 		e.reach(func() {
-			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
+			e.Core.RecordFailure(e.lab.Now, h.Name, s.query.Pool)
 			e.feed(s, execution.StreamBroken{Attempt: a.Attempt, Sent: a.Resume})
 		})
 	})
@@ -360,7 +360,7 @@
 	s.heard, s.patience = e.lab.Now, wire.StreamIdle
 	e.observe(s.query.Pool, h.Name, load)
 	if frame.Last {
-		e.Core.Ended(s.query, h.Name)
+		e.Core.AttemptEnded(s.query, h.Name)
 	}
 	e.feed(s, execution.FrameArrived{Frame: frame})
 }
@@ -371,7 +371,7 @@
 		return
 	}
 	s.heard = e.lab.Now
-	e.Core.Failed(e.lab.Now, s.core.Target().Server, s.query.Pool)
+	e.Core.RecordFailure(e.lab.Now, s.core.Target().Server, s.query.Pool)
 	e.feed(s, execution.StreamBroken{Attempt: id, Sent: true})
 }
 
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -80,7 +80,7 @@
 	}
 	h.Core = backend.New(h.lab.Now, options)
 	h.Core.Configure(h.lab.Now, h.lab.Snapshot)
-	h.Core.Serve()
+	h.Core.StartServing()
 	h.streams = map[execution.AttemptID]*stream{}
 	h.pause = membership.NewPauseDetector(2 * time.Second)
 	h.tick(h.epoch)
@@ -136,7 +136,7 @@
 
 func (h *Host) tickOnce() {
 	if h.pause.Tick(h.lab.Now) > 0 {
-		h.Core.Awoke(h.lab.Now)
+		h.Core.ExpireAfterPause(h.lab.Now)
 	}
 	h.carryOut(h.Core.Tick(h.lab.Now))
 }
@@ -192,11 +192,11 @@
 func (h *Host) carryOut(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case backend.Start:
+		case backend.StartRun:
 			h.start(e)
 		case backend.StopRun:
 			h.stopRun(e.Attempt)
-		case backend.Ended:
+		case backend.CloseStream:
 			h.ended(e)
 		case backend.Pause:
 			h.Engines[e.Engine].Model.SetPaused(string(e.Attempt), true)
@@ -207,15 +207,15 @@
 			h.Engines[e.Engine].Model.SetPriority(string(e.Attempt), e.Priority)
 		case backend.CancelOrphan:
 			h.Engines[e.Stream.Engine].Model.Remove(e.Stream.ID)
-		case backend.AskPart:
+		case backend.RequestPart:
 			h.askPart(e)
-		case backend.GiveBackPart:
+		case backend.ReleasePart:
 			h.giveBackPart(e)
 		}
 	}
 }
 
-func (h *Host) ended(e backend.Ended) {
+func (h *Host) ended(e backend.CloseStream) {
 	s := h.streams[e.Attempt]
 	if s == nil {
 		return
@@ -244,19 +244,19 @@
 	return outcome
 }
 
-func (h *Host) askPart(ask backend.AskPart) {
+func (h *Host) askPart(ask backend.RequestPart) {
 	member := h.lab.Host(ask.Part.Server)
 	epoch := h.epoch
 	h.lab.call("reserve", h.Name, member.Name, 2*time.Second, func() any {
-		return member.Core.HoldPart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
+		return member.Core.ReservePart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
 	}, func(reply any, ok bool) {
 		if epoch == h.epoch {
-			h.carryOut(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
+			h.carryOut(h.Core.PartReplied(h.lab.Now, ask, ok && reply.(bool)))
 		}
 	})
 }
 
-func (h *Host) giveBackPart(e backend.GiveBackPart) {
+func (h *Host) giveBackPart(e backend.ReleasePart) {
 	member := h.lab.Host(e.Part.Server)
 	h.lab.send(Message{"release", h.Name, member.Name}, func() { member.carryOut(member.Core.ReleasePart(h.lab.Now, e.Reservation)) }, nil)
 }
