--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -221,7 +221,7 @@
 		}}
 	t.offer = &wire.OfferRequest{Request: string(c.id), Workspace: c.workspace, Key: key.ID, IssuedKey: key.Issued,
 		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.Made.UnixMilli()}
-	t.route = &Route{Request: c.id, Time: time.Now(), Workspace: c.workspace}
+	t.route = &RoutingRecord{Request: c.id, Time: time.Now(), Workspace: c.workspace}
 	return t
 }
 
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -38,7 +38,7 @@
 	body    []byte
 	release func()
 	sink    sink
-	route   *Route
+	route   *RoutingRecord
 	// fingerprint names the request over all its submissions.
 	fingerprint quarantine.Fingerprint
 }
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -10,8 +10,8 @@
 	"arbutusdeck/core/routing"
 )
 
-// Route says where one request went, and why.
-type Route struct {
+// RoutingRecord says where one request went, and why.
+type RoutingRecord struct {
 	Request   execution.RequestID `json:"request"`
 	Time      time.Time           `json:"time"`
 	Workspace string              `json:"workspace"`
@@ -26,7 +26,7 @@
 	Took      time.Duration       `json:"tookNs"`
 }
 
-func (r *Route) add(reason routing.Reason) { r.Picks = append(r.Picks, reason) }
+func (r *RoutingRecord) add(reason routing.Reason) { r.Picks = append(r.Picks, reason) }
 
 // keptRoutes is the number of routes kept for operators.
 const keptRoutes = 500
@@ -34,12 +34,12 @@
 // routeLog is a ring of the last routes.
 type routeLog struct {
 	mu     sync.Mutex
-	routes []*Route
+	routes []*RoutingRecord
 	next   int
 }
 
 // add takes over a route that has ended; it is not changed any more.
-func (l *routeLog) add(route *Route) {
+func (l *routeLog) add(route *RoutingRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.routes) < keptRoutes {
@@ -50,10 +50,10 @@
 	l.next = (l.next + 1) % keptRoutes
 }
 
-func (l *routeLog) list() []*Route {
+func (l *routeLog) list() []*RoutingRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append(append([]*Route{}, l.routes[l.next:]...), l.routes[:l.next]...)
+	return append(append([]*RoutingRecord{}, l.routes[l.next:]...), l.routes[:l.next]...)
 }
 
 // HallStatus is one hall with its servers.
