--- a/entry/server/api.go
+++ b/entry/server/api.go
@@ -20,41 +20,41 @@
 	"arbutusdeck/core/wire"
 )
 
-// Bounds on a caller's connection.
+// Limits of a caller's connection.
 const (
 	// bodyTimeout bounds the reading of a body.
 	bodyTimeout = 60 * time.Second
-	// writeSlack is how long past its deadline an answer may still be written.
+	// writeSlack bounds the time past a request's deadline for writing its response.
 	writeSlack = 10 * time.Second
 )
 
-// refusedError is a request that the entry itself refuses; nothing was run.
+// refusedError reports that the entry itself refused a request; nothing was run.
 type refusedError struct{ refusal execution.Refusal }
 
 func (e *refusedError) Error() string { return e.refusal.Error() }
 
-func refuse(code execution.Code, format string, args ...any) *refusedError {
+func refusef(code execution.Code, format string, args ...any) *refusedError {
 	return &refusedError{execution.Refusal{Code: code, Detail: fmt.Sprintf(format, args...)}}
 }
 
 func (s *Server) callerRouter() http.Handler {
 	router := bunrouter.New(
-		bunrouter.WithNotFoundHandler(unrouted(codeNotFound, "no such path")),
-		bunrouter.WithMethodNotAllowedHandler(unrouted(codeBadMethod, "the path does not take this method")))
+		bunrouter.WithNotFoundHandler(noRouteHandler(codeNotFound, "no such path")),
+		bunrouter.WithMethodNotAllowedHandler(noRouteHandler(codeBadMethod, "the path does not take this method")))
 	router.GET("/healthz", func(w http.ResponseWriter, _ bunrouter.Request) error {
 		return json.NewEncoder(w).Encode(map[string]string{"status": "alive"})
 	})
 	router.GET("/readyz", s.readyz)
-	router.GET("/v1/models", s.caller(s.models))
-	router.POST("/v1/completions", s.caller(func(c *call) error { return s.complete(c, "prompt") }))
-	router.POST("/v1/chat/completions", s.caller(func(c *call) error { return s.complete(c, "messages") }))
-	router.POST("/v1/idempotency-keys", s.caller(s.issueKey))
-	router.POST("/v1/services/:service/*path", s.caller(s.service))
+	router.GET("/v1/models", s.handleCaller(s.models))
+	router.POST("/v1/completions", s.handleCaller(func(c *call) error { return s.complete(c, "prompt") }))
+	router.POST("/v1/chat/completions", s.handleCaller(func(c *call) error { return s.complete(c, "messages") }))
+	router.POST("/v1/idempotency-keys", s.handleCaller(s.issueKey))
+	router.POST("/v1/services/:service/*path", s.handleCaller(s.service))
 	return router
 }
 
-// unrouted answers a request that no route takes.
-func unrouted(code execution.Code, detail string) bunrouter.HandlerFunc {
+// noRouteHandler returns a handler for requests that match no route of the API.
+func noRouteHandler(code execution.Code, detail string) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		return writeProblem(w, execution.RequestID(newID()), execution.NotRun, execution.Refusal{Code: code, Detail: detail + ": " + r.Method + " " + r.URL.Path})
 	}
@@ -67,7 +67,7 @@
 	return json.NewEncoder(w).Encode(map[string]string{"status": "ready"})
 }
 
-// call is one caller's request with what authentication found.
+// call is one authenticated request of a caller.
 type call struct {
 	w         http.ResponseWriter
 	r         bunrouter.Request
@@ -76,9 +76,9 @@
 	workspace string
 }
 
-// caller authenticates, counts the request as open, and turns a refusal of the
-// entry into an answer.
-func (s *Server) caller(next func(c *call) error) bunrouter.HandlerFunc {
+// handleCaller wraps a handler: it authenticates the request, counts it as open, and writes
+// an error response if the entry refuses it.
+func (s *Server) handleCaller(next func(c *call) error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, request bunrouter.Request) error {
 		c := &call{w: w, r: request, id: execution.RequestID(newID())}
 		w.Header().Set(headerID, string(c.id))
@@ -91,8 +91,8 @@
 		s.counters.refused.Inc(1)
 		outcome := execution.NotRun
 		if request.Header.Get(headerKey) != "" {
-			// An earlier submission of the key may have run; its home was
-			// not asked.
+			// An earlier submission under this key may have run: its home
+			// server was not queried.
 			outcome = execution.Unknown
 		}
 		return writeProblem(w, c.id, outcome, refused.refusal)
@@ -119,42 +119,42 @@
 	return next(c)
 }
 
-// authenticate finds the workspace of the API key by the key's hash.
+// authenticate sets the call's workspace. The configuration holds only the hashes of API keys.
 func (s *Server) authenticate(c *call) error {
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return refuse(codeUnauthorized, "give the workspace's API key as a bearer token")
+		return refusef(codeUnauthorized, "give the workspace's API key as a bearer token")
 	}
 	sum := sha256.Sum256([]byte(key))
 	c.workspace, ok = c.snapshot.WorkspaceOfKey(hex.EncodeToString(sum[:]))
 	if !ok {
-		return refuse(codeUnauthorized, "the API key belongs to no workspace")
+		return refusef(codeUnauthorized, "the API key belongs to no workspace")
 	}
 	return nil
 }
 
-type modelRow struct {
+type modelObject struct {
 	ID     string `json:"id"`
 	Object string `json:"object"`
 }
 
 func (s *Server) models(c *call) error {
 	seen := map[string]bool{}
-	rows := []modelRow{}
+	rows := []modelObject{}
 	for _, hall := range c.snapshot.Halls {
 		if !seen[hall.Model] {
 			seen[hall.Model] = true
-			rows = append(rows, modelRow{ID: hall.Model, Object: "model"})
+			rows = append(rows, modelObject{ID: hall.Model, Object: "model"})
 		}
 	}
-	slices.SortFunc(rows, func(a, b modelRow) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(rows, func(a, b modelObject) int { return strings.Compare(a.ID, b.ID) })
 	c.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(c.w).Encode(map[string]any{"object": "list", "data": rows})
 }
 
-// kindOf returns the request kind: the one named in the header, or the only one
-// that the workspace may use.
-func (c *call) kindOf(named string) (string, config.Kind, error) {
+// requestKind returns the request kind and its name: the one named by the caller, or else
+// the only one that the workspace may use or that is configured.
+func (c *call) requestKind(named string) (string, config.Kind, error) {
 	allowed := c.snapshot.Workspaces[c.workspace].Kinds
 	if named == "" && len(allowed) == 1 {
 		named = allowed[0]
@@ -166,25 +166,25 @@
 	}
 	kind, ok := c.snapshot.Kinds[named]
 	if !ok {
-		return "", kind, refuse(codeBadRequest, "%s: no request kind is named %q", headerKind, named)
+		return "", kind, refusef(codeBadRequest, "%s: no request kind is named %q", headerKind, named)
 	}
 	if len(allowed) > 0 && !slices.Contains(allowed, named) {
-		return "", kind, refuse(codeForbidden, "the workspace may not use the request kind %q", named)
+		return "", kind, refusef(codeForbidden, "the workspace may not use the request kind %q", named)
 	}
 	return named, kind, nil
 }
 
-// deadlineOf returns the request's deadline: the caller's if it is the shorter.
+// deadlineOf returns the request's deadline: the caller's, but at most limit from now.
 func (c *call) deadlineOf(limit time.Duration) (time.Time, error) {
 	text := c.r.Header.Get(headerDeadline)
 	if text == "" {
 		return time.Now().Add(limit), nil
 	}
-	own, err := time.ParseDuration(text)
-	if err != nil || own <= 0 {
-		return time.Time{}, refuse(codeBadRequest, "%s: %q must be a positive duration, as in 20s", headerDeadline, text)
+	requested, err := time.ParseDuration(text)
+	if err != nil || requested <= 0 {
+		return time.Time{}, refusef(codeBadRequest, "%s: %q must be a positive duration, as in 20s", headerDeadline, text)
 	}
-	return time.Now().Add(min(own, limit)), nil
+	return time.Now().Add(min(requested, limit)), nil
 }
 
 func (s *Server) readBody(c *call) ([]byte, func(), error) {
@@ -193,20 +193,22 @@
 	ending := s.Manager().Ending()
 	stop := context.AfterFunc(ending, func() { _ = controller.SetReadDeadline(time.Now()) })
 	data, release, err := readBody(c.w, c.r.Request, s.options.Settings.MaxBodyBytes, s.bodies)
-	if stop() { // else the rest of the body must not be waited for, before the answer is written
+	// If stop returns false, the read deadline stays in the past, so that the response
+	// isn't delayed by reading the rest of the body.
+	if stop() {
 		_ = controller.SetReadDeadline(time.Time{})
 	}
 	switch {
 	case err == nil:
 		return data, release, nil
 	case ending.Err() != nil:
-		return nil, nil, &refusedError{entryEnds}
-	case errors.Is(err, errTooLarge):
-		return nil, nil, refuse(codeTooLarge, "%v", err)
-	case errors.Is(err, errNoRoom):
+		return nil, nil, &refusedError{stoppingRefusal}
+	case errors.Is(err, errBodyTooLarge):
+		return nil, nil, refusef(codeTooLarge, "%v", err)
+	case errors.Is(err, errBodyBudget):
 		return nil, nil, &refusedError{execution.Refusal{Code: execution.CodeQueueFull, Detail: err.Error(), RetryAfter: time.Second}}
 	}
-	return nil, nil, refuse(codeBadRequest, "%v", err)
+	return nil, nil, refusef(codeBadRequest, "%v", err)
 }
 
 func (s *Server) newTask(c *call, key execution.Key, home *execution.Target) *task {
@@ -221,13 +223,13 @@
 		}}
 	t.offer = &wire.OfferRequest{Request: string(c.id), Workspace: c.workspace, Key: key.ID, IssuedKey: key.Issued,
 		Fingerprint: key.Fingerprint, KeyMadeUnixMs: key.Made.UnixMilli()}
-	t.route = &RoutingRecord{Request: c.id, Time: time.Now(), Workspace: c.workspace}
+	t.record = &RoutingRecord{Request: c.id, Time: time.Now(), Workspace: c.workspace}
 	return t
 }
 
-// admitAndDrive spends the workspace's quota and runs the request.
-func (s *Server) admitAndDrive(c *call, t *task) error {
-	if refusal := s.quarantined(time.Now(), t.fingerprint); refusal != nil {
+// admitAndRun charges the request to the workspace's quota and runs it.
+func (s *Server) admitAndRun(c *call, t *task) error {
+	if refusal := s.quarantineRefusal(time.Now(), t.fingerprint); refusal != nil {
 		return &refusedError{*refusal}
 	}
 	s.mu.Lock()
@@ -243,31 +245,31 @@
 	defer cancel()
 	conclusion := s.drive(ctx, t)
 	if conclusion.Outcome == execution.Finished && conclusion.Record == nil {
-		s.noteAnswer(t)
+		s.recordCompletion(t)
 	}
-	s.conclude(t, conclusion)
+	s.finish(t, conclusion)
 	return nil
 }
 
-// conclude gives the caller the final answer and notes how the request went.
-func (s *Server) conclude(t *task, conclusion execution.Conclusion) {
+// finish writes the final response, if it isn't written yet, and records the outcome.
+func (s *Server) finish(t *task, conclusion execution.Conclusion) {
 	s.count(conclusion.Outcome)
-	t.route.Outcome, t.route.Attempts, t.route.Took = conclusion.Outcome.String(), conclusion.Attempts, time.Since(t.route.Time)
+	t.record.Outcome, t.record.Attempts, t.record.Took = conclusion.Outcome.String(), conclusion.Attempts, time.Since(t.record.Time)
 	var err error
 	switch {
 	case conclusion.Record != nil:
 		err = s.replay(t, conclusion)
 	case conclusion.Outcome != execution.Finished:
-		t.route.Code = conclusion.Refusal.Code
+		t.record.Code = conclusion.Refusal.Code
 		err = t.sink.fail(t.options.ID, conclusion.Outcome, *conclusion.Refusal)
 	}
-	s.routes.add(t.route)
+	s.routing.add(t.record)
 	if err != nil {
-		s.Log.WithError(err).WithField("request", t.options.ID).Debug("the caller was gone before its answer")
+		s.Log.WithError(err).WithField("request", t.options.ID).Debug("the caller disconnected before the response was written")
 	}
 }
 
-// replay answers a resend from the ledger's record.
+// replay answers a repeated request from the record that the ledger holds of its key.
 func (s *Server) replay(t *task, conclusion execution.Conclusion) error {
 	answer := conclusion.Record.Answer
 	if conclusion.Outcome == execution.Finished && answer.Kept {
@@ -281,7 +283,7 @@
 	if refusal == nil {
 		refusal = &execution.Refusal{Code: codeAnswerNotKept, Detail: "the request ran before under this key; its answer was not kept"}
 	}
-	t.route.Code = refusal.Code
+	t.record.Code = refusal.Code
 	return t.sink.fail(t.options.ID, conclusion.Outcome, *refusal)
 }
 
@@ -300,7 +302,7 @@
 
 func (s *Server) observeFirstToken(t *task, took time.Duration) {
 	s.mu.Lock()
-	timer := s.counters.firstToken[t.route.Class]
+	timer := s.counters.firstToken[t.record.Class]
 	s.mu.Unlock()
 	if timer != nil {
 		timer.Update(took)
--- a/entry/server/body.go
+++ b/entry/server/body.go
@@ -15,25 +15,25 @@
 	"arbutusdeck/core/admission"
 )
 
-// Errors of a request's body; they are wrapped with the place.
+// Errors of reading and parsing a request body. They are wrapped with the details.
 var (
-	errBadBody  = errors.New("the body can't be used")
-	errTooLarge = errors.New("the body is too large")
-	errNoRoom   = errors.New("too many bytes of requests are open")
+	errBadBody      = errors.New("the body can't be used")
+	errBodyTooLarge = errors.New("the body is too large")
+	errBodyBudget   = errors.New("too many bytes of requests are open")
 )
 
-// readBody reads a body into one buffer of its own size. The budget is taken
-// before the read, by the announced length, or by the limit if there is none.
+// readBody reads a body into one buffer of its own size. It reserves the Content-Length,
+// or limit if there is none, in the budget before it reads; release returns the bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, budget *admission.ByteBudget) (data []byte, release func(), err error) {
 	size := r.ContentLength
 	if size > limit {
-		return nil, nil, fmt.Errorf("%w: %d bytes, at most %d are taken", errTooLarge, size, limit)
+		return nil, nil, fmt.Errorf("%w: %d bytes, at most %d are taken", errBodyTooLarge, size, limit)
 	}
 	if size < 0 {
 		size = limit
 	}
 	if !budget.Take(size) {
-		return nil, nil, errNoRoom
+		return nil, nil, errBodyBudget
 	}
 	var once sync.Once
 	release = func() { once.Do(func() { budget.Give(size) }) }
@@ -44,13 +44,13 @@
 	release()
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, nil, fmt.Errorf("%w: at most %d bytes are taken", errTooLarge, limit)
+		return nil, nil, fmt.Errorf("%w: at most %d bytes are taken", errBodyTooLarge, limit)
 	}
 	return nil, nil, fmt.Errorf("%w: it broke off: %v", errBadBody, err)
 }
 
-// readAll reads a body of known length into one buffer, without the growing
-// copies of a buffer of unknown size.
+// readAll reads a body of known length into one buffer, which saves the copies that
+// io.ReadAll makes as it grows.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
@@ -60,24 +60,24 @@
 	return data, err
 }
 
-// completion is what the entry needs of a completion request. The prompt itself
-// is only measured where it stands; it is not copied.
+// completion holds the fields of a completion request that the entry needs. The prompt
+// is only measured in the body; it is not copied.
 type completion struct {
-	Model     string     `json:"model"`
-	MaxTokens int64      `json:"max_tokens"`
-	Stream    streamFlag `json:"stream"`
-	Prompt    *measured  `json:"prompt"`
-	Messages  *measured  `json:"messages"`
+	Model     string         `json:"model"`
+	MaxTokens int64          `json:"max_tokens"`
+	Stream    streamFlag     `json:"stream"`
+	Prompt    *measuredValue `json:"prompt"`
+	Messages  *measuredValue `json:"messages"`
 }
 
-// streamFlag is the caller's stream field and where it stands.
+// streamFlag is the stream field of a request. raw is its text, a part of the body's buffer.
 type streamFlag struct {
 	value   bool
 	present bool
 	raw     []byte
 }
 
-// UnmarshalJSON takes true or false.
+// UnmarshalJSON accepts true and false only.
 func (f *streamFlag) UnmarshalJSON(raw []byte) error {
 	switch string(raw) {
 	case "true":
@@ -92,18 +92,18 @@
 	return nil
 }
 
-// prefixBytes is the length of the beginning that prefix affinity looks at.
+// prefixBytes is the length of the prompt prefix that is hashed for prefix affinity.
 const prefixBytes = 2048
 
-// measured is a JSON value of which only the size and the hash of its beginning
-// are kept.
-type measured struct {
+// measuredValue records the size in bytes of a JSON value and the hash of its first
+// prefixBytes, without the value itself; the hash of a shorter value is 0.
+type measuredValue struct {
 	bytes  int
 	prefix uint64
 }
 
-// UnmarshalJSON measures the value.
-func (m *measured) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON records the size and the prefix hash of the value.
+func (m *measuredValue) UnmarshalJSON(raw []byte) error {
 	m.bytes = len(raw)
 	if len(raw) >= prefixBytes {
 		m.prefix = xxhash.Sum64(raw[:prefixBytes])
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// parseCompletion reads a completion request. field is the one that holds the
-// prompt: prompt or messages.
-func parseCompletion(data []byte, field string) (completion, *measured, error) {
+// parseCompletion parses a completion request. field is the name of the field with the
+// prompt: "prompt" or "messages".
+func parseCompletion(data []byte, field string) (completion, *measuredValue, error) {
 	var c completion
 	if err := json.Unmarshal(data, &c); err != nil {
-		return c, nil, fmt.Errorf("%w: %s", errBadBody, jsonPlace(data, err))
+		return c, nil, fmt.Errorf("%w: %s", errBadBody, jsonErrorPosition(data, err))
 	}
 	prompt := c.Prompt
 	if field == "messages" {
@@ -131,8 +131,8 @@
 	return c, prompt, nil
 }
 
-// jsonPlace names the line of a JSON error.
-func jsonPlace(data []byte, err error) string {
+// jsonErrorPosition formats a JSON error, a syntax error with its line and byte offset.
+func jsonErrorPosition(data []byte, err error) string {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
 		line := 1 + bytes.Count(data[:min(int(syntax.Offset), len(data))], []byte("\n"))
@@ -141,17 +141,17 @@
 	return strings.TrimPrefix(err.Error(), "json: ")
 }
 
-// asStream returns the body with its stream field set: between the daemons and
-// the engine every answer is streamed, so that the time of its first token is
-// known. The field is changed in place or, if absent, added at the end.
-func asStream(data []byte, flag streamFlag) []byte {
+// enableStream returns the body with its stream field set to true. Responses between the
+// engine and the daemons are always streamed, so that the time of the first token is
+// known. It overwrites the field in data or, if the field is absent, appends it.
+func enableStream(data []byte, flag streamFlag) []byte {
 	if flag.value {
 		return data
 	}
 	if flag.present {
-		// raw is a part of data: the distance to the end of the common
-		// backing array gives its place. It reads "false", which is as long
-		// as "true" with a space.
+		// raw is a slice of data and shares its backing array, so the difference of
+		// the capacities is its offset. It reads "false", which is as long as "true "
+		// with the trailing space.
 		start := cap(data) - cap(flag.raw)
 		copy(data[start:], "true ")
 		return data
--- a/entry/server/completions.go
+++ b/entry/server/completions.go
@@ -11,9 +11,9 @@
 	"arbutusdeck/core/quarantine"
 )
 
-// complete serves a completion; field holds the prompt.
+// complete serves a completion request; field is the name of the field with the prompt.
 func (s *Server) complete(c *call, field string) error {
-	name, kind, err := c.kindOf(c.r.Header.Get(headerKind))
+	name, kind, err := c.requestKind(c.r.Header.Get(headerKind))
 	if err != nil {
 		return err
 	}
@@ -28,11 +28,11 @@
 	defer release()
 	parsed, prompt, err := parseCompletion(data, field)
 	if err != nil {
-		return refuse(codeBadRequest, "%v", err)
+		return refusef(codeBadRequest, "%v", err)
 	}
 	hall := c.snapshot.Halls[kind.Hall]
 	if parsed.Model != "" && parsed.Model != hall.Model {
-		return refuse(codeNotFound, "the request kind %q serves the model %q, not %q", name, hall.Model, parsed.Model)
+		return refusef(codeNotFound, "the request kind %q serves the model %q, not %q", name, hall.Model, parsed.Model)
 	}
 	t, err := s.completionTask(c, name, kind, parsed, prompt, xxhash.Sum64(data))
 	if err != nil {
@@ -41,37 +41,37 @@
 	t.options.Deadline, t.offer.DeadlineUnixMs = deadline, deadline.UnixMilli()
 	t.options.Buffered = !parsed.Stream.value
 	t.fingerprint = quarantine.FingerprintOf(c.workspace, http.MethodPost, name, c.r.URL.Path, data)
-	t.body, t.release = asStream(data, parsed.Stream), release
-	t.sink = newWholeSink(c.w, field == "messages")
+	t.body, t.release = enableStream(data, parsed.Stream), release
+	t.sink = newBufferedSink(c.w, field == "messages")
 	if parsed.Stream.value {
-		t.sink = newPassSink(c.w)
+		t.sink = newPassthroughSink(c.w)
 	}
-	return s.admitAndDrive(c, t)
+	return s.admitAndRun(c, t)
 }
 
-// completionTask describes a completion to the cores.
-func (s *Server) completionTask(c *call, name string, kind config.Kind, parsed completion, prompt *measured, hash uint64) (*task, error) {
+// completionTask returns the task of a completion request.
+func (s *Server) completionTask(c *call, name string, kind config.Kind, parsed completion, prompt *measuredValue, hash uint64) (*task, error) {
 	tokens := int64(float64(prompt.bytes)/s.options.Settings.BytesPerToken) + 1
 	class, ok := c.snapshot.ClassOf(tokens)
 	if !ok {
-		return nil, refuse(execution.CodeTooLong, "the prompt has about %d tokens, more than every length class takes", tokens)
+		return nil, refusef(execution.CodeTooLong, "the prompt has about %d tokens, more than every length class takes", tokens)
 	}
 	answer := kind.MaxAnswerTokens
 	if parsed.MaxTokens > 0 {
 		answer = min(answer, parsed.MaxTokens)
 	}
-	key, home, err := s.keyOf(c, "", kind.Hall, hash)
+	key, home, err := s.idempotencyKey(c, "", kind.Hall, hash)
 	if err != nil {
 		return nil, err
 	}
 	t := s.newTask(c, key, home)
 	t.options.Repeatable = kind.Repeatable
-	t.path, t.content, t.method = c.r.URL.Path, "application/json", http.MethodPost
+	t.path, t.contentType, t.method = c.r.URL.Path, "application/json", http.MethodPost
 	t.offer.Kind, t.offer.Hall, t.offer.LengthClass = name, kind.Hall, class
 	t.offer.PromptTokens, t.offer.AnswerTokens, t.offer.Prefix = tokens, answer, prompt.prefix
 	t.query.Rank = c.snapshot.ClassRank(class)
 	t.query.PromptTokens, t.query.AnswerTokens, t.query.Prefix = tokens, answer, prompt.prefix
-	t.route.Kind, t.route.Class, t.route.Tokens = name, class, tokens
+	t.record.Kind, t.record.Class, t.record.Tokens = name, class, tokens
 	placement, refusal := frontend.Place(c.snapshot, kind.Hall, tokens+answer)
 	if refusal != nil {
 		return nil, &refusedError{*refusal}
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -17,83 +17,84 @@
 	"arbutusdeck/core/wire"
 )
 
-// Bounds of single calls to host daemons.
+// Timeouts of calls to host daemons.
 const (
 	offerTimeout  = 750 * time.Millisecond
 	cancelTimeout = 2 * time.Second
 )
 
-// task is one admitted request on its way.
+// task holds what an entry needs to run one request.
 type task struct {
 	options execution.RequestOptions
 	request *execution.Request
 	// offer holds the fields of the offer that are the same for all attempts.
-	offer   *wire.OfferRequest
-	query   routing.Query
-	groups  map[string]string // lead server to group, for a group's prompt
-	home    *execution.Target // fixed server of a keyed request
-	method  string
-	path    string
-	content string
-	body    []byte
-	release func()
-	sink    sink
-	route   *RoutingRecord
-	// fingerprint names the request over all its submissions.
+	offer       *wire.OfferRequest
+	query       routing.Query
+	groups      map[string]string // group by its lead server, for a prompt that is placed at a group
+	home        *execution.Target // home server of a request with an idempotency key
+	method      string
+	path        string
+	contentType string
+	body        []byte
+	release     func()
+	sink        sink
+	record      *RoutingRecord
+	// fingerprint identifies the request across all its submissions.
 	fingerprint quarantine.Fingerprint
 }
 
-// driver carries out the actions of one request's core and feeds their results
-// back as events.
+// driver executes the actions of one request's state machine and feeds the results back
+// to it as events.
 type driver struct {
-	s      *Server
-	t      *task
-	ctx    context.Context
-	events chan execution.Event
-	done   chan struct{}
-	first  bool
-	began  time.Time
-	// endStream ends the stream of the present attempt.
-	endStream context.CancelFunc
+	s         *Server
+	t         *task
+	ctx       context.Context
+	events    chan execution.Event
+	done      chan struct{}
+	delivered bool
+	startedAt time.Time
+	// cancelStream cancels the stream of the current attempt.
+	cancelStream context.CancelFunc
 }
 
-// entryEnds refuses what is open at the limit of this entry's stop.
-var entryEnds = execution.Refusal{Code: execution.CodeDraining, Detail: "this entry ends", RetryAfter: time.Second}
+// stoppingRefusal is the refusal of requests that are open when the time limit of a graceful
+// shutdown has passed.
+var stoppingRefusal = execution.Refusal{Code: execution.CodeDraining, Detail: "this entry ends", RetryAfter: time.Second}
 
-// drive runs a request to its end and answers the caller. The conclusion is
-// given as soon as the core has it.
+// drive runs a request and writes its response. It returns as soon as the request's state
+// machine has reached a conclusion.
 func (s *Server) drive(ctx context.Context, t *task) execution.Conclusion {
-	d := &driver{s: s, t: t, ctx: ctx, events: make(chan execution.Event), done: make(chan struct{}), began: time.Now(), endStream: func() {}}
+	d := &driver{s: s, t: t, ctx: ctx, events: make(chan execution.Event), done: make(chan struct{}), startedAt: time.Now(), cancelStream: func() {}}
 	defer close(d.done)
-	defer func() { d.endStream() }()
+	defer func() { d.cancelStream() }()
 	deadline := time.NewTimer(time.Until(t.options.Deadline))
 	defer deadline.Stop()
 	s.mu.Lock()
 	s.core.Began()
 	s.mu.Unlock()
 	event := execution.Event(execution.Begun{})
-	gone, ending := ctx.Done(), s.Manager().Ending().Done()
-	var ends <-chan time.Time
+	disconnected, stopping := ctx.Done(), s.Manager().Ending().Done()
+	var stopNow <-chan time.Time
 	for {
-		if conclusion, over := d.step(event); over {
+		if conclusion, concluded := d.step(event); concluded {
 			return conclusion
 		}
 		select {
 		case event = <-d.events:
 		case <-deadline.C:
 			event = execution.DeadlinePassed{}
-		case <-gone:
-			event, gone = execution.CallerGone{}, nil
-		case <-ending:
-			event, ending, ends = execution.EntryEnds{Refusal: entryEnds}, nil, time.After(lifecycle.AnswerTime/2)
-		case <-ends:
-			event = execution.EntryEnds{Refusal: entryEnds}
+		case <-disconnected:
+			event, disconnected = execution.CallerGone{}, nil
+		case <-stopping:
+			event, stopping, stopNow = execution.EntryEnds{Refusal: stoppingRefusal}, nil, time.After(lifecycle.AnswerTime/2)
+		case <-stopNow:
+			event = execution.EntryEnds{Refusal: stoppingRefusal}
 		}
 	}
 }
 
-// step feeds one event and carries out what follows. Some actions answer at
-// once, with an event of their own.
+// step feeds one event to the state machine and executes the resulting actions. Actions that
+// complete at once yield further events, which it feeds too.
 func (d *driver) step(event execution.Event) (execution.Conclusion, bool) {
 	pending := []execution.Event{event}
 	for len(pending) > 0 {
@@ -123,7 +124,7 @@
 	return execution.Conclusion{}, false
 }
 
-// send hands an event to the loop, unless the request is over.
+// send passes an event to the loop of drive, unless the request has been concluded.
 func (d *driver) send(event execution.Event) {
 	select {
 	case d.events <- event:
@@ -131,8 +132,8 @@
 	}
 }
 
-// over says whether the request has been concluded.
-func (d *driver) over() bool {
+// concluded reports whether drive has returned.
+func (d *driver) concluded() bool {
 	select {
 	case <-d.done:
 		return true
@@ -142,7 +143,7 @@
 }
 
 func (d *driver) pick(action execution.Pick) execution.Event {
-	if refusal := d.s.quarantined(time.Now(), d.t.fingerprint); refusal != nil {
+	if refusal := d.s.quarantineRefusal(time.Now(), d.t.fingerprint); refusal != nil {
 		return execution.NoTarget{Refusal: *refusal}
 	}
 	if d.t.home != nil {
@@ -156,37 +157,37 @@
 	if !ok {
 		return execution.NoTarget{Refusal: execution.Refusal{Code: execution.CodeNoServer, RetryAfter: time.Second}}
 	}
-	d.t.route.add(reason)
+	d.t.record.add(reason)
 	return execution.Picked{Target: target}
 }
 
 func (d *driver) sendOffer(action execution.SendOffer) {
-	d.s.sent(d.t, action.Target.Server)
+	d.s.attemptSent(d.t, action.Target.Server)
 	ctx, cancel := context.WithTimeout(d.ctx, offerTimeout)
 	defer cancel()
-	m := offerOf(d.t, action)
+	m := offerFor(d.t, action)
 	m.Envelope = d.s.Envelope()
 	address, ok := d.s.AddressOf(action.Target.Server)
 	if !ok {
-		d.s.ended(d.t, action.Target.Server)
+		d.s.attemptEnded(d.t, action.Target.Server)
 		d.send(execution.OfferLost{Attempt: action.Attempt})
 		return
 	}
 	reply, err := d.s.Dialer.Host(address).Offer(ctx, m)
 	if err != nil {
-		d.s.ended(d.t, action.Target.Server)
+		d.s.attemptEnded(d.t, action.Target.Server)
 		if d.ctx.Err() == nil {
-			d.s.failed(action.Target.Server, d.t.query.Pool)
+			d.s.recordFailure(action.Target.Server, d.t.query.Pool)
 		}
 		d.send(execution.OfferLost{Attempt: action.Attempt})
 		return
 	}
-	d.s.offered(d.t, action.Target.Server, reply)
+	d.s.handleOfferReply(d.t, action.Target.Server, reply)
 	d.send(execution.OfferAnswered{Attempt: action.Attempt, Result: wire.ToResult(reply)})
 }
 
-// offerOf completes the request's offer for one attempt.
-func offerOf(t *task, action execution.SendOffer) *wire.OfferRequest {
+// offerFor returns the request's offer, completed for one attempt.
+func offerFor(t *task, action execution.SendOffer) *wire.OfferRequest {
 	c := t.offer
 	return &wire.OfferRequest{
 		TargetIncarnation: string(action.Target.Incarnation), Request: c.Request, Attempt: string(action.Attempt),
@@ -212,19 +213,19 @@
 		d.send(execution.CancelLost{Attempt: action.Attempt})
 		return
 	}
-	d.s.heard(reply.Envelope)
+	d.s.observeEnvelope(reply.Envelope)
 	d.send(execution.CancelAnswered{Attempt: action.Attempt, Outcome: wire.FromOutcome(reply.Outcome)})
 }
 
 func (d *driver) startStream(action execution.OpenStream) {
-	d.endStream()
+	d.cancelStream()
 	ctx, cancel := context.WithCancel(d.ctx)
-	d.endStream = cancel
+	d.cancelStream = cancel
 	body := d.t.body
 	go d.stream(ctx, action, body)
 }
 
-// stream opens an attempt's stream, or opens it again, and hands on its frames.
+// stream opens or resumes an attempt's stream and passes its frames to the loop.
 func (d *driver) stream(ctx context.Context, action execution.OpenStream, body []byte) {
 	ended := execution.StreamEnded{Attempt: action.Attempt, Sent: true}
 	request, err := d.streamRequest(ctx, action, body)
@@ -233,16 +234,17 @@
 		d.send(ended)
 		return
 	}
-	ctx, silent := context.WithCancel(ctx)
-	idle := time.AfterFunc(wire.ResponseWait, silent)
+	ctx, cancelIdle := context.WithCancel(ctx)
+	idle := time.AfterFunc(wire.ResponseWait, cancelIdle)
 	defer idle.Stop()
 	response, err := d.s.Dialer.HTTP().Do(request.WithContext(ctx))
 	if err != nil {
-		ended.Sent = !notSent(err)
+		ended.Sent = !isDialError(err)
 		if action.Resume && netopts.IsRefused(err) {
-			d.s.noteEnd(d.t, action.Target.Server) // with the daemon beside it
+			// Nothing listens there any more: the server crashed together with its host daemon.
+			d.s.recordCrash(d.t, action.Target.Server)
 		}
-		d.streamFailed(action)
+		d.recordStreamFailure(action)
 		d.send(ended)
 		return
 	}
@@ -250,7 +252,7 @@
 	if response.StatusCode == http.StatusOK && d.readFrames(action, response, idle) {
 		return
 	}
-	d.streamFailed(action)
+	d.recordStreamFailure(action)
 	d.send(ended)
 }
 
@@ -267,32 +269,34 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Content-Type", d.t.content)
+	request.Header.Set("Content-Type", d.t.contentType)
 	request.Header.Set(wire.HeaderPath, d.t.path)
 	request.Header.Set(wire.HeaderMethod, d.t.method)
 	request.Header.Set(wire.HeaderIncarnation, string(action.Target.Incarnation))
 	return request, nil
 }
 
-// notSent says that the connection was never made.
-func notSent(err error) bool {
+// isDialError reports whether err means that no connection was established, so that
+// nothing was sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// streamFailed counts a broken stream against its server, unless the caller's
-// own end broke it.
-func (d *driver) streamFailed(action execution.OpenStream) {
-	if d.ctx.Err() == nil && !d.over() {
-		d.s.failed(action.Target.Server, d.t.query.Pool)
+// recordStreamFailure records a broken stream as a failure of its server, unless the caller
+// disconnected or the request has been concluded.
+func (d *driver) recordStreamFailure(action execution.OpenStream) {
+	if d.ctx.Err() == nil && !d.concluded() {
+		d.s.recordFailure(action.Target.Server, d.t.query.Pool)
 	}
 }
 
-// readFrames hands frames on and reports whether the last one came.
+// readFrames passes the frames of a response to the loop and reports whether the last one
+// arrived.
 func (d *driver) readFrames(action execution.OpenStream, response *http.Response, idle *time.Timer) bool {
 	reader := wire.NewFrameReader(response.Body)
 	idle.Reset(wire.StreamIdle)
-	answerBegan := time.Time{}
+	responseStart := time.Time{}
 	for {
 		m, err := reader.Read()
 		if err != nil {
@@ -302,14 +306,14 @@
 		d.s.observeFrame(d.t, action.Target.Server, m)
 		frame := wire.ToFrame(m)
 		if frame.Request == "" {
-			// A refusal to open the stream does not know the request.
+			// A refusal to open a stream does not carry the request's ID.
 			frame.Request = d.t.options.ID
 		}
-		if endedUnder(frame, answerBegan) {
-			d.s.noteEnd(d.t, action.Target.Server)
+		if crashedEarly(frame, responseStart) {
+			d.s.recordCrash(d.t, action.Target.Server)
 		}
-		if answerBegan.IsZero() && len(frame.Payload) > 0 {
-			answerBegan = time.Now()
+		if responseStart.IsZero() && len(frame.Payload) > 0 {
+			responseStart = time.Now()
 		}
 		d.send(execution.FrameArrived{Frame: frame})
 		if frame.Last {
@@ -318,13 +322,12 @@
 	}
 }
 
-// deliver hands a piece of the answer to the caller. Unless the answer is
-// buffered, the prompt is let go with the first one: the request can't be run
-// again after it.
+// deliver writes one frame of the response to the caller. Unless the response is buffered, it
+// frees the prompt at the first frame: the request can't be retried after that.
 func (d *driver) deliver(frame execution.Frame) error {
-	if !d.first {
-		d.first = true
-		d.s.observeFirstToken(d.t, time.Since(d.began))
+	if !d.delivered {
+		d.delivered = true
+		d.s.observeFirstToken(d.t, time.Since(d.startedAt))
 		if !d.t.options.Buffered {
 			d.t.body = nil
 			d.t.release()
--- a/entry/server/keys.go
+++ b/entry/server/keys.go
@@ -10,32 +10,33 @@
 	"arbutusdeck/core/routing"
 )
 
-// codeAnswerNotKept says that a key has run and its answer is no longer held.
+// codeAnswerNotKept is the code for a key whose request has run but whose response the
+// ledger no longer holds.
 const codeAnswerNotKept execution.Code = "answer_not_kept"
 
-// keyRequest asks for an issued key. One of the fields is given.
-type keyRequest struct {
+// issueKeyRequest is the body of a request for an idempotency key. One of the fields is set.
+type issueKeyRequest struct {
 	Kind    string `json:"kind"`
 	Service string `json:"service"`
 }
 
-type keyReply struct {
+type issueKeyReply struct {
 	Key string `json:"key"`
-	// ExpiresAt is when the home forgets the key's record.
+	// ExpiresAt is the time at which the home server may drop the key's record.
 	ExpiresAt time.Time `json:"expiresAt"`
 }
 
-// maxKeyRequest bounds the body that asks for a key.
-const maxKeyRequest = 4 << 10
+// maxIssueKeyBytes bounds the body of a request for a key.
+const maxIssueKeyBytes = 4 << 10
 
-// issueKey gives out a key that names its home. Nothing runs, so a lost reply
-// costs nothing.
+// issueKey issues an idempotency key that names its home server. It runs nothing, so the
+// caller may retry safely after a lost reply.
 func (s *Server) issueKey(c *call) error {
-	var asked keyRequest
-	if err := json.NewDecoder(http.MaxBytesReader(c.w, c.r.Body, maxKeyRequest)).Decode(&asked); err != nil {
-		return refuse(codeBadRequest, "the body must be {\"service\": ...} or {\"kind\": ...}: %s", jsonPlace(nil, err))
+	var body issueKeyRequest
+	if err := json.NewDecoder(http.MaxBytesReader(c.w, c.r.Body, maxIssueKeyBytes)).Decode(&body); err != nil {
+		return refusef(codeBadRequest, "the body must be {\"service\": ...} or {\"kind\": ...}: %s", jsonErrorPosition(nil, err))
 	}
-	pool, err := c.poolOfKey(asked)
+	pool, err := c.poolOfKey(body)
 	if err != nil {
 		return err
 	}
@@ -48,42 +49,42 @@
 	now := time.Now()
 	key := s.keys.Issue(execution.IssuedKey{Service: pool, Server: target.Server, Incarnation: target.Incarnation, MadeUnixMS: now.UnixMilli(), Nonce: newID()})
 	c.w.Header().Set("Content-Type", "application/json")
-	return json.NewEncoder(c.w).Encode(keyReply{Key: key, ExpiresAt: now.Add(execution.DefaultLedgerOptions().Retention).UTC()})
+	return json.NewEncoder(c.w).Encode(issueKeyReply{Key: key, ExpiresAt: now.Add(execution.DefaultLedgerOptions().Retention).UTC()})
 }
 
-func (c *call) poolOfKey(asked keyRequest) (string, error) {
-	if asked.Service != "" {
-		if _, ok := c.snapshot.Services[asked.Service]; !ok {
-			return "", refuse(codeNotFound, "no service is named %q", asked.Service)
+func (c *call) poolOfKey(body issueKeyRequest) (string, error) {
+	if body.Service != "" {
+		if _, ok := c.snapshot.Services[body.Service]; !ok {
+			return "", refusef(codeNotFound, "no service is named %q", body.Service)
 		}
-		return config.ServicePool(asked.Service), nil
+		return config.ServicePool(body.Service), nil
 	}
-	_, kind, err := c.kindOf(asked.Kind)
+	_, kind, err := c.requestKind(body.Kind)
 	return kind.Hall, err
 }
 
-// keyOf reads the request's key and finds its home. The home is fixed by the key
-// itself or by the configuration, never by which servers are alive.
-func (s *Server) keyOf(c *call, service, pool string, fingerprint uint64) (execution.Key, *execution.Target, error) {
+// idempotencyKey parses the request's key and returns it with its home server. The home
+// follows from the key itself or from the configuration, never from which servers are alive.
+func (s *Server) idempotencyKey(c *call, service, pool string, fingerprint uint64) (execution.Key, *execution.Target, error) {
 	text := c.r.Header.Get(headerKey)
 	if text == "" {
 		return execution.Key{}, nil, nil
 	}
 	parsed, err := s.keys.Parse(text)
 	if err != nil {
-		return execution.Key{}, nil, refuse(codeBadRequest, "%s: %v", headerKey, err)
+		return execution.Key{}, nil, refusef(codeBadRequest, "%s: %v", headerKey, err)
 	}
 	key := execution.Key{ID: parsed.Text, Made: parsed.Made, Fingerprint: fingerprint}
 	if issued := parsed.Issued; issued != nil {
 		if issued.Service != pool {
-			return key, nil, refuse(codeBadRequest, "%s: the key was issued for %q", headerKey, issued.Service)
+			return key, nil, refusef(codeBadRequest, "%s: the key was issued for %q", headerKey, issued.Service)
 		}
 		key.Issued = true
 		return key, &execution.Target{Server: issued.Server, Incarnation: issued.Incarnation}, nil
 	}
 	_, home, ok := c.snapshot.HomeOf(service, key.ID)
 	if !ok {
-		return key, nil, refuse(codeBadRequest, "%s: keys made by callers are not taken here; ask POST /v1/idempotency-keys for one", headerKey)
+		return key, nil, refusef(codeBadRequest, "%s: keys made by callers are not taken here; ask POST /v1/idempotency-keys for one", headerKey)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/server/problem.go
+++ b/entry/server/problem.go
@@ -10,7 +10,7 @@
 	"arbutusdeck/core/execution"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' API.
 const (
 	headerKind     = "X-Request-Kind"
 	headerDeadline = "X-Request-Deadline"
@@ -19,7 +19,7 @@
 	headerKey      = "Idempotency-Key"
 )
 
-// Codes that the entry itself gives.
+// Error codes of the entry's own refusals.
 const (
 	codeUnauthorized execution.Code = "unauthorized"
 	codeBadRequest   execution.Code = "bad_request"
@@ -30,24 +30,24 @@
 	codeNotReady     execution.Code = "not_ready"
 )
 
-// problem is the body of every error.
+// problem is the JSON body of every error response.
 type problem struct {
 	Error problemDetail `json:"error"`
 }
 
 type problemDetail struct {
-	// Code is stable; Message is for people.
+	// Code is stable and meant for programs; Message may change.
 	Code    execution.Code `json:"code"`
 	Message string         `json:"message"`
-	// Run says whether the request was run: notRun, failed or unknown.
+	// Run tells whether the request was run: notRun, failed or unknown.
 	Run string `json:"run"`
-	// RetryAfterMS is when asking again helps, in milliseconds; absent where
-	// it does not.
+	// RetryAfterMS is the delay in milliseconds after which a retry may succeed; absent
+	// where a retry does not help.
 	RetryAfterMS int64  `json:"retryAfterMs,omitempty"`
 	RequestID    string `json:"requestId"`
 }
 
-var statuses = map[execution.Code]int{
+var statusByCode = map[execution.Code]int{
 	codeUnauthorized: http.StatusUnauthorized, codeBadRequest: http.StatusBadRequest, codeTooLarge: http.StatusRequestEntityTooLarge,
 	codeNotFound: http.StatusNotFound, codeForbidden: http.StatusForbidden, codeBadMethod: http.StatusMethodNotAllowed, codeNotReady: http.StatusServiceUnavailable,
 	execution.CodeTooLong: http.StatusRequestEntityTooLarge, execution.CodeOverQuota: http.StatusTooManyRequests,
@@ -59,38 +59,39 @@
 }
 
 func statusOf(code execution.Code) int {
-	if status, ok := statuses[code]; ok {
+	if status, ok := statusByCode[code]; ok {
 		return status
 	}
 	return http.StatusServiceUnavailable
 }
 
-// sentences are given where a refusal has no detail of its own.
-var sentences = map[execution.Code]string{
+// defaultMessages holds the messages for refusals without a detail.
+var defaultMessages = map[execution.Code]string{
 	execution.CodeNoServer:  "no backend server can take the request now",
 	execution.CodeDeadline:  "the request's deadline has passed",
 	execution.CodeTombstone: "the attempt was cancelled before it ran",
 }
 
-func problemOf(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) problem {
+func newProblem(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) problem {
 	message := refusal.Detail
 	if message == "" {
-		message = sentences[refusal.Code]
+		message = defaultMessages[refusal.Code]
 	}
 	return problem{problemDetail{Code: refusal.Code, Message: message, Run: outcome.String(),
 		RetryAfterMS: refusal.RetryAfter.Milliseconds(), RequestID: string(id)}}
 }
 
-// writeProblem answers with an error as JSON.
+// writeProblem writes an error response as JSON.
 func writeProblem(w http.ResponseWriter, id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(headerRun, outcome.String())
 	if refusal.RetryAfter > 0 {
-		w.Header().Set("Retry-After", seconds(refusal.RetryAfter))
+		w.Header().Set("Retry-After", retryAfterSeconds(refusal.RetryAfter))
 	}
 	w.WriteHeader(statusOf(refusal.Code))
-	return json.NewEncoder(w).Encode(problemOf(id, outcome, refusal))
+	return json.NewEncoder(w).Encode(newProblem(id, outcome, refusal))
 }
 
-// seconds rounds up, so that nobody comes back too early.
-func seconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
+// retryAfterSeconds formats a Retry-After value. It rounds up, so that no caller retries
+// too early.
+func retryAfterSeconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
--- a/entry/server/quarantine.go
+++ b/entry/server/quarantine.go
@@ -15,64 +15,66 @@
 	"arbutusdeck/core/quarantine"
 )
 
-// exchangeInterval is how often an entry exchanges what it remembers with another one at random.
-// News go to all at once; this reaches those that were not reached then, and those that have
-// started.
+// exchangeInterval is the interval at which an entry exchanges its quarantine records with a
+// random other entry. New records are broadcast at once; the periodic exchange reaches entries
+// that were unreachable then or have started since.
 const exchangeInterval = 2 * time.Second
 
-// quarantined returns why a request is refused because servers end under it; nil if it isn't.
-func (s *Server) quarantined(now time.Time, f quarantine.Fingerprint) *execution.Refusal {
+// quarantineRefusal returns the refusal of a request that is quarantined because servers crash
+// under it; nil if it isn't quarantined.
+func (s *Server) quarantineRefusal(now time.Time, f quarantine.Fingerprint) *execution.Refusal {
 	s.mu.Lock()
-	left := s.watch.Refused(now, f)
+	remaining := s.crashes.Refused(now, f)
 	s.mu.Unlock()
-	if left == 0 {
+	if remaining == 0 {
 		return nil
 	}
-	refusal := execution.Quarantined(left)
+	refusal := execution.Quarantined(remaining)
 	return &refusal
 }
 
-// endName names the end of a server. The start of an engine has no name that entries know; it
-// takes longer than a second, so that two ends within one are the same.
-func endName(server string, now time.Time) string { return fmt.Sprintf("%s@%d", server, now.Unix()) }
+// crashID identifies one crash of a server. Entries know no identifier of an engine's
+// incarnation; an engine takes more than a second to start, so that two reports within the
+// same second are of one crash.
+func crashID(server string, now time.Time) string { return fmt.Sprintf("%s@%d", server, now.Unix()) }
 
-// noteEnd remembers that a server has ended under a request, and tells all entries: it may come
-// again at any of them.
-func (s *Server) noteEnd(t *task, server string) {
+// recordCrash records that a server crashed under a request and broadcasts the record, as the
+// caller may retry the request at any entry.
+func (s *Server) recordCrash(t *task, server string) {
 	now := time.Now()
 	s.mu.Lock()
-	record, isNew := s.watch.Ended(now, t.fingerprint, endName(server, now))
-	refused := s.watch.Refused(now, t.fingerprint) > 0
+	record, isNew := s.crashes.Ended(now, t.fingerprint, crashID(server, now))
+	refused := s.crashes.Refused(now, t.fingerprint) > 0
 	s.mu.Unlock()
 	if !isNew {
 		return
 	}
 	s.Log.WithFields(logrus.Fields{"request": t.options.ID, "fingerprint": t.fingerprint.String(), "server": server, "ends": len(record.Ended),
 		"refused": refused}).Info("a server has ended under a request that had just begun there")
-	s.tellRecords([]quarantine.Record{record})
+	s.broadcastRecords([]quarantine.Record{record})
 	if refused {
 		s.Audit(audit.Event{Area: audit.Requests, Subject: t.fingerprint.String(), From: "served", To: "refused", Why: "servers ended under it", Source: "message"})
 	}
 }
 
-// noteAnswer clears a request that has got its whole answer.
-func (s *Server) noteAnswer(t *task) {
+// recordCompletion clears the crash record of a request whose response was complete.
+func (s *Server) recordCompletion(t *task) {
 	s.mu.Lock()
-	record, isNew := s.watch.Answered(time.Now(), t.fingerprint)
+	record, isNew := s.crashes.Answered(time.Now(), t.fingerprint)
 	s.mu.Unlock()
 	if isNew {
-		s.tellRecords([]quarantine.Record{record})
+		s.broadcastRecords([]quarantine.Record{record})
 	}
 }
 
-// tellRecords tells all entries of requests.
-func (s *Server) tellRecords(records []quarantine.Record) {
+// broadcastRecords sends records to all other entries, without waiting for them.
+func (s *Server) broadcastRecords(records []quarantine.Record) {
 	for _, peer := range s.otherEntries() {
-		go s.exchange(peer, records)
+		go s.exchangeRecords(peer, records)
 	}
 }
 
-// otherEntries are the other entries that the configuration names.
+// otherEntries returns the other entries of the current configuration.
 func (s *Server) otherEntries() []config.Peer {
 	snapshot := s.Store.Current()
 	if snapshot == nil {
@@ -87,30 +89,30 @@
 	return others
 }
 
-// exchange tells another entry records, and takes in what it remembers.
-func (s *Server) exchange(peer config.Peer, records []quarantine.Record) {
-	told, err := s.Dialer.ExchangeQuarantine(context.Background(), peer, s.Envelope(), records)
+// exchangeRecords sends records to another entry and merges the records that it returns.
+func (s *Server) exchangeRecords(peer config.Peer, records []quarantine.Record) {
+	received, err := s.Dialer.ExchangeQuarantine(context.Background(), peer, s.Envelope(), records)
 	if err != nil {
-		s.Log.WithError(err).Debug("another entry could not be told of requests under which servers end")
+		s.Log.WithError(err).Debug("quarantine records could not be exchanged with another entry")
 		return
 	}
-	s.join(told)
+	s.mergeRecords(received)
 }
 
-// join takes in what another entry remembers, and returns what this one does.
-func (s *Server) join(told []quarantine.Record) []quarantine.Record {
+// mergeRecords merges the records of another entry and returns all current ones.
+func (s *Server) mergeRecords(received []quarantine.Record) []quarantine.Record {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch.Join(now, told)
-	s.watch.Expire(now)
-	return s.watch.Records(now)
+	s.crashes.Join(now, received)
+	s.crashes.Expire(now)
+	return s.crashes.Records(now)
 }
 
-// exchangeLoop exchanges what is remembered: with all entries at the start, so that an entry that
-// has started refuses what the others refuse, then with one of them at a time.
+// exchangeLoop exchanges quarantine records: at start with all entries, so that a restarted entry
+// refuses what the others refuse, then periodically with a random one.
 func (s *Server) exchangeLoop() error {
-	if !s.meetEntries() {
+	if !s.exchangeWithAll() {
 		return nil
 	}
 	ticker := time.NewTicker(exchangeInterval)
@@ -122,14 +124,14 @@
 			return nil
 		}
 		if others := s.otherEntries(); len(others) > 0 {
-			s.exchange(others[rand.IntN(len(others))], s.join(nil))
+			s.exchangeRecords(others[rand.IntN(len(others))], s.mergeRecords(nil))
 		}
 	}
 }
 
-// meetEntries waits for a configuration and exchanges with all entries that it names. It returns
-// false if the daemon stops before.
-func (s *Server) meetEntries() bool {
+// exchangeWithAll waits for a configuration and exchanges records with all entries in it. It
+// returns false if the daemon stops first.
+func (s *Server) exchangeWithAll() bool {
 	for s.Store.Current() == nil {
 		select {
 		case <-time.After(tickInterval):
@@ -137,17 +139,17 @@
 			return false
 		}
 	}
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	for _, peer := range s.otherEntries() {
-		wait.Go(func() { s.exchange(peer, s.join(nil)) })
+		group.Go(func() { s.exchangeRecords(peer, s.mergeRecords(nil)) })
 	}
-	wait.Wait()
-	s.met.Store(true)
+	group.Wait()
+	s.exchangedAtStart.Store(true)
 	return true
 }
 
-// endedUnder says whether the last frame of an attempt tells that the engine has ended, and the
-// attempt had just begun there.
-func endedUnder(frame execution.Frame, answerBegan time.Time) bool {
-	return frame.Last && frame.Code == execution.CodeEngineEnded && quarantine.JustBegun(time.Now(), answerBegan)
+// crashedEarly reports whether the last frame of an attempt says that the engine crashed, shortly
+// after the attempt's response began. A zero responseStart means that no response had begun.
+func crashedEarly(frame execution.Frame, responseStart time.Time) bool {
+	return frame.Last && frame.Code == execution.CodeEngineEnded && quarantine.JustBegun(time.Now(), responseStart)
 }
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -30,7 +30,7 @@
 // dialTimeout bounds the opening of a connection to a host daemon.
 const dialTimeout = 500 * time.Millisecond
 
-// Options are the parts of a Server.
+// Options holds the settings and dependencies of a Server.
 type Options struct {
 	Settings Settings
 	Log      *logrus.Entry
@@ -40,7 +40,8 @@
 	Sync     config.SyncOptions
 }
 
-// DefaultOptions returns options for settings.
+// DefaultOptions returns the options of a production daemon with settings, whose defaults
+// it applies.
 func DefaultOptions(settings Settings, log *logrus.Entry, trail *audit.Trail) Options {
 	settings.applyDefaults()
 	options := Options{
@@ -57,24 +58,25 @@
 	return options
 }
 
-// Server is one entry daemon. It keeps nothing that matters: whatever it
-// believes, the host daemons decide.
+// Server is one entry daemon. It holds no authoritative state: its view of the servers may
+// be stale, and the host daemons decide what runs.
 type Server struct {
 	*process.Base
 	options  Options
 	keys     *execution.Keys
 	bodies   *admission.ByteBudget
-	routes   *routeLog
+	routing  *routingLog
 	counters counters
 	tomb     *tomb.Tomb
 
 	mu    sync.Mutex
 	core  *frontend.Core
 	pause *membership.PauseDetector
-	// watch remembers requests under which servers have ended.
-	watch *quarantine.Watch
-	// met says that this entry has asked the others what they remember.
-	met atomic.Bool
+	// crashes tracks the requests under which servers crashed.
+	crashes *quarantine.Watch
+	// exchangedAtStart is set once this entry has requested the other entries' quarantine
+	// records.
+	exchangedAtStart atomic.Bool
 }
 
 type counters struct {
@@ -82,20 +84,20 @@
 	firstToken                                                    map[string]metrics.Timer
 }
 
-// New returns a daemon that Start starts.
+// New returns a daemon; Start runs it.
 func New(options Options) *Server {
 	s := &Server{
 		options: options,
 		keys:    execution.NewKeys([]byte(options.Settings.Secret)),
 		bodies:  admission.NewByteBudget(options.Settings.MaxOpenBytes),
-		routes:  &routeLog{},
+		routing: &routingLog{},
 		core:    frontend.New(options.Frontend),
-		pause:   membership.NewPauseDetector(pauseLimit),
-		watch:   quarantine.NewWatch(),
+		pause:   membership.NewPauseDetector(pauseThreshold),
+		crashes: quarantine.NewWatch(),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnAdopt: s.adopt, OnHosts: s.readHosts,
+		Incarnation: execution.Incarnation(uuid.NewString()), DialTimeout: dialTimeout, OnAdopt: s.applySnapshot, OnHosts: s.applyHostList,
 		OnState: func(lifecycle.State) {},
 	})
 	s.counters = newCounters(s.Registry)
@@ -115,7 +117,8 @@
 	}
 }
 
-// Start listens and serves under the tomb.
+// Start opens the listeners and runs the daemon under the tomb. It returns an error if an
+// address can't be bound.
 func (s *Server) Start(t *tomb.Tomb) error {
 	s.tomb = t
 	for address, handler := range map[string]http.Handler{
@@ -139,13 +142,14 @@
 	router := bunrouter.New()
 	peers := s.Peers()
 	router.POST(peers.PathPrefix()+":method", bunrouter.HTTPHandler(peers))
-	entries := wire.NewEntryServer(&wire.EntryServer{Envelope: s.Envelope, Exchange: s.join})
+	entries := wire.NewEntryServer(&wire.EntryServer{Envelope: s.Envelope, Exchange: s.mergeRecords})
 	router.POST(entries.PathPrefix()+":method", bunrouter.HTTPHandler(entries))
 	return router
 }
 
-// heard takes in the envelope of a host daemon's message.
-func (s *Server) heard(envelope *wire.Envelope) {
+// observeEnvelope updates the membership view and the advertised revision from the envelope
+// of a host daemon's message.
+func (s *Server) observeEnvelope(envelope *wire.Envelope) {
 	if envelope == nil {
 		return
 	}
@@ -153,33 +157,35 @@
 	s.mu.Lock()
 	changes := s.core.Heard(time.Now(), envelope.Sender, execution.Incarnation(envelope.Incarnation), envelope.Draining)
 	s.mu.Unlock()
-	s.auditMembers(changes, "message")
+	s.auditMembership(changes, "message")
 }
 
-// failed takes in that a server could not be reached or broke off.
-func (s *Server) failed(server, pool string) {
+// recordFailure records that a server was unreachable or broke a stream off. pool may be
+// empty.
+func (s *Server) recordFailure(server, pool string) {
 	s.mu.Lock()
 	changes := s.core.Failed(time.Now(), server, pool)
 	s.mu.Unlock()
-	s.auditMembers(changes, "message")
+	s.auditMembership(changes, "message")
 }
 
-// sent counts an offer in the load that is believed of a server.
-func (s *Server) sent(t *task, server string) {
+// attemptSent adds an offer to the estimated load of a server.
+func (s *Server) attemptSent(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Sent(time.Now(), t.query, server)
 }
 
-func (s *Server) ended(t *task, server string) {
+func (s *Server) attemptEnded(t *task, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Ended(t.query, server)
 }
 
-// offered takes in what a reply to an offer tells besides its verdict.
-func (s *Server) offered(t *task, server string, reply *wire.OfferReply) {
-	s.heard(reply.Envelope)
+// handleOfferReply updates the load, admission and membership state from the reply to an
+// offer.
+func (s *Server) handleOfferReply(t *task, server string, reply *wire.OfferReply) {
+	s.observeEnvelope(reply.Envelope)
 	now := time.Now()
 	result := wire.ToResult(reply)
 	answer := frontend.Answer{Verdict: result.Verdict, Refusal: result.Refusal, DemandShare: reply.DemandShare, DemandKnown: reply.DemandKnown}
@@ -192,7 +198,7 @@
 	s.core.Offered(now, t.query, t.offer.Workspace, server, answer)
 }
 
-// observeFrame takes in what a frame tells besides its payload.
+// observeFrame updates the load and membership state from a frame of a response.
 func (s *Server) observeFrame(t *task, server string, m *wire.Frame) {
 	if m.Load != nil {
 		now := time.Now()
@@ -201,14 +207,14 @@
 		s.core.Observe(t.query.Pool, server, report)
 		s.mu.Unlock()
 	}
-	s.heard(m.Envelope)
+	s.observeEnvelope(m.Envelope)
 	if m.Last {
-		s.ended(t, server)
+		s.attemptEnded(t, server)
 	}
 }
 
-// adopt brings a new snapshot into force.
-func (s *Server) adopt(snapshot *config.Snapshot) {
+// applySnapshot applies a new configuration snapshot.
+func (s *Server) applySnapshot(snapshot *config.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changes := s.core.Configure(time.Now(), snapshot)
@@ -217,25 +223,25 @@
 			s.counters.firstToken[class] = metrics.NewRegisteredTimer("first.token."+class, s.Registry)
 		}
 	}
-	go s.auditMembers(changes, "configuration")
+	go s.auditMembership(changes, "configuration")
 }
 
-// readHosts takes in the platform's list.
-func (s *Server) readHosts(hosts []platform.Host) {
+// applyHostList updates the membership view from the platform's host list.
+func (s *Server) applyHostList(hosts []platform.Host) {
 	var rows []membership.Listed
 	for _, host := range hosts {
 		rows = append(rows, membership.Listed{Server: host.Server, Leaving: host.Leaving})
 	}
 	s.mu.Lock()
-	changes, believed := s.core.ReadList(time.Now(), rows)
+	changes, accepted := s.core.ReadList(time.Now(), rows)
 	s.mu.Unlock()
-	s.auditMembers(changes, "list")
-	if !believed {
-		s.Log.WithField("hosts", len(hosts)).Warn("the host list shrank at a stroke; the last good view stays")
+	s.auditMembership(changes, "list")
+	if !accepted {
+		s.Log.WithField("hosts", len(hosts)).Warn("too many hosts are missing from the platform's host list; the previous view is kept")
 	}
 }
 
-func (s *Server) auditMembers(changes []membership.Change, source string) {
+func (s *Server) auditMembership(changes []membership.Change, source string) {
 	for _, change := range changes {
 		s.Audit(audit.Event{Area: audit.Membership, Subject: change.Server, From: string(change.From), To: string(change.To),
 			Why: change.Why, Source: source})
--- a/entry/server/settings_test.go
+++ b/entry/server/settings_test.go
@@ -16,7 +16,8 @@
 	require.Equal(t, "entry-palermo", settings.Name)
 }
 
-// Wrong settings are refused before anything is bound, with what is wrong.
+// Invalid settings must fail at load, before any address is bound, with an error that
+// names the offending key or value.
 func TestBadSettingsAreRefused(t *testing.T) {
 	good, err := os.ReadFile("../../examples/settings/entry.yaml")
 	require.NoError(t, err)
@@ -36,8 +37,8 @@
 	require.ErrorIs(t, process.LoadSettings("no/such/file", &Settings{}, func() {}), process.ErrSettings)
 }
 
-// FuzzParseCompletion: whatever the body holds, parsing it ends in a request or an
-// error, and a body made into a stream is JSON that asks for one.
+// FuzzParseCompletion checks that parsing any body returns a request or an error, and
+// that enableStream returns valid JSON whose stream field is true.
 func FuzzParseCompletion(f *testing.F) {
 	f.Add(`{"model":"m","prompt":"a verse","max_tokens":3,"stream":false}`)
 	f.Add(`{"prompt":"}","stream": true}`)
@@ -51,7 +52,7 @@
 			return
 		}
 		require.Positive(t, prompt.bytes)
-		again, _, err := parseCompletion(asStream(data, parsed.Stream), "prompt")
+		again, _, err := parseCompletion(enableStream(data, parsed.Stream), "prompt")
 		require.NoError(t, err)
 		require.True(t, again.Stream.value)
 	})
--- a/entry/server/sink.go
+++ b/entry/server/sink.go
@@ -9,29 +9,29 @@
 	"arbutusdeck/core/execution"
 )
 
-// sink is where an answer goes. write and end return an error once the caller is
-// gone.
+// sink writes the response to the caller. write and end return an error once the caller
+// has disconnected.
 type sink interface {
 	write(frame execution.Frame) error
 	end() error
-	// discard drops what a buffering sink has gathered.
+	// discard drops the frames that a buffering sink has collected.
 	discard()
-	// fail answers with an error, in the form that is still possible.
+	// fail reports an error: as an error response, or as an event if the response has begun.
 	fail(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error
 }
 
-// passSink hands the answer on as it comes.
-type passSink struct {
+// passthroughSink writes each frame to the caller at once.
+type passthroughSink struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	started bool
 }
 
-func newPassSink(w http.ResponseWriter) *passSink {
-	return &passSink{w: w, control: http.NewResponseController(w)}
+func newPassthroughSink(w http.ResponseWriter) *passthroughSink {
+	return &passthroughSink{w: w, control: http.NewResponseController(w)}
 }
 
-func (s *passSink) write(frame execution.Frame) error {
+func (s *passthroughSink) write(frame execution.Frame) error {
 	if !s.started {
 		s.started = true
 		if frame.ContentType != "" {
@@ -48,17 +48,17 @@
 	return s.control.Flush()
 }
 
-func (s *passSink) end() error { return nil }
+func (s *passthroughSink) end() error { return nil }
 
-func (s *passSink) discard() {}
+func (s *passthroughSink) discard() {}
 
-// fail writes an error event once a part of the answer is out: the caller can
-// tell a broken answer from a whole one, which ends with data: [DONE].
-func (s *passSink) fail(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error {
+// fail writes an error event if a part of the response was written. The caller can tell
+// such a response from a complete one, which ends with data: [DONE].
+func (s *passthroughSink) fail(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error {
 	if !s.started {
 		return writeProblem(s.w, id, outcome, refusal)
 	}
-	encoded, err := json.Marshal(problemOf(id, outcome, refusal))
+	encoded, err := json.Marshal(newProblem(id, outcome, refusal))
 	if err != nil {
 		return err
 	}
@@ -66,30 +66,32 @@
 	return err
 }
 
-// wholeSink gathers a streamed answer into one JSON object, for callers that did
-// not ask for a stream.
-type wholeSink struct {
-	w       http.ResponseWriter
-	pending []byte
-	first   map[string]json.RawMessage
-	text    bytes.Buffer
-	finish  string
-	chat    bool
-	plain   *passSink // set when the engine did not answer with a stream
+// bufferedSink collects a streamed response into one JSON object, for callers that did
+// not request a stream.
+type bufferedSink struct {
+	w            http.ResponseWriter
+	pending      []byte
+	firstEvent   map[string]json.RawMessage
+	text         bytes.Buffer
+	finishReason string
+	chat         bool
+	passthrough  *passthroughSink // set if the engine's response is not an event stream
 }
 
-func newWholeSink(w http.ResponseWriter, chat bool) *wholeSink { return &wholeSink{w: w, chat: chat} }
+func newBufferedSink(w http.ResponseWriter, chat bool) *bufferedSink {
+	return &bufferedSink{w: w, chat: chat}
+}
 
-func (s *wholeSink) discard() { *s = *newWholeSink(s.w, s.chat) }
+func (s *bufferedSink) discard() { *s = *newBufferedSink(s.w, s.chat) }
 
 const eventStream = "text/event-stream"
 
-func (s *wholeSink) write(frame execution.Frame) error {
-	if s.plain == nil && s.first == nil && !bytes.HasPrefix([]byte(frame.ContentType), []byte(eventStream)) {
-		s.plain = newPassSink(s.w)
+func (s *bufferedSink) write(frame execution.Frame) error {
+	if s.passthrough == nil && s.firstEvent == nil && !bytes.HasPrefix([]byte(frame.ContentType), []byte(eventStream)) {
+		s.passthrough = newPassthroughSink(s.w)
 	}
-	if s.plain != nil {
-		return s.plain.write(frame)
+	if s.passthrough != nil {
+		return s.passthrough.write(frame)
 	}
 	s.pending = append(s.pending, frame.Payload...)
 	for {
@@ -98,12 +100,12 @@
 			return nil
 		}
 		s.pending = rest
-		s.event(event)
+		s.appendEvent(event)
 	}
 }
 
-// chunk is the part of a streamed event that is gathered.
-type chunk struct {
+// streamChunk holds the fields of a streamed event that bufferedSink collects.
+type streamChunk struct {
 	Choices []struct {
 		Text  string `json:"text"`
 		Delta struct {
@@ -113,64 +115,64 @@
 	} `json:"choices"`
 }
 
-func (s *wholeSink) event(event []byte) {
+func (s *bufferedSink) appendEvent(event []byte) {
 	data, ok := bytes.CutPrefix(event, []byte("data: "))
 	if !ok || bytes.Equal(data, []byte("[DONE]")) {
 		return
 	}
-	if s.first == nil && json.Unmarshal(data, &s.first) != nil {
+	if s.firstEvent == nil && json.Unmarshal(data, &s.firstEvent) != nil {
 		return
 	}
-	var c chunk
+	var c streamChunk
 	if json.Unmarshal(data, &c) != nil || len(c.Choices) == 0 {
 		return
 	}
 	s.text.WriteString(c.Choices[0].Text)
 	s.text.WriteString(c.Choices[0].Delta.Content)
 	if c.Choices[0].FinishReason != "" {
-		s.finish = c.Choices[0].FinishReason
+		s.finishReason = c.Choices[0].FinishReason
 	}
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         *string       `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completionChoice struct {
+	Index        int          `json:"index"`
+	Text         *string      `json:"text,omitempty"`
+	Message      *chatMessage `json:"message,omitempty"`
+	FinishReason string       `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-func (s *wholeSink) end() error {
-	if s.plain != nil {
-		return s.plain.end()
+func (s *bufferedSink) end() error {
+	if s.passthrough != nil {
+		return s.passthrough.end()
 	}
 	text := s.text.String()
-	choice := wholeChoice{Text: &text, FinishReason: s.finish}
+	choice := completionChoice{Text: &text, FinishReason: s.finishReason}
 	object := `"text_completion"`
 	if s.chat {
-		choice.Text, choice.Message = nil, &wholeMessage{Role: "assistant", Content: text}
+		choice.Text, choice.Message = nil, &chatMessage{Role: "assistant", Content: text}
 		object = `"chat.completion"`
 	}
-	if s.first == nil {
-		s.first = map[string]json.RawMessage{}
+	if s.firstEvent == nil {
+		s.firstEvent = map[string]json.RawMessage{}
 	}
-	choices, err := json.Marshal([]wholeChoice{choice})
+	choices, err := json.Marshal([]completionChoice{choice})
 	if err != nil {
 		return err
 	}
-	s.first["choices"], s.first["object"] = choices, json.RawMessage(object)
+	s.firstEvent["choices"], s.firstEvent["object"] = choices, json.RawMessage(object)
 	s.w.Header().Set("Content-Type", "application/json")
 	s.w.Header().Set(headerRun, execution.Finished.String())
-	return json.NewEncoder(s.w).Encode(s.first)
+	return json.NewEncoder(s.w).Encode(s.firstEvent)
 }
 
-func (s *wholeSink) fail(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error {
-	if s.plain != nil {
-		return s.plain.fail(id, outcome, refusal)
+func (s *bufferedSink) fail(id execution.RequestID, outcome execution.Outcome, refusal execution.Refusal) error {
+	if s.passthrough != nil {
+		return s.passthrough.fail(id, outcome, refusal)
 	}
 	return writeProblem(s.w, id, outcome, refusal)
 }
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -10,7 +10,7 @@
 	"arbutusdeck/core/routing"
 )
 
-// RoutingRecord says where one request went, and why.
+// RoutingRecord describes how one request was routed, for the admin API.
 type RoutingRecord struct {
 	Request   execution.RequestID `json:"request"`
 	Time      time.Time           `json:"time"`
@@ -28,35 +28,35 @@
 
 func (r *RoutingRecord) add(reason routing.Reason) { r.Picks = append(r.Picks, reason) }
 
-// keptRoutes is the number of routes kept for operators.
-const keptRoutes = 500
+// maxRoutingRecords bounds the records that routingLog holds.
+const maxRoutingRecords = 500
 
-// routeLog is a ring of the last routes.
-type routeLog struct {
-	mu     sync.Mutex
-	routes []*RoutingRecord
-	next   int
+// routingLog is a ring buffer of the routing records of the latest finished requests.
+type routingLog struct {
+	mu      sync.Mutex
+	records []*RoutingRecord
+	next    int
 }
 
-// add takes over a route that has ended; it is not changed any more.
-func (l *routeLog) add(route *RoutingRecord) {
+// add stores the record of a finished request. The caller must not change it afterwards.
+func (l *routingLog) add(record *RoutingRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.routes) < keptRoutes {
-		l.routes = append(l.routes, route)
+	if len(l.records) < maxRoutingRecords {
+		l.records = append(l.records, record)
 		return
 	}
-	l.routes[l.next] = route
-	l.next = (l.next + 1) % keptRoutes
+	l.records[l.next] = record
+	l.next = (l.next + 1) % maxRoutingRecords
 }
 
-func (l *routeLog) list() []*RoutingRecord {
+func (l *routingLog) list() []*RoutingRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append(append([]*RoutingRecord{}, l.routes[l.next:]...), l.routes[:l.next]...)
+	return append(append([]*RoutingRecord{}, l.records[l.next:]...), l.records[:l.next]...)
 }
 
-// HallStatus is one hall with its servers.
+// HallStatus lists the servers of one hall, for the admin API.
 type HallStatus struct {
 	Hall    string   `json:"hall"`
 	Model   string   `json:"model"`
@@ -70,7 +70,7 @@
 		"loads":   func() any { return s.loadStatus() },
 		"limits":  func() any { return s.limitStatus() },
 		"halls":   func() any { return s.hallStatus() },
-		"routes":  func() any { return s.routes.list() },
+		"routes":  func() any { return s.routing.list() },
 	}
 }
 
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// tickInterval is how often probes and pauses are looked at.
+	// tickInterval is the interval of the checks for due probes and for process pauses.
 	tickInterval = 100 * time.Millisecond
-	// pauseLimit is the gap between ticks that counts as a pause.
-	pauseLimit = 2 * time.Second
+	// pauseThreshold is the gap between two ticks from which the process counts as paused.
+	pauseThreshold = 2 * time.Second
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
-	// maxProbes bounds the probes under way.
+	// maxProbes bounds the concurrent probes.
 	maxProbes = 32
-	// refreshTicks is the number of ticks between two probes of a random live
-	// server, which keep a view of servers that get no work.
+	// refreshTicks is the number of ticks between two probes of a random live server.
+	// These keep the view of idle servers fresh.
 	refreshTicks = 10
-	// firstRound is how long a starting entry waits for its first probes and for other entries.
-	firstRound = 2 * time.Second
+	// startupLimit bounds the wait of a starting entry for its first probes and for the
+	// records of the other entries.
+	startupLimit = 2 * time.Second
 )
 
 func (s *Server) tickLoop() error {
@@ -38,9 +39,9 @@
 		if configured.IsZero() && s.Store.Current() != nil {
 			configured = now
 		}
-		s.becomeReady(now, configured)
-		s.lookForPause(now)
-		s.probeDue(now, probes, count%refreshTicks == 0)
+		s.serveWhenReady(now, configured)
+		s.resetAfterPause(now)
+		s.startProbes(now, probes, count%refreshTicks == 0)
 		select {
 		case <-ticker.C:
 		case <-s.tomb.Dying():
@@ -49,23 +50,24 @@
 	}
 }
 
-// becomeReady serves once a configuration is confirmed, at least one server has answered and the
-// other entries were asked what they refuse, or the time for both is over.
-func (s *Server) becomeReady(now, configured time.Time) {
+// serveWhenReady moves a starting entry to serving. It requires a confirmed configuration,
+// and that at least one server has answered a probe and the other entries' quarantine records
+// were requested, or that startupLimit has passed.
+func (s *Server) serveWhenReady(now, configured time.Time) {
 	if s.Manager().State() != lifecycle.Starting || configured.IsZero() || !s.Loop.Ready() {
 		return
 	}
 	s.mu.Lock()
 	live := s.core.AnyLive()
 	s.mu.Unlock()
-	if live && s.met.Load() || now.Sub(configured) > firstRound {
+	if live && s.exchangedAtStart.Load() || now.Sub(configured) > startupLimit {
 		s.Manager().Serve()
 	}
 }
 
-// lookForPause drops what was believed before a pause: the load, the liveness of
-// servers and the revision have all gone on without this process.
-func (s *Server) lookForPause(now time.Time) {
+// resetAfterPause resets the known loads, the liveness of servers and the confirmed revision
+// after the process was paused: all of them may have changed meanwhile.
+func (s *Server) resetAfterPause(now time.Time) {
 	s.mu.Lock()
 	gap := s.pause.Tick(now.Round(0))
 	var changes []membership.Change
@@ -77,11 +79,11 @@
 		return
 	}
 	s.Loop.Restart()
-	s.auditMembers(changes, "process")
+	s.auditMembership(changes, "process")
 	s.AuditPause(gap)
 }
 
-func (s *Server) probeDue(now time.Time, probes *semaphore.Weighted, refresh bool) {
+func (s *Server) startProbes(now time.Time, probes *semaphore.Weighted, refresh bool) {
 	s.mu.Lock()
 	due := s.core.ProbesDue(now, refresh)
 	s.mu.Unlock()
@@ -108,10 +110,10 @@
 	defer cancel()
 	reply, err := s.Dialer.Host(address).Probe(ctx, &wire.ProbeRequest{Envelope: s.Envelope(), Hall: probe.Hall})
 	if err != nil {
-		s.failed(probe.Server, "")
+		s.recordFailure(probe.Server, "")
 		return
 	}
-	s.heard(reply.Envelope)
+	s.observeEnvelope(reply.Envelope)
 	if probe.Hall == "" || reply.Load == nil {
 		return
 	}
