--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -75,8 +75,8 @@
 	Causes map[Cause]int
 }
 
-// Account is not safe for concurrent use.
-type Account struct {
+// Report is not safe for concurrent use.
+type Report struct {
 	All      *Tally
 	ByRoute  map[string]*Tally
 	ByLength map[Length]*Tally
@@ -105,8 +105,8 @@
 }
 
 // New returns an empty account.
-func New() *Account {
-	return &Account{All: newTally(), ByRoute: map[string]*Tally{}, ByLength: map[Length]*Tally{}, Spans: map[int]*Span{}, Step: time.Second,
+func New() *Report {
+	return &Report{All: newTally(), ByRoute: map[string]*Tally{}, ByLength: map[Length]*Tally{}, Spans: map[int]*Span{}, Step: time.Second,
 		ByLink: map[float64]*Tally{}, ByLacked: map[int]*Tally{}, open: map[string]*history{}, under: map[Length]int{},
 		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
 }
@@ -143,7 +143,7 @@
 
 // Read takes in all lines of some files. Bad lines are told to report and counted;
 // progress is called now and then with the number of lines read.
-func (a *Account) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
+func (a *Report) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
 	m := &merger{report: func(bad *BadLine) {
 		a.Bad++
 		report(bad)
@@ -171,7 +171,7 @@
 	return a.finish()
 }
 
-func (a *Account) take(line *Line) error {
+func (a *Report) take(line *Line) error {
 	if err := a.spread.take(line); err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (a *Account) chosen(line *Line) {
+func (a *Report) chosen(line *Line) {
 	if h := a.open[line.Request]; h != nil {
 		a.places.left(h.line.Server)
 		h.lacked = a.places.chosen(line)
@@ -210,7 +210,7 @@
 }
 
 // longUnderWay says whether a prompt is under way that is much longer than a class.
-func (a *Account) longUnderWay(length Length) bool {
+func (a *Report) longUnderWay(length Length) bool {
 	for other, count := range a.under {
 		if count > 0 && length >= 0 && other >= length+besideFactor {
 			return true
@@ -219,7 +219,7 @@
 	return false
 }
 
-func (a *Account) ended(end *Line) error {
+func (a *Report) ended(end *Line) error {
 	h := a.open[end.Request]
 	if h == nil {
 		h = &history{line: *end}
@@ -229,14 +229,14 @@
 	return a.count(h, causeOf(h, end), end)
 }
 
-func (a *Account) forget(request string, h *history) {
+func (a *Report) forget(request string, h *history) {
 	delete(a.open, request)
 	a.places.left(h.line.Server)
 	a.under[lengthOf(h.line.Tokens)]--
 }
 
 // closeEntry ends what an entry had begun before it started anew.
-func (a *Account) closeEntry(entry string) error {
+func (a *Report) closeEntry(entry string) error {
 	for request, h := range a.open {
 		if h.line.Entry != entry {
 			continue
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func (a *Account) finish() error {
+func (a *Report) finish() error {
 	for request, h := range a.open {
 		a.forget(request, h)
 		if err := a.count(h, Unfinished, &Line{}); err != nil {
@@ -260,7 +260,7 @@
 }
 
 // count books a request that is over.
-func (a *Account) count(h *history, cause Cause, end *Line) error {
+func (a *Report) count(h *history, cause Cause, end *Line) error {
 	route := h.line.Route
 	if route == "" {
 		route = "(no route)"
@@ -295,7 +295,7 @@
 	return tallies[key]
 }
 
-func (a *Account) countSpan(began time.Time, cause Cause) {
+func (a *Report) countSpan(began time.Time, cause Cause) {
 	if a.From.IsZero() {
 		a.From = began.Truncate(time.Second)
 	}
@@ -311,7 +311,7 @@
 }
 
 // widen merges the spans in pairs.
-func (a *Account) widen() {
+func (a *Report) widen() {
 	merged := map[int]*Span{}
 	for index, span := range a.Spans {
 		half := index >> 1
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf(`{"msg":"request ended","time":%q,"name":%q,"request":%q,"route":"r","targetMs":300,"gapMs":250,%s}`, stamp(at), entry, request, rest) + "\n"
 }
 
-func read(t *testing.T, files ...string) (*Account, []*BadLine) {
+func read(t *testing.T, files ...string) (*Report, []*BadLine) {
 	t.Helper()
 	a := New()
 	var bad []*BadLine
--- a/entry/account/ends.go
+++ b/entry/account/ends.go
@@ -57,7 +57,7 @@
 }
 
 // Endings returns the requests under which most servers ended, the worst first.
-func (a *Account) Endings() []*Ending {
+func (a *Report) Endings() []*Ending {
 	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.endings)), func(e *Ending) bool { return len(e.Servers) < leastEnded })
 	slices.SortFunc(worst, func(x, y *Ending) int {
 		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), cmp.Compare(x.Fingerprint, y.Fingerprint))
--- a/entry/account/plot.go
+++ b/entry/account/plot.go
@@ -14,7 +14,7 @@
 
 // WritePlot draws, as SVG, how many requests of each moment were asked and how many were
 // lost by the most frequent causes.
-func (a *Account) WritePlot(out io.Writer) error {
+func (a *Report) WritePlot(out io.Writer) error {
 	indexes := slices.Sorted(maps.Keys(a.Spans))
 	if len(indexes) < 2 {
 		return fmt.Errorf("the plot: the logs cover %d spans of time, at least 2 are needed", len(indexes))
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -20,7 +20,7 @@
 
 // rows returns all groups: all requests, by route, by length, by the links of the entries'
 // hosts, and by what the chooser lacked.
-func (a *Account) rows() []row {
+func (a *Report) rows() []row {
 	rows := []row{{"all", "all", a.All}}
 	for _, name := range slices.Sorted(maps.Keys(a.ByRoute)) {
 		rows = append(rows, row{"route", name, a.ByRoute[name]})
@@ -46,12 +46,12 @@
 }
 
 // seen are the causes that occur.
-func (a *Account) seen() []Cause {
+func (a *Report) seen() []Cause {
 	return slices.DeleteFunc(slices.Clone(Causes), func(c Cause) bool { return a.All.Causes[c] == 0 })
 }
 
 // WriteTable writes the account for people to read.
-func (a *Account) WriteTable(out io.Writer) error {
+func (a *Report) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	print := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format, values...) }
 	print("requests\t\tasked\tin time %%\tfirst p50 ms\tp95 ms\tp99 ms\tslowdown beside long\t\n")
@@ -104,7 +104,7 @@
 	return w.Flush()
 }
 
-func (a *Account) startOf(index int) time.Time {
+func (a *Report) startOf(index int) time.Time {
 	return a.From.Add(time.Duration(index) * a.Step)
 }
 
@@ -126,7 +126,7 @@
 
 // WriteCSV writes one line for each group, span and cause: group, name, cause, requests,
 // and the median of the first event in milliseconds where it is known.
-func (a *Account) WriteCSV(out io.Writer) error {
+func (a *Report) WriteCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	records := [][]string{{"group", "name", "cause", "requests", "first p50 ms", "first p99 ms"}}
 	for _, r := range a.rows() {
@@ -147,7 +147,7 @@
 }
 
 // worst returns the causes other than in time by their number of requests.
-func (a *Account) worst() []Cause {
+func (a *Report) worst() []Cause {
 	causes := slices.DeleteFunc(a.seen(), func(c Cause) bool { return c == InTime })
 	slices.SortStableFunc(causes, func(x, y Cause) int { return cmp.Compare(a.All.Causes[y], a.All.Causes[x]) })
 	return causes
--- a/entry/account/traffic.go
+++ b/entry/account/traffic.go
@@ -72,7 +72,7 @@
 }
 
 // Traffic returns the rows by direction and kind, and the store's calls by what they read.
-func (a *Account) Traffic() ([]TrafficRow, map[string]int64) {
+func (a *Report) Traffic() ([]TrafficRow, map[string]int64) {
 	rows, calls := map[[2]string]*TrafficRow{}, map[string]int64{}
 	entries := maps.Clone(a.traffic.last)
 	for entry := range a.traffic.over {
@@ -112,7 +112,7 @@
 }
 
 // WriteTraffic writes what entries exchanged, the calls of the store, and how long changes took to reach them.
-func (a *Account) WriteTraffic(out io.Writer) error {
+func (a *Report) WriteTraffic(out io.Writer) error {
 	rows, calls := a.Traffic()
 	if len(rows) == 0 && len(calls) == 0 {
 		return nil
--- a/entry/cmd/arbutus-entry/account.go
+++ b/entry/cmd/arbutus-entry/account.go
@@ -61,7 +61,7 @@
 	return a.WriteTraffic(out)
 }
 
-func readAccount(inputs []account.Input, errs io.Writer) (*account.Account, error) {
+func readAccount(inputs []account.Input, errs io.Writer) (*account.Report, error) {
 	a := account.New()
 	report := func(bad *account.BadLine) {
 		if a.Bad <= shownBadLines {
@@ -84,7 +84,7 @@
 	return a, nil
 }
 
-func writePlot(a *account.Account, path string) error {
+func writePlot(a *account.Report, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("account: %w", err)
