--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -29,44 +29,44 @@
 	besideFactor = 3
 )
 
-// Tally is what the requests of a group got.
-type Tally struct {
-	Asked  int
+// GroupStats is what the requests of a group got.
+type GroupStats struct {
+	Requests  int
 	Causes map[Cause]int
-	// First is the times to the first event in milliseconds, of answers; Beside and
-	// Apart are the same of those that began while a much longer prompt was under way,
+	// FirstEvent is the times to the first event in milliseconds, of answers; WithLongPrompts and
+	// WithoutLongPrompts are the same of those that began while a much longer prompt was under way,
 	// and of the others.
-	First, Beside, Apart *hdrhistogram.Histogram
+	FirstEvent, WithLongPrompts, WithoutLongPrompts *hdrhistogram.Histogram
 }
 
-func newTally() *Tally {
+func newTally() *GroupStats {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMs, histogramDigits) }
-	return &Tally{Causes: map[Cause]int{}, First: histogram(), Beside: histogram(), Apart: histogram()}
+	return &GroupStats{Causes: map[Cause]int{}, FirstEvent: histogram(), WithLongPrompts: histogram(), WithoutLongPrompts: histogram()}
 }
 
-func (t *Tally) add(cause Cause, first *float64, beside bool) error {
-	t.Asked++
+func (t *GroupStats) add(cause Cause, first *float64, beside bool) error {
+	t.Requests++
 	t.Causes[cause]++
 	if first == nil {
 		return nil
 	}
 	ms := min(max(int64(*first), 1), longestMs)
-	if err := t.First.RecordValue(ms); err != nil {
+	if err := t.FirstEvent.RecordValue(ms); err != nil {
 		return err
 	}
 	if beside {
-		return t.Beside.RecordValue(ms)
+		return t.WithLongPrompts.RecordValue(ms)
 	}
-	return t.Apart.RecordValue(ms)
+	return t.WithoutLongPrompts.RecordValue(ms)
 }
 
 // Slowdown is the median time to the first event beside much longer prompts over that
 // without any; 0 where one of them is unknown.
-func (t *Tally) Slowdown() float64 {
-	if t.Beside.TotalCount() == 0 || t.Apart.TotalCount() == 0 {
+func (t *GroupStats) Slowdown() float64 {
+	if t.WithLongPrompts.TotalCount() == 0 || t.WithoutLongPrompts.TotalCount() == 0 {
 		return 0
 	}
-	return float64(t.Beside.ValueAtQuantile(50)) / float64(t.Apart.ValueAtQuantile(50))
+	return float64(t.WithLongPrompts.ValueAtQuantile(50)) / float64(t.WithoutLongPrompts.ValueAtQuantile(50))
 }
 
 // Span is what callers got whose requests began in a span of time.
@@ -77,13 +77,13 @@
 
 // Report is not safe for concurrent use.
 type Report struct {
-	All      *Tally
-	ByRoute  map[string]*Tally
-	ByLength map[Length]*Tally
+	All      *GroupStats
+	ByRoute  map[string]*GroupStats
+	ByLength map[Length]*GroupStats
 	// ByLink is by the rate of the link of the entry's host, in Mbit/s; 0 where it is not
 	// told. ByLacked is by how many requests at the first server the chooser did not know.
-	ByLink   map[float64]*Tally
-	ByLacked map[int]*Tally
+	ByLink   map[float64]*GroupStats
+	ByLacked map[int]*GroupStats
 	Pauses   Pauses
 	// Spans are by the number of Step since the first line.
 	Spans map[int]*Span
@@ -106,8 +106,8 @@
 
 // New returns an empty account.
 func New() *Report {
-	return &Report{All: newTally(), ByRoute: map[string]*Tally{}, ByLength: map[Length]*Tally{}, Spans: map[int]*Span{}, Step: time.Second,
-		ByLink: map[float64]*Tally{}, ByLacked: map[int]*Tally{}, open: map[string]*history{}, under: map[Length]int{},
+	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLength: map[Length]*GroupStats{}, Spans: map[int]*Span{}, Step: time.Second,
+		ByLink: map[float64]*GroupStats{}, ByLacked: map[int]*GroupStats{}, open: map[string]*history{}, under: map[Length]int{},
 		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
 }
 
@@ -265,7 +265,7 @@
 	if route == "" {
 		route = "(no route)"
 	}
-	tallies := []*Tally{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLength, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
+	tallies := []*GroupStats{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLength, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
 	if h.choices > 0 {
 		tallies = append(tallies, tallyOf(a.ByLacked, min(h.lacked, lackedMost)))
 	}
@@ -288,7 +288,7 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func tallyOf[K comparable](tallies map[K]*Tally, key K) *Tally {
+func tallyOf[K comparable](tallies map[K]*GroupStats, key K) *GroupStats {
 	if tallies[key] == nil {
 		tallies[key] = newTally()
 	}
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -145,7 +145,7 @@
 	for _, span := range a.Spans {
 		sum += span.Asked
 	}
-	require.Equal(t, a.All.Asked, sum)
+	require.Equal(t, a.All.Requests, sum)
 }
 
 func TestTableListAndPlot(t *testing.T) {
@@ -179,11 +179,11 @@
 		started("small", 20)+chosen(10, "small", "b", 1000, 0, "")+chosen(500, "small", "d", 400_000, 3, `"s2"`)+
 			endedLine(1030, "small", "b", fmt.Sprintf(whole, 10))+endedLine(1400, "small", "d", fmt.Sprintf(whole, 10)))
 	require.Empty(t, bad)
-	require.Equal(t, 2, a.ByLink[200].Asked)
+	require.Equal(t, 2, a.ByLink[200].Requests)
 	require.Equal(t, 1, a.ByLink[200].Causes[Pause])
-	require.Equal(t, 2, a.ByLink[20].Asked)
-	require.Equal(t, 3, a.ByLacked[0].Asked)
-	require.Equal(t, 1, a.ByLacked[1].Asked)
+	require.Equal(t, 2, a.ByLink[20].Requests)
+	require.Equal(t, 3, a.ByLacked[0].Requests)
+	require.Equal(t, 1, a.ByLacked[1].Requests)
 	require.Equal(t, Pauses{Answers: 1, ByReads: [4]int{0, 1}, Longest: []int64{200_000}}, a.Pauses)
 	var table strings.Builder
 	require.NoError(t, a.WriteTable(&table))
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -15,7 +15,7 @@
 // row is one group of requests of a table.
 type row struct {
 	group, name string
-	tally       *Tally
+	tally       *GroupStats
 }
 
 // rows returns all groups: all requests, by route, by length, by the links of the entries'
@@ -56,7 +56,7 @@
 	print := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format, values...) }
 	print("requests\t\tasked\tin time %%\tfirst p50 ms\tp95 ms\tp99 ms\tslowdown beside long\t\n")
 	for _, r := range a.rows() {
-		print("%s\t%s\t%d\t%.1f\t%s\t%s\t\n", r.group, r.name, r.tally.Asked, 100*share(r.tally.Causes[InTime], r.tally.Asked),
+		print("%s\t%s\t%d\t%.1f\t%s\t%s\t\n", r.group, r.name, r.tally.Requests, 100*share(r.tally.Causes[InTime], r.tally.Requests),
 			quantiles(r.tally), ratio(r.tally.Slowdown()))
 	}
 	print("\t\n")
@@ -110,11 +110,11 @@
 
 func share(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
 
-func quantiles(t *Tally) string {
-	if t.First.TotalCount() == 0 {
+func quantiles(t *GroupStats) string {
+	if t.FirstEvent.TotalCount() == 0 {
 		return "-\t-\t-"
 	}
-	return fmt.Sprintf("%d\t%d\t%d", t.First.ValueAtQuantile(50), t.First.ValueAtQuantile(95), t.First.ValueAtQuantile(99))
+	return fmt.Sprintf("%d\t%d\t%d", t.FirstEvent.ValueAtQuantile(50), t.FirstEvent.ValueAtQuantile(95), t.FirstEvent.ValueAtQuantile(99))
 }
 
 func ratio(value float64) string {
@@ -132,7 +132,7 @@
 	for _, r := range a.rows() {
 		for _, cause := range a.seen() {
 			records = append(records, []string{r.group, r.name, string(cause), strconv.Itoa(r.tally.Causes[cause]),
-				strconv.FormatInt(r.tally.First.ValueAtQuantile(50), 10), strconv.FormatInt(r.tally.First.ValueAtQuantile(99), 10)})
+				strconv.FormatInt(r.tally.FirstEvent.ValueAtQuantile(50), 10), strconv.FormatInt(r.tally.FirstEvent.ValueAtQuantile(99), 10)})
 		}
 	}
 	for _, index := range slices.Sorted(maps.Keys(a.Spans)) {
--- a/entry/cmd/arbutus-entry/account.go
+++ b/entry/cmd/arbutus-entry/account.go
@@ -78,7 +78,7 @@
 	if a.Dropped > 0 {
 		_, _ = fmt.Fprintf(errs, "%d requests began while too many were open and are left out\n", a.Dropped)
 	}
-	if a.All.Asked == 0 {
+	if a.All.Requests == 0 {
 		return nil, errors.New("account: no requests in the logs; give the standard output of `arbutus-entry forward`")
 	}
 	return a, nil
