--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -69,8 +69,8 @@
 	return float64(t.WithLongPrompts.ValueAtQuantile(50)) / float64(t.WithoutLongPrompts.ValueAtQuantile(50))
 }
 
-// Span is what callers got whose requests began in a span of time.
-type Span struct {
+// Bucket is what callers got whose requests began in a span of time.
+type Bucket struct {
 	Asked  int
 	Causes map[Cause]int
 }
@@ -85,10 +85,10 @@
 	ByLink   map[float64]*GroupStats
 	ByLacked map[int]*GroupStats
 	Pauses   Pauses
-	// Spans are by the number of Step since the first line.
-	Spans map[int]*Span
-	Step  time.Duration
-	From  time.Time
+	// Buckets are by the number of Step since the first line.
+	Buckets map[int]*Bucket
+	BucketWidth  time.Duration
+	Start  time.Time
 	// Bad counts the lines that could not be read.
 	Bad int
 	// Dropped counts the requests that were forgotten before they ended.
@@ -106,7 +106,7 @@
 
 // New returns an empty account.
 func New() *Report {
-	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLength: map[Length]*GroupStats{}, Spans: map[int]*Span{}, Step: time.Second,
+	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLength: map[Length]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
 		ByLink: map[float64]*GroupStats{}, ByLacked: map[int]*GroupStats{}, open: map[string]*history{}, under: map[Length]int{},
 		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
 }
@@ -296,24 +296,24 @@
 }
 
 func (a *Report) countSpan(began time.Time, cause Cause) {
-	if a.From.IsZero() {
-		a.From = began.Truncate(time.Second)
+	if a.Start.IsZero() {
+		a.Start = began.Truncate(time.Second)
 	}
-	index := int(began.Sub(a.From) / a.Step)
-	if a.Spans[index] == nil {
-		a.Spans[index] = &Span{Causes: map[Cause]int{}}
+	index := int(began.Sub(a.Start) / a.BucketWidth)
+	if a.Buckets[index] == nil {
+		a.Buckets[index] = &Bucket{Causes: map[Cause]int{}}
 	}
-	a.Spans[index].Asked++
-	a.Spans[index].Causes[cause]++
-	for len(a.Spans) > maxSpans {
+	a.Buckets[index].Asked++
+	a.Buckets[index].Causes[cause]++
+	for len(a.Buckets) > maxSpans {
 		a.widen()
 	}
 }
 
 // widen merges the spans in pairs.
 func (a *Report) widen() {
-	merged := map[int]*Span{}
-	for index, span := range a.Spans {
+	merged := map[int]*Bucket{}
+	for index, span := range a.Buckets {
 		half := index >> 1
 		if merged[half] == nil {
 			merged[half] = span
@@ -324,5 +324,5 @@
 			merged[half].Causes[cause] += count
 		}
 	}
-	a.Spans, a.Step = merged, 2*a.Step
+	a.Buckets, a.BucketWidth = merged, 2*a.BucketWidth
 }
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -139,10 +139,10 @@
 		log += chosenLine(i*1000, "e1", fmt.Sprint(i), 100, 0, 1) + endedLine(i*1000+10, "e1", fmt.Sprint(i), `"tookMs":10,"outcome":"finished","firstMs":9`)
 	}
 	a, _ := read(t, log)
-	require.LessOrEqual(t, len(a.Spans), maxSpans)
-	require.Equal(t, 8*time.Second, a.Step)
+	require.LessOrEqual(t, len(a.Buckets), maxSpans)
+	require.Equal(t, 8*time.Second, a.BucketWidth)
 	sum := 0
-	for _, span := range a.Spans {
+	for _, span := range a.Buckets {
 		sum += span.Asked
 	}
 	require.Equal(t, a.All.Requests, sum)
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -94,10 +94,10 @@
 		print("%s\t", cause)
 	}
 	print("\n")
-	for _, index := range slices.Sorted(maps.Keys(a.Spans)) {
-		print("%s\t%d\t", a.startOf(index).Format("15:04:05"), a.Spans[index].Asked)
+	for _, index := range slices.Sorted(maps.Keys(a.Buckets)) {
+		print("%s\t%d\t", a.startOf(index).Format("15:04:05"), a.Buckets[index].Asked)
 		for _, cause := range causes {
-			print("%d\t", a.Spans[index].Causes[cause])
+			print("%d\t", a.Buckets[index].Causes[cause])
 		}
 		print("\n")
 	}
@@ -105,7 +105,7 @@
 }
 
 func (a *Report) startOf(index int) time.Time {
-	return a.From.Add(time.Duration(index) * a.Step)
+	return a.Start.Add(time.Duration(index) * a.BucketWidth)
 }
 
 func share(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
@@ -135,9 +135,9 @@
 				strconv.FormatInt(r.tally.FirstEvent.ValueAtQuantile(50), 10), strconv.FormatInt(r.tally.FirstEvent.ValueAtQuantile(99), 10)})
 		}
 	}
-	for _, index := range slices.Sorted(maps.Keys(a.Spans)) {
+	for _, index := range slices.Sorted(maps.Keys(a.Buckets)) {
 		for _, cause := range a.seen() {
-			records = append(records, []string{"time", a.startOf(index).Format(time.RFC3339), string(cause), strconv.Itoa(a.Spans[index].Causes[cause]), "", ""})
+			records = append(records, []string{"time", a.startOf(index).Format(time.RFC3339), string(cause), strconv.Itoa(a.Buckets[index].Causes[cause]), "", ""})
 		}
 	}
 	if err := w.WriteAll(records); err != nil {
