--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -89,10 +89,10 @@
 	Buckets map[int]*Bucket
 	BucketWidth  time.Duration
 	Start  time.Time
-	// Bad counts the lines that could not be read.
-	Bad int
-	// Dropped counts the requests that were forgotten before they ended.
-	Dropped int
+	// BadLines counts the lines that could not be read.
+	BadLines int
+	// DroppedRequests counts the requests that were forgotten before they ended.
+	DroppedRequests int
 
 	open   map[string]*history
 	under  map[Length]int
@@ -145,7 +145,7 @@
 // progress is called now and then with the number of lines read.
 func (a *Report) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
 	m := &merger{report: func(bad *BadLine) {
-		a.Bad++
+		a.BadLines++
 		report(bad)
 	}}
 	for _, input := range inputs {
@@ -201,7 +201,7 @@
 		return
 	}
 	if len(a.open) >= maxOpen {
-		a.Dropped++
+		a.DroppedRequests++
 		return
 	}
 	length := lengthOf(line.Tokens)
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -128,7 +128,7 @@
 		at = append(at, b.Line)
 	}
 	require.Equal(t, []int{1, 3, 5, 7}, at)
-	require.Equal(t, 4, a.Bad)
+	require.Equal(t, 4, a.BadLines)
 	require.Contains(t, bad[0].Error(), "log0:1: ")
 }
 
--- a/entry/cmd/arbutus-entry/account.go
+++ b/entry/cmd/arbutus-entry/account.go
@@ -64,7 +64,7 @@
 func readAccount(inputs []account.Input, errs io.Writer) (*account.Report, error) {
 	a := account.New()
 	report := func(bad *account.BadLine) {
-		if a.Bad <= shownBadLines {
+		if a.BadLines <= shownBadLines {
 			_, _ = fmt.Fprintln(errs, bad)
 		}
 	}
@@ -72,11 +72,11 @@
 	if err := a.Read(inputs, report, progress); err != nil {
 		return nil, fmt.Errorf("account: %w", err)
 	}
-	if a.Bad > 0 {
-		_, _ = fmt.Fprintf(errs, "%d lines could not be read and are left out\n", a.Bad)
+	if a.BadLines > 0 {
+		_, _ = fmt.Fprintf(errs, "%d lines could not be read and are left out\n", a.BadLines)
 	}
-	if a.Dropped > 0 {
-		_, _ = fmt.Fprintf(errs, "%d requests began while too many were open and are left out\n", a.Dropped)
+	if a.DroppedRequests > 0 {
+		_, _ = fmt.Fprintf(errs, "%d requests began while too many were open and are left out\n", a.DroppedRequests)
 	}
 	if a.All.Requests == 0 {
 		return nil, errors.New("account: no requests in the logs; give the standard output of `arbutus-entry forward`")
