--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -83,7 +83,7 @@
 	// ByLink is by the rate of the link of the entry's host, in Mbit/s; 0 where it is not
 	// told. ByLacked is by how many requests at the first server the chooser did not know.
 	ByLink   map[float64]*GroupStats
-	ByLacked map[int]*GroupStats
+	ByUnseen map[int]*GroupStats
 	Pauses   Pauses
 	// Buckets are by the number of Step since the first line.
 	Buckets map[int]*Bucket
@@ -107,7 +107,7 @@
 // New returns an empty account.
 func New() *Report {
 	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLength: map[Length]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
-		ByLink: map[float64]*GroupStats{}, ByLacked: map[int]*GroupStats{}, open: map[string]*history{}, under: map[Length]int{},
+		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, open: map[string]*history{}, under: map[Length]int{},
 		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
 }
 
@@ -267,7 +267,7 @@
 	}
 	tallies := []*GroupStats{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLength, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
 	if h.choices > 0 {
-		tallies = append(tallies, tallyOf(a.ByLacked, min(h.lacked, lackedMost)))
+		tallies = append(tallies, tallyOf(a.ByUnseen, min(h.lacked, lackedMost)))
 	}
 	if cause == Pause && end.FirstMs != nil {
 		from := end.Time.Add(-millis(end.TookMs - *end.FirstMs))
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -31,8 +31,8 @@
 	for _, link := range slices.Sorted(maps.Keys(a.ByLink)) {
 		rows = append(rows, row{"link", fmt.Sprintf("%g Mbit/s", link), a.ByLink[link]})
 	}
-	for _, lacked := range slices.Sorted(maps.Keys(a.ByLacked)) {
-		rows = append(rows, row{"lacked", lackedName(lacked), a.ByLacked[lacked]})
+	for _, lacked := range slices.Sorted(maps.Keys(a.ByUnseen)) {
+		rows = append(rows, row{"lacked", lackedName(lacked), a.ByUnseen[lacked]})
 	}
 	return rows
 }
