--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -79,7 +79,7 @@
 type Report struct {
 	All      *GroupStats
 	ByRoute  map[string]*GroupStats
-	ByLength map[Length]*GroupStats
+	ByLengthClass map[LengthClass]*GroupStats
 	// ByLink is by the rate of the link of the entry's host, in Mbit/s; 0 where it is not
 	// told. ByLacked is by how many requests at the first server the chooser did not know.
 	ByLink   map[float64]*GroupStats
@@ -95,7 +95,7 @@
 	DroppedRequests int
 
 	open   map[string]*history
-	under  map[Length]int
+	under  map[LengthClass]int
 	links  map[string]float64
 	places places
 	// endings are the requests under which servers ended.
@@ -106,26 +106,26 @@
 
 // New returns an empty account.
 func New() *Report {
-	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLength: map[Length]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
-		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, open: map[string]*history{}, under: map[Length]int{},
+	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLengthClass: map[LengthClass]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
+		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, open: map[string]*history{}, under: map[LengthClass]int{},
 		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
 }
 
-// Length is a class of prompts: those of up to 1,000 tokens times two to its power; -1
+// LengthClass is a class of prompts: those of up to 1,000 tokens times two to its power; -1
 // for requests without a prompt.
-type Length int
+type LengthClass int
 
 const tokensUnit = 1000
 
-func lengthOf(tokens int64) Length {
+func lengthOf(tokens int64) LengthClass {
 	if tokens <= 0 {
 		return -1
 	}
-	return Length(bits.Len64(uint64((tokens - 1) / tokensUnit)))
+	return LengthClass(bits.Len64(uint64((tokens - 1) / tokensUnit)))
 }
 
 // String names the class by its longest prompts.
-func (l Length) String() string {
+func (l LengthClass) String() string {
 	if l < 0 {
 		return "no prompt"
 	}
@@ -210,7 +210,7 @@
 }
 
 // longUnderWay says whether a prompt is under way that is much longer than a class.
-func (a *Report) longUnderWay(length Length) bool {
+func (a *Report) longUnderWay(length LengthClass) bool {
 	for other, count := range a.under {
 		if count > 0 && length >= 0 && other >= length+besideFactor {
 			return true
@@ -265,7 +265,7 @@
 	if route == "" {
 		route = "(no route)"
 	}
-	tallies := []*GroupStats{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLength, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
+	tallies := []*GroupStats{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLengthClass, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
 	if h.choices > 0 {
 		tallies = append(tallies, tallyOf(a.ByUnseen, min(h.lacked, lackedMost)))
 	}
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -97,8 +97,8 @@
 		second += endedLine(at+500, "e2", fmt.Sprint("s", i), fmt.Sprintf(`"tookMs":500,"outcome":"finished","firstMs":%d`, ms))
 	}
 	a, _ := read(t, first, sortLines(second))
-	require.InDelta(t, 2, a.ByLength[lengthOf(5000)].Slowdown(), 0.05)
-	require.Zero(t, a.ByLength[lengthOf(150_000)].Slowdown())
+	require.InDelta(t, 2, a.ByLengthClass[lengthOf(5000)].Slowdown(), 0.05)
+	require.Zero(t, a.ByLengthClass[lengthOf(150_000)].Slowdown())
 }
 
 // sortLines puts lines in the order of their times, as a daemon writes them.
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -25,8 +25,8 @@
 	for _, name := range slices.Sorted(maps.Keys(a.ByRoute)) {
 		rows = append(rows, row{"route", name, a.ByRoute[name]})
 	}
-	for _, length := range slices.Sorted(maps.Keys(a.ByLength)) {
-		rows = append(rows, row{"prompt", length.String(), a.ByLength[length]})
+	for _, length := range slices.Sorted(maps.Keys(a.ByLengthClass)) {
+		rows = append(rows, row{"prompt", length.String(), a.ByLengthClass[length]})
 	}
 	for _, link := range slices.Sorted(maps.Keys(a.ByLink)) {
 		rows = append(rows, row{"link", fmt.Sprintf("%g Mbit/s", link), a.ByLink[link]})
