--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -84,7 +84,7 @@
 	// told. ByLacked is by how many requests at the first server the chooser did not know.
 	ByLink   map[float64]*GroupStats
 	ByUnseen map[int]*GroupStats
-	Pauses   Pauses
+	Pauses   PauseStats
 	// Buckets are by the number of Step since the first line.
 	Buckets map[int]*Bucket
 	BucketWidth  time.Duration
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -184,7 +184,7 @@
 	require.Equal(t, 2, a.ByLink[20].Requests)
 	require.Equal(t, 3, a.ByUnseen[0].Requests)
 	require.Equal(t, 1, a.ByUnseen[1].Requests)
-	require.Equal(t, Pauses{Answers: 1, ByReads: [4]int{0, 1}, Longest: []int64{200_000}}, a.Pauses)
+	require.Equal(t, PauseStats{Answers: 1, ByPrefills: [4]int{0, 1}, LongestPrefills: []int64{200_000}}, a.Pauses)
 	var table strings.Builder
 	require.NoError(t, a.WriteTable(&table))
 	require.Contains(t, table.String(), "20 Mbit/s")
--- a/entry/account/beside.go
+++ b/entry/account/beside.go
@@ -35,36 +35,36 @@
 	p.reads = append(p.reads, r)
 }
 
-// Pauses tells what was read at the servers of the answers that paused for too long, while
+// PauseStats tells what was read at the servers of the answers that paused for too long, while
 // they were written.
-type Pauses struct {
+type PauseStats struct {
 	// Answers paused for too long; ByReads divides them by how many reads of other prompts
 	// began there meanwhile, up to lackedMost.
 	Answers int
-	ByReads [lackedMost + 1]int
-	// Longest are those reads' tokens, the longest of each answer.
-	Longest []int64
+	ByPrefills [lackedMost + 1]int
+	// LongestPrefills are those reads' tokens, the longest of each answer.
+	LongestPrefills []int64
 }
 
 // maxLongest bounds Longest.
 const maxLongest = 10_000
 
-func (p *Pauses) add(reads []serverRead) {
+func (p *PauseStats) add(reads []serverRead) {
 	p.Answers++
-	p.ByReads[min(len(reads), lackedMost)]++
-	if len(reads) == 0 || len(p.Longest) >= maxLongest {
+	p.ByPrefills[min(len(reads), lackedMost)]++
+	if len(reads) == 0 || len(p.LongestPrefills) >= maxLongest {
 		return
 	}
 	longest := slices.MaxFunc(reads, func(a, b serverRead) int { return int(a.tokens - b.tokens) })
-	p.Longest = append(p.Longest, longest.tokens)
+	p.LongestPrefills = append(p.LongestPrefills, longest.tokens)
 }
 
-// MedianLongest is the median of Longest; 0 without any.
-func (p *Pauses) MedianLongest() int64 {
-	if len(p.Longest) == 0 {
+// MedianLongestPrefill is the median of Longest; 0 without any.
+func (p *PauseStats) MedianLongestPrefill() int64 {
+	if len(p.LongestPrefills) == 0 {
 		return 0
 	}
-	ordered := slices.Sorted(slices.Values(p.Longest))
+	ordered := slices.Sorted(slices.Values(p.LongestPrefills))
 	return ordered[len(ordered)/2]
 }
 
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -74,14 +74,14 @@
 		print("\n")
 	}
 	print("\t\npaused answers\treads of others there meanwhile\t")
-	for reads := range a.Pauses.ByReads {
+	for reads := range a.Pauses.ByPrefills {
 		print("%s\t", lackedName(reads))
 	}
 	print("longest, median tokens\t\n%d\t\t", a.Pauses.Answers)
-	for _, count := range a.Pauses.ByReads {
+	for _, count := range a.Pauses.ByPrefills {
 		print("%d\t", count)
 	}
-	print("%d\t\n", a.Pauses.MedianLongest())
+	print("%d\t\n", a.Pauses.MedianLongestPrefill())
 	if endings := a.Endings(); len(endings) > 0 {
 		print("\t\nrequest under which servers ended\tservers\tof them before its first event\tattempts\tentries\tfrom\tto\t\n")
 		for _, e := range endings {
