--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -242,7 +242,7 @@
 			continue
 		}
 		a.forget(request, h)
-		if err := a.count(h, EntryGone, &Line{}); err != nil {
+		if err := a.count(h, EntryTerminated, &Line{}); err != nil {
 			return err
 		}
 	}
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -49,10 +49,10 @@
 		{InTime, 0, 100, 1, whole + `"firstMs":200,"longestGapMs":100`},
 		{PredictedLate, 0, 400, 1, whole + `"firstMs":500,"longestGapMs":100`},
 		{PredictedInTime, 0, 200, 1, whole + `"firstMs":500,"longestGapMs":100`},
-		{Waited, 200, 200, 1, whole + `"firstMs":500,"longestGapMs":100`},
+		{WaitedAtEntry, 200, 200, 1, whole + `"firstMs":500,"longestGapMs":100`},
 		{Pause, 0, 200, 1, whole + `"firstMs":200,"longestGapMs":251`},
-		{AnotherTry, 0, 200, 2, whole + `"firstMs":500,"longestGapMs":1`},
-		{AnotherTry, 0, 200, 2, whole + `"firstMs":200,"longestGapMs":1500`},
+		{Retried, 0, 200, 2, whole + `"firstMs":500,"longestGapMs":1`},
+		{Retried, 0, 200, 2, whole + `"firstMs":200,"longestGapMs":1500`},
 		{RefusedStopping, 0, 0, 0, `"code":"stopping","outcome":"notRun"`},
 		{RefusedQueue, 0, 0, 0, `"code":"queue_full","outcome":"notRun"`},
 		{RefusedInfeasible, 0, 0, 0, `"code":"deadline_infeasible","outcome":"notRun"`},
@@ -62,8 +62,8 @@
 		{TimedOut, 0, 100, 1, `"code":"route_timeout","outcome":"unknown"`},
 		{ServerFailed, 0, 100, 1, `"code":"connection_lost","outcome":"unknown"`},
 		{ServerFailed, 0, 100, 1, `"code":"engine_failed","outcome":"failed","firstMs":20`},
-		{EntryGone, 0, 100, 1, `"code":"stopping","outcome":"unknown","firstMs":20`},
-		{CallerGone, 0, 100, 1, `"code":"caller_gone","outcome":"unknown"`},
+		{EntryTerminated, 0, 100, 1, `"code":"stopping","outcome":"unknown","firstMs":20`},
+		{CallerDisconnected, 0, 100, 1, `"code":"caller_gone","outcome":"unknown"`},
 	} {
 		log := ""
 		for range c.choices {
@@ -80,7 +80,7 @@
 func TestWhatAKilledEntryHadBegunIsCounted(t *testing.T) {
 	a, _ := read(t, chosenLine(0, "e1", "a", 5000, 0, 100)+`{"msg":"started","time":"`+stamp(900)+`","name":"e1"}`+"\n"+chosenLine(1000, "e1", "b", 5000, 0, 100),
 		chosenLine(10, "e2", "c", 5000, 0, 100)+endedLine(1500, "e2", "c", `"tookMs":1490,"outcome":"finished","firstMs":100`))
-	require.Equal(t, map[Cause]int{EntryGone: 1, Unfinished: 1, InTime: 1}, a.All.Causes)
+	require.Equal(t, map[Cause]int{EntryTerminated: 1, Unfinished: 1, InTime: 1}, a.All.Causes)
 }
 
 // Short prompts that begin at one entry while a long one is under way at another are told
--- a/entry/account/cause.go
+++ b/entry/account/cause.go
@@ -16,12 +16,12 @@
 	PredictedLate Cause = "predicted late"
 	// PredictedInTime: it was late though predicted to be in time.
 	PredictedInTime Cause = "predicted in time"
-	// Waited: it would have been in time but for the wait at the entry.
-	Waited Cause = "waited at the entry"
+	// WaitedAtEntry: it would have been in time but for the wait at the entry.
+	WaitedAtEntry Cause = "waited at the entry"
 	// Pause: the first event was in time, a pause between two events too long.
 	Pause Cause = "pause"
-	// AnotherTry: it was late, and the first try had failed.
-	AnotherTry Cause = "another try"
+	// Retried: it was late, and the first try had failed.
+	Retried Cause = "another try"
 	// RefusedStopping and the following: refused by the entry, and not run.
 	RefusedStopping      Cause = "refused: stopping"
 	RefusedConfiguration Cause = "refused: no configuration"
@@ -36,17 +36,17 @@
 	TimedOut Cause = "timed out"
 	// ServerFailed: servers failed or broke off, and no further try was left.
 	ServerFailed Cause = "server failed"
-	// EntryGone: the entry ended before the request did, or had to end it at the limit of its stop.
-	EntryGone Cause = "entry gone"
-	// CallerGone: the caller left.
-	CallerGone Cause = "caller gone"
+	// EntryTerminated: the entry ended before the request did, or had to end it at the limit of its stop.
+	EntryTerminated Cause = "entry gone"
+	// CallerDisconnected: the caller left.
+	CallerDisconnected Cause = "caller gone"
 	// Unfinished: the logs end before the request does.
 	Unfinished Cause = "not ended in the logs"
 )
 
 // Causes are all causes, in the order of tables.
-var Causes = []Cause{InTime, PredictedLate, PredictedInTime, Waited, Pause, AnotherTry, RefusedStopping, RefusedConfiguration, RefusedQueue,
-	RefusedInfeasible, RefusedNoServer, RefusedQuarantined, RefusedOther, Denied, TimedOut, ServerFailed, EntryGone, CallerGone, Unfinished}
+var Causes = []Cause{InTime, PredictedLate, PredictedInTime, WaitedAtEntry, Pause, Retried, RefusedStopping, RefusedConfiguration, RefusedQueue,
+	RefusedInfeasible, RefusedNoServer, RefusedQuarantined, RefusedOther, Denied, TimedOut, ServerFailed, EntryTerminated, CallerDisconnected, Unfinished}
 
 // refusals are the causes of refusals by their codes.
 var refusals = map[execution.Code]Cause{
@@ -77,7 +77,7 @@
 func causeOf(h *history, end *Line) Cause {
 	switch {
 	case end.Code == execution.CodeCallerGone:
-		return CallerGone
+		return CallerDisconnected
 	case end.Code == gateway.CodeTimeout:
 		return TimedOut
 	case end.Code != "" && end.Outcome == execution.NotRun.String():
@@ -86,7 +86,7 @@
 		}
 		return RefusedOther
 	case end.Code == gateway.CodeStopping:
-		return EntryGone
+		return EntryTerminated
 	case end.Code != "" || end.FirstMs == nil:
 		return ServerFailed
 	case *end.FirstMs > end.TargetMs:
@@ -99,7 +99,7 @@
 
 func pauseCause(h *history) Cause {
 	if h.choices > 1 {
-		return AnotherTry
+		return Retried
 	}
 	return Pause
 }
@@ -108,11 +108,11 @@
 func causeOfLate(h *history, end *Line) Cause {
 	switch {
 	case h.choices > 1:
-		return AnotherTry
+		return Retried
 	case h.line.PredictedMs > end.TargetMs:
 		return PredictedLate
 	case h.line.WaitedMs+h.line.PredictedMs > end.TargetMs:
-		return Waited
+		return WaitedAtEntry
 	}
 	return PredictedInTime
 }
