--- a/entry/account/ends.go
+++ b/entry/account/ends.go
@@ -18,20 +18,20 @@
 	leastEnded   = 2
 )
 
-// Ending is what is known of one request, in all its attempts and at all entries, under which
+// SuspectRequest is what is known of one request, in all its attempts and at all entries, under which
 // servers ended.
-type Ending struct {
+type SuspectRequest struct {
 	// Fingerprint names the request in all its attempts.
 	Fingerprint string
-	// Servers ended under it, Before of them before its first event there.
-	Servers, Before map[string]bool
-	// Attempts and Entries are those in which it came.
-	Attempts, Entries map[string]bool
-	From, To          time.Time
+	// CrashedServers ended under it, CrashedBeforeFirstEvent of them before its first event there.
+	CrashedServers, CrashedBeforeFirstEvent map[string]bool
+	// RequestIDs and Entries are those in which it came.
+	RequestIDs, Entries map[string]bool
+	FirstCrash, LastCrash          time.Time
 }
 
 // endings are the requests under which servers ended, by fingerprint.
-type endings map[string]*Ending
+type endings map[string]*SuspectRequest
 
 // tried takes in how a try ended.
 func (e endings) tried(line *Line) {
@@ -43,24 +43,24 @@
 		if len(e) >= maxEndings {
 			return
 		}
-		known = &Ending{Fingerprint: line.Fingerprint, Servers: map[string]bool{}, Before: map[string]bool{}, Attempts: map[string]bool{},
-			Entries: map[string]bool{}, From: line.Time}
+		known = &SuspectRequest{Fingerprint: line.Fingerprint, CrashedServers: map[string]bool{}, CrashedBeforeFirstEvent: map[string]bool{}, RequestIDs: map[string]bool{},
+			Entries: map[string]bool{}, FirstCrash: line.Time}
 		e[line.Fingerprint] = known
 	}
-	known.Servers[line.Server] = true
+	known.CrashedServers[line.Server] = true
 	if line.AnswerMs == nil {
-		known.Before[line.Server] = true
+		known.CrashedBeforeFirstEvent[line.Server] = true
 	}
-	known.Attempts[line.Request] = true
+	known.RequestIDs[line.Request] = true
 	known.Entries[line.Entry] = true
-	known.To = line.Time
+	known.LastCrash = line.Time
 }
 
-// Endings returns the requests under which most servers ended, the worst first.
-func (a *Report) Endings() []*Ending {
-	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.endings)), func(e *Ending) bool { return len(e.Servers) < leastEnded })
-	slices.SortFunc(worst, func(x, y *Ending) int {
-		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), cmp.Compare(x.Fingerprint, y.Fingerprint))
+// SuspectRequests returns the requests under which most servers ended, the worst first.
+func (a *Report) SuspectRequests() []*SuspectRequest {
+	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.endings)), func(e *SuspectRequest) bool { return len(e.CrashedServers) < leastEnded })
+	slices.SortFunc(worst, func(x, y *SuspectRequest) int {
+		return cmp.Or(cmp.Compare(len(y.CrashedServers), len(x.CrashedServers)), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
 	return worst[:min(len(worst), shownEndings)]
 }
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -82,11 +82,11 @@
 		print("%d\t", count)
 	}
 	print("%d\t\n", a.Pauses.MedianLongestPrefill())
-	if endings := a.Endings(); len(endings) > 0 {
+	if endings := a.SuspectRequests(); len(endings) > 0 {
 		print("\t\nrequest under which servers ended\tservers\tof them before its first event\tattempts\tentries\tfrom\tto\t\n")
 		for _, e := range endings {
-			print("%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", e.Fingerprint, len(e.Servers), len(e.Before), len(e.Attempts), len(e.Entries),
-				e.From.Format(time.TimeOnly), e.To.Format(time.TimeOnly))
+			print("%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", e.Fingerprint, len(e.CrashedServers), len(e.CrashedBeforeFirstEvent), len(e.RequestIDs), len(e.Entries),
+				e.FirstCrash.Format(time.TimeOnly), e.LastCrash.Format(time.TimeOnly))
 		}
 	}
 	print("\t\nfrom\tasked\t")
