--- a/entry/account/lines.go
+++ b/entry/account/lines.go
@@ -48,7 +48,7 @@
 	ServerEnded bool     `json:"serverEnded"`
 	AnswerMs    *float64 `json:"answerMs"`
 	// Exchanged and StoreCalls are what an entry has counted since its start.
-	Exchanged  Exchanged        `json:"exchanged"`
+	Exchanged  MessageCounts        `json:"exchanged"`
 	StoreCalls map[string]int64 `json:"storeCalls"`
 	// To is the new state of the entry, a server or a zone, Version that of a configuration, Revision
 	// that of the store.
--- a/entry/account/traffic.go
+++ b/entry/account/traffic.go
@@ -8,21 +8,21 @@
 	"text/tabwriter"
 )
 
-// Exchanged is what an entry tells of its messages: by direction and kind, messages and bytes.
-type Exchanged map[string]map[string][2]int64
+// MessageCounts is what an entry tells of its messages: by direction and kind, messages and bytes.
+type MessageCounts map[string]map[string][2]int64
 
 // traffic sums what entries tell of their exchange. Each tells what it has counted since its start; a restarted one
 // begins anew.
 type traffic struct {
-	last  map[string]Exchanged
+	last  map[string]MessageCounts
 	calls map[string]map[string]int64
 	// over are the sums of starts that are over, by entry.
-	over      map[string]Exchanged
+	over      map[string]MessageCounts
 	callsOver map[string]map[string]int64
 }
 
 func newTraffic() traffic {
-	return traffic{last: map[string]Exchanged{}, calls: map[string]map[string]int64{}, over: map[string]Exchanged{}, callsOver: map[string]map[string]int64{}}
+	return traffic{last: map[string]MessageCounts{}, calls: map[string]map[string]int64{}, over: map[string]MessageCounts{}, callsOver: map[string]map[string]int64{}}
 }
 
 func (t *traffic) told(line *Line) {
@@ -37,9 +37,9 @@
 	delete(t.calls, entry)
 }
 
-func addExchanged(sum, more Exchanged) Exchanged {
+func addExchanged(sum, more MessageCounts) MessageCounts {
 	if sum == nil {
-		sum = Exchanged{}
+		sum = MessageCounts{}
 	}
 	for way, kinds := range more {
 		if sum[way] == nil {
@@ -65,10 +65,10 @@
 
 // TrafficRow is what all entries exchanged of a kind in a direction, and the most that one of them did.
 type TrafficRow struct {
-	Way, Kind       string
+	Direction, Kind       string
 	Messages, Bytes int64
-	MostBytes       int64
-	MostEntry       string
+	MaxBytes       int64
+	MaxEntry       string
 }
 
 // Traffic returns the rows by direction and kind, and the store's calls by what they read.
@@ -77,7 +77,7 @@
 	entries := maps.Clone(a.traffic.last)
 	for entry := range a.traffic.over {
 		if entries[entry] == nil {
-			entries[entry] = Exchanged{}
+			entries[entry] = MessageCounts{}
 		}
 	}
 	for _, entry := range slices.Sorted(maps.Keys(entries)) {
@@ -86,7 +86,7 @@
 			for kind, counts := range kinds {
 				key := [2]string{way, kind}
 				if rows[key] == nil {
-					rows[key] = &TrafficRow{Way: way, Kind: kind}
+					rows[key] = &TrafficRow{Direction: way, Kind: kind}
 				}
 				rows[key].add(entry, counts)
 			}
@@ -98,7 +98,7 @@
 		sorted = append(sorted, *row)
 	}
 	slices.SortFunc(sorted, func(x, y TrafficRow) int {
-		return slices.Compare([]string{x.Way, x.Kind}, []string{y.Way, y.Kind})
+		return slices.Compare([]string{x.Direction, x.Kind}, []string{y.Direction, y.Kind})
 	})
 	return sorted, calls
 }
@@ -106,8 +106,8 @@
 func (r *TrafficRow) add(entry string, counts [2]int64) {
 	r.Messages += counts[0]
 	r.Bytes += counts[1]
-	if counts[1] > r.MostBytes {
-		r.MostBytes, r.MostEntry = counts[1], entry
+	if counts[1] > r.MaxBytes {
+		r.MaxBytes, r.MaxEntry = counts[1], entry
 	}
 }
 
@@ -121,7 +121,7 @@
 	print := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format, values...) }
 	print("\t\nexchange\tkind\tmessages\tMB\tmost of an entry, MB\tentry\t\n")
 	for _, row := range rows {
-		print("%s\t%s\t%d\t%.3f\t%.3f\t%s\t\n", row.Way, row.Kind, row.Messages, megabytes(row.Bytes), megabytes(row.MostBytes), row.MostEntry)
+		print("%s\t%s\t%d\t%.3f\t%.3f\t%s\t\n", row.Direction, row.Kind, row.Messages, megabytes(row.Bytes), megabytes(row.MaxBytes), row.MaxEntry)
 	}
 	print("\t\ncalls of the store\tcalls\t\n")
 	for _, call := range slices.Sorted(maps.Keys(calls)) {
--- a/entry/account/traffic_test.go
+++ b/entry/account/traffic_test.go
@@ -24,7 +24,7 @@
 			line(30, "e1", messageStarted, `"linkMbps":20`)+line(40, "e1", messageExchange, told(2, 200, 1)),
 		line(15, "e2", messageExchange, told(10, 1000, 5)))
 	rows, calls := a.Traffic()
-	require.Equal(t, []TrafficRow{{Way: "sent.far", Kind: "heartbeat", Messages: 15, Bytes: 1500, MostBytes: 1000, MostEntry: "e2"}}, rows)
+	require.Equal(t, []TrafficRow{{Direction: "sent.far", Kind: "heartbeat", Messages: 15, Bytes: 1500, MaxBytes: 1000, MaxEntry: "e2"}}, rows)
 	require.Equal(t, map[string]int64{"watch": 8}, calls)
 	var out bytes.Buffer
 	require.NoError(t, a.WriteTraffic(&out))
