--- a/entry/account/lines.go
+++ b/entry/account/lines.go
@@ -52,22 +52,22 @@
 	StoreCalls map[string]int64 `json:"storeCalls"`
 	// To is the new state of the entry, a server or a zone, Version that of a configuration, Revision
 	// that of the store.
-	To       Word   `json:"to"`
+	To       StateName   `json:"to"`
 	Zone     string `json:"zone"`
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
 }
 
-// Word is a field that some lines give a word and others a list, which counts as none.
-type Word string
+// StateName is a field that some lines give a word and others a list, which counts as none.
+type StateName string
 
 // UnmarshalJSON reads a word.
-func (w *Word) UnmarshalJSON(data []byte) error {
+func (w *StateName) UnmarshalJSON(data []byte) error {
 	var word string
 	if err := json.Unmarshal(data, &word); err != nil {
 		word = ""
 	}
-	*w = Word(word)
+	*w = StateName(word)
 	return nil
 }
 
