--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -1,7 +1,7 @@
-// Package account reads the log lines of entries and tells what callers got: against
-// each route's target, pause and time, by length of prompt, by route and by second, with
-// one cause for each request that was not served in time. Its memory is bounded, however
-// long the logs are.
+// Package account implements the account command: it analyses the log lines of entries and
+// reports how requests were served against the targets, pauses and timeouts of their routes:
+// by prompt length, by route and over time, with one cause for each request that was not
+// served in time. Its memory is bounded, however long the logs are.
 package account
 
 import (
@@ -13,34 +13,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what is kept.
+// Bounds of the memory and precision of a report.
 const (
-	// maxOpen bounds the requests that have begun and not ended. An entry that was
-	// killed never ends its requests; its next start does.
-	maxOpen = 200_000
-	// maxSpans bounds the rows by time; beyond it rows are merged in pairs.
-	maxSpans = 240
-	// longestMs is the longest time that histograms tell apart.
-	longestMs = 600_000
-	// histogramDigits is their precision: two decimal digits.
+	// maxOpenRequests bounds the requests that have begun and not ended. The requests of a
+	// killed entry stay open until its next start.
+	maxOpenRequests = 200_000
+	// maxBuckets bounds the time buckets; beyond it they are merged in pairs.
+	maxBuckets = 240
+	// maxHistogramMs is the largest value of the histograms; larger ones are recorded as it.
+	maxHistogramMs = 600_000
+	// histogramDigits is the precision of the histograms in significant decimal digits.
 	histogramDigits = 2
-	// besideFactor is how many doublings longer a prompt is that counts as one
-	// beside which others may be slowed down: at least eight times.
-	besideFactor = 3
+	// muchLongerDoublings is the distance in length classes from which an open prompt counts
+	// as much longer than another one, which it may slow down: three doublings, some eight
+	// times the length.
+	muchLongerDoublings = 3
 )
 
-// GroupStats is what the requests of a group got.
+// GroupStats holds the statistics of one group of requests.
 type GroupStats struct {
-	Requests  int
-	Causes map[Cause]int
-	// FirstEvent is the times to the first event in milliseconds, of answers; WithLongPrompts and
-	// WithoutLongPrompts are the same of those that began while a much longer prompt was under way,
-	// and of the others.
+	Requests int
+	Causes   map[Cause]int
+	// FirstEvent holds the times to the first event of responses, in milliseconds.
+	// WithLongPrompts holds those of requests that began while a much longer prompt was open,
+	// WithoutLongPrompts those of all others.
 	FirstEvent, WithLongPrompts, WithoutLongPrompts *hdrhistogram.Histogram
 }
 
-func newTally() *GroupStats {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMs, histogramDigits) }
+func newGroupStats() *GroupStats {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMs, histogramDigits) }
 	return &GroupStats{Causes: map[Cause]int{}, FirstEvent: histogram(), WithLongPrompts: histogram(), WithoutLongPrompts: histogram()}
 }
 
@@ -50,7 +51,7 @@
 	if first == nil {
 		return nil
 	}
-	ms := min(max(int64(*first), 1), longestMs)
+	ms := min(max(int64(*first), 1), maxHistogramMs)
 	if err := t.FirstEvent.RecordValue(ms); err != nil {
 		return err
 	}
@@ -60,8 +61,8 @@
 	return t.WithoutLongPrompts.RecordValue(ms)
 }
 
-// Slowdown is the median time to the first event beside much longer prompts over that
-// without any; 0 where one of them is unknown.
+// Slowdown returns the ratio of the median times to the first event with and without much
+// longer open prompts; 0 if one of them is unknown.
 func (t *GroupStats) Slowdown() float64 {
 	if t.WithLongPrompts.TotalCount() == 0 || t.WithoutLongPrompts.TotalCount() == 0 {
 		return 0
@@ -69,62 +70,63 @@
 	return float64(t.WithLongPrompts.ValueAtQuantile(50)) / float64(t.WithoutLongPrompts.ValueAtQuantile(50))
 }
 
-// Bucket is what callers got whose requests began in a span of time.
+// Bucket counts the requests that began in one interval of time.
 type Bucket struct {
 	Asked  int
 	Causes map[Cause]int
 }
 
-// Report is not safe for concurrent use.
+// Report holds the statistics of all log lines read. It is not safe for concurrent use.
 type Report struct {
-	All      *GroupStats
-	ByRoute  map[string]*GroupStats
+	All           *GroupStats
+	ByRoute       map[string]*GroupStats
 	ByLengthClass map[LengthClass]*GroupStats
-	// ByLink is by the rate of the link of the entry's host, in Mbit/s; 0 where it is not
-	// told. ByLacked is by how many requests at the first server the chooser did not know.
+	// ByLink groups by the link rate of the entry's host in Mbit/s; 0 if it is unknown.
+	// ByUnseen groups by the number of unseen requests: those that ran at the chosen server
+	// but were missing from the load table of the entry that chose it.
 	ByLink   map[float64]*GroupStats
 	ByUnseen map[int]*GroupStats
 	Pauses   PauseStats
-	// Buckets are by the number of Step since the first line.
-	Buckets map[int]*Bucket
-	BucketWidth  time.Duration
-	Start  time.Time
+	// Buckets are keyed by the number of whole BucketWidths since Start.
+	Buckets     map[int]*Bucket
+	BucketWidth time.Duration
+	Start       time.Time
 	// BadLines counts the lines that could not be read.
 	BadLines int
-	// DroppedRequests counts the requests that were forgotten before they ended.
+	// DroppedRequests counts the requests that began while maxOpenRequests were open.
 	DroppedRequests int
 
-	open   map[string]*history
-	under  map[LengthClass]int
-	links  map[string]float64
-	places places
-	// endings are the requests under which servers ended.
-	endings endings
-	traffic traffic
-	spread  spread
+	openRequests      map[string]*openRequest
+	openByLengthClass map[LengthClass]int
+	linkMbps          map[string]float64
+	servers           activityByServer
+	// suspects are the requests under which servers crashed.
+	suspects    suspectsByFingerprint
+	traffic     traffic
+	propagation propagation
 }
 
-// New returns an empty account.
+// New returns an empty report.
 func New() *Report {
-	return &Report{All: newTally(), ByRoute: map[string]*GroupStats{}, ByLengthClass: map[LengthClass]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
-		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, open: map[string]*history{}, under: map[LengthClass]int{},
-		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
+	return &Report{All: newGroupStats(), ByRoute: map[string]*GroupStats{}, ByLengthClass: map[LengthClass]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
+		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, openRequests: map[string]*openRequest{}, openByLengthClass: map[LengthClass]int{},
+		linkMbps: map[string]float64{}, servers: activityByServer{}, suspects: suspectsByFingerprint{}, traffic: newTraffic(), propagation: newPropagation()}
 }
 
-// LengthClass is a class of prompts: those of up to 1,000 tokens times two to its power; -1
-// for requests without a prompt.
+// LengthClass is a class of prompt lengths: class n holds prompts of up to 1,000 * 2^n tokens;
+// -1 holds requests without a prompt.
 type LengthClass int
 
-const tokensUnit = 1000
+const lengthClassTokens = 1000
 
-func lengthOf(tokens int64) LengthClass {
+func lengthClassOf(tokens int64) LengthClass {
 	if tokens <= 0 {
 		return -1
 	}
-	return LengthClass(bits.Len64(uint64((tokens - 1) / tokensUnit)))
+	return LengthClass(bits.Len64(uint64((tokens - 1) / lengthClassTokens)))
 }
 
-// String names the class by its longest prompts.
+// String returns the label of the class: the length of its longest prompts.
 func (l LengthClass) String() string {
 	if l < 0 {
 		return "no prompt"
@@ -132,19 +134,21 @@
 	return fmt.Sprintf("up to %dk", 1<<l)
 }
 
-// Input is one file of log lines.
+// Input is one file of log lines; Name identifies it in errors.
 type Input struct {
 	Name string
 	In   io.Reader
 }
 
-// progressLines is after how many lines progress is told.
-const progressLines = 250_000
+// progressInterval is the number of lines between two progress reports.
+const progressInterval = 250_000
 
-// Read takes in all lines of some files. Bad lines are told to report and counted;
-// progress is called now and then with the number of lines read.
+// Read adds all lines of inputs to the report, in the order of their times. It counts lines
+// that it can't parse, passes them to onBadLine and goes on; it calls progress every
+// progressInterval lines with the number of lines read. It returns an error if an input
+// can't be read.
 func (a *Report) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
-	m := &merger{report: func(bad *BadLine) {
+	m := &merger{onBadLine: func(bad *BadLine) {
 		a.BadLines++
 		report(bad)
 	}}
@@ -161,88 +165,88 @@
 		if !ok {
 			break
 		}
-		if err := a.take(&line); err != nil {
+		if err := a.observe(&line); err != nil {
 			return fmt.Errorf("line of %s at %s: %w", line.Entry, line.Time.Format(time.RFC3339Nano), err)
 		}
-		if lines%progressLines == 0 {
+		if lines%progressInterval == 0 {
 			progress(lines)
 		}
 	}
 	return a.finish()
 }
 
-func (a *Report) take(line *Line) error {
-	if err := a.spread.take(line); err != nil {
+func (a *Report) observe(line *Line) error {
+	if err := a.propagation.observe(line); err != nil {
 		return err
 	}
 	switch line.Message {
 	case messageStarted:
-		a.links[line.Entry] = line.LinkMbps
-		a.traffic.started(line.Entry)
-		return a.closeEntry(line.Entry)
-	case messageChosen:
-		a.chosen(line)
+		a.linkMbps[line.Entry] = line.LinkMbps
+		a.traffic.restart(line.Entry)
+		return a.closeRequestsOf(line.Entry)
+	case messageServerChosen:
+		a.recordChoice(line)
 	case messageExchange:
-		a.traffic.told(line)
-	case messageTried:
-		a.endings.tried(line)
-	case messageEnded:
-		return a.ended(line)
+		a.traffic.update(line)
+	case messageAttemptEnded:
+		a.suspects.recordAttempt(line)
+	case messageRequestEnded:
+		return a.recordEnd(line)
 	}
 	return nil
 }
 
-func (a *Report) chosen(line *Line) {
-	if h := a.open[line.Request]; h != nil {
-		a.places.left(h.line.Server)
-		h.lacked = a.places.chosen(line)
+func (a *Report) recordChoice(line *Line) {
+	if h := a.openRequests[line.Request]; h != nil {
+		a.servers.requestEnded(h.line.Server)
+		h.unseen = a.servers.requestPlaced(line)
 		h.line.PredictedMs, h.line.WaitedMs, h.line.Server = line.PredictedMs, line.WaitedMs, line.Server
 		h.choices++
 		return
 	}
-	if len(a.open) >= maxOpen {
+	if len(a.openRequests) >= maxOpenRequests {
 		a.DroppedRequests++
 		return
 	}
-	length := lengthOf(line.Tokens)
-	a.open[line.Request] = &history{line: *line, choices: 1, beside: a.longUnderWay(length), lacked: a.places.chosen(line)}
-	a.under[length]++
+	length := lengthClassOf(line.Tokens)
+	a.openRequests[line.Request] = &openRequest{line: *line, choices: 1, besideLong: a.muchLongerOpen(length), unseen: a.servers.requestPlaced(line)}
+	a.openByLengthClass[length]++
 }
 
-// longUnderWay says whether a prompt is under way that is much longer than a class.
-func (a *Report) longUnderWay(length LengthClass) bool {
-	for other, count := range a.under {
-		if count > 0 && length >= 0 && other >= length+besideFactor {
+// muchLongerOpen reports whether a prompt is open that is much longer than those of a class.
+func (a *Report) muchLongerOpen(length LengthClass) bool {
+	for other, count := range a.openByLengthClass {
+		if count > 0 && length >= 0 && other >= length+muchLongerDoublings {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Report) ended(end *Line) error {
-	h := a.open[end.Request]
+func (a *Report) recordEnd(end *Line) error {
+	h := a.openRequests[end.Request]
 	if h == nil {
-		h = &history{line: *end}
+		h = &openRequest{line: *end}
 	} else {
-		a.forget(end.Request, h)
+		a.removeOpen(end.Request, h)
 	}
-	return a.count(h, causeOf(h, end), end)
+	return a.countRequest(h, causeOf(h, end), end)
 }
 
-func (a *Report) forget(request string, h *history) {
-	delete(a.open, request)
-	a.places.left(h.line.Server)
-	a.under[lengthOf(h.line.Tokens)]--
+func (a *Report) removeOpen(request string, h *openRequest) {
+	delete(a.openRequests, request)
+	a.servers.requestEnded(h.line.Server)
+	a.openByLengthClass[lengthClassOf(h.line.Tokens)]--
 }
 
-// closeEntry ends what an entry had begun before it started anew.
-func (a *Report) closeEntry(entry string) error {
-	for request, h := range a.open {
+// closeRequestsOf ends the open requests of an entry that has restarted.
+func (a *Report) closeRequestsOf(entry string) error {
+	for request, h := range a.openRequests {
 		if h.line.Entry != entry {
 			continue
 		}
-		a.forget(request, h)
-		if err := a.count(h, EntryTerminated, &Line{}); err != nil {
+		a.removeOpen(request, h)
+		if err := a.countRequest(h, EntryTerminated, &Line{}); err != nil {
 			return err
 		}
 	}
@@ -250,31 +254,31 @@
 }
 
 func (a *Report) finish() error {
-	for request, h := range a.open {
-		a.forget(request, h)
-		if err := a.count(h, Unfinished, &Line{}); err != nil {
+	for request, h := range a.openRequests {
+		a.removeOpen(request, h)
+		if err := a.countRequest(h, Unfinished, &Line{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// count books a request that is over.
-func (a *Report) count(h *history, cause Cause, end *Line) error {
+// countRequest adds a request that has ended to all its groups.
+func (a *Report) countRequest(h *openRequest, cause Cause, end *Line) error {
 	route := h.line.Route
 	if route == "" {
 		route = "(no route)"
 	}
-	tallies := []*GroupStats{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLengthClass, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
+	tallies := []*GroupStats{a.All, statsOf(a.ByRoute, route), statsOf(a.ByLengthClass, lengthClassOf(h.line.Tokens)), statsOf(a.ByLink, a.linkMbps[h.line.Entry])}
 	if h.choices > 0 {
-		tallies = append(tallies, tallyOf(a.ByUnseen, min(h.lacked, lackedMost)))
+		tallies = append(tallies, statsOf(a.ByUnseen, min(h.unseen, maxUnseen)))
 	}
 	if cause == Pause && end.FirstMs != nil {
 		from := end.Time.Add(-millis(end.TookMs - *end.FirstMs))
-		a.Pauses.add(a.places.during(h.line.Server, from, end.Time))
+		a.Pauses.add(a.servers.prefillsBetween(h.line.Server, from, end.Time))
 	}
 	for _, tally := range tallies {
-		if err := tally.add(cause, end.FirstMs, h.beside); err != nil {
+		if err := tally.add(cause, end.FirstMs, h.besideLong); err != nil {
 			return fmt.Errorf("a time of %v ms: %w", *end.FirstMs, err)
 		}
 	}
@@ -282,20 +286,20 @@
 	if !end.Time.IsZero() {
 		began = end.Time.Add(-millis(end.TookMs))
 	}
-	a.countSpan(began, cause)
+	a.countInBucket(began, cause)
 	return nil
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func tallyOf[K comparable](tallies map[K]*GroupStats, key K) *GroupStats {
+func statsOf[K comparable](tallies map[K]*GroupStats, key K) *GroupStats {
 	if tallies[key] == nil {
-		tallies[key] = newTally()
+		tallies[key] = newGroupStats()
 	}
 	return tallies[key]
 }
 
-func (a *Report) countSpan(began time.Time, cause Cause) {
+func (a *Report) countInBucket(began time.Time, cause Cause) {
 	if a.Start.IsZero() {
 		a.Start = began.Truncate(time.Second)
 	}
@@ -305,13 +309,13 @@
 	}
 	a.Buckets[index].Asked++
 	a.Buckets[index].Causes[cause]++
-	for len(a.Buckets) > maxSpans {
-		a.widen()
+	for len(a.Buckets) > maxBuckets {
+		a.mergeBuckets()
 	}
 }
 
-// widen merges the spans in pairs.
-func (a *Report) widen() {
+// mergeBuckets merges the buckets in pairs, which doubles their width.
+func (a *Report) mergeBuckets() {
 	merged := map[int]*Bucket{}
 	for index, span := range a.Buckets {
 		half := index >> 1
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var began = time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
+var logStart = time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
 
 func stamp(ms int) string {
-	return began.Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
+	return logStart.Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 }
 
 func chosenLine(at int, entry, request string, tokens int, waited, predicted int) string {
@@ -36,8 +36,8 @@
 	return a, bad
 }
 
-// Each request that was not in time has one cause, taken from its last choice of a server
-// and from how it ended.
+// Each request has exactly one cause, determined from the last choice of a server for it and from
+// how it ended.
 func TestEachRequestHasOneCause(t *testing.T) {
 	const whole = `"tookMs":1000,"outcome":"finished",`
 	for _, c := range []struct {
@@ -75,16 +75,16 @@
 	}
 }
 
-// An entry is killed: its requests never end in the logs, but its next start says that
-// they are over. What is open at the end of the logs is not lost either.
+// The requests of a killed entry have no end in the logs; its next start must end them. Requests
+// that are open at the end of the logs must be counted too.
 func TestWhatAKilledEntryHadBegunIsCounted(t *testing.T) {
 	a, _ := read(t, chosenLine(0, "e1", "a", 5000, 0, 100)+`{"msg":"started","time":"`+stamp(900)+`","name":"e1"}`+"\n"+chosenLine(1000, "e1", "b", 5000, 0, 100),
 		chosenLine(10, "e2", "c", 5000, 0, 100)+endedLine(1500, "e2", "c", `"tookMs":1490,"outcome":"finished","firstMs":100`))
 	require.Equal(t, map[Cause]int{EntryTerminated: 1, Unfinished: 1, InTime: 1}, a.All.Causes)
 }
 
-// Short prompts that begin at one entry while a long one is under way at another are told
-// apart from the others: the slowdown is the ratio of the medians.
+// Short prompts that begin at one entry while a long prompt is open at another must be counted
+// apart from the others; the slowdown is the ratio of the medians.
 func TestSlowdownBesideLongPromptsOfOtherEntries(t *testing.T) {
 	first := chosenLine(100, "e1", "long", 150_000, 0, 900) + endedLine(3000, "e1", "long", `"tookMs":2900,"outcome":"finished","firstMs":900`)
 	second := ""
@@ -97,11 +97,11 @@
 		second += endedLine(at+500, "e2", fmt.Sprint("s", i), fmt.Sprintf(`"tookMs":500,"outcome":"finished","firstMs":%d`, ms))
 	}
 	a, _ := read(t, first, sortLines(second))
-	require.InDelta(t, 2, a.ByLengthClass[lengthOf(5000)].Slowdown(), 0.05)
-	require.Zero(t, a.ByLengthClass[lengthOf(150_000)].Slowdown())
+	require.InDelta(t, 2, a.ByLengthClass[lengthClassOf(5000)].Slowdown(), 0.05)
+	require.Zero(t, a.ByLengthClass[lengthClassOf(150_000)].Slowdown())
 }
 
-// sortLines puts lines in the order of their times, as a daemon writes them.
+// sortLines sorts lines by time, the order in which a daemon writes them.
 func sortLines(log string) string {
 	lines := strings.SplitAfter(log, "\n")
 	time := func(line string) string {
@@ -116,8 +116,8 @@
 	return strings.Join(lines, "")
 }
 
-// Lines that are no log lines are named with file and line and counted; those around them
-// are read. A collector's text before the object does no harm.
+// Invalid lines must be reported with file and line number and counted, and the lines around them
+// read. A log collector's prefix before the JSON object must be skipped.
 func TestBadLinesAreNamedAndTheOthersRead(t *testing.T) {
 	log := "not a line\n" + "  12.5 entry-1 " + chosenLine(0, "e1", "a", 5000, 0, 100) + "{\"msg\":\n\n" + strings.Repeat("x", maxLineBytes+10) + "\n" +
 		endedLine(500, "e1", "a", `"tookMs":500,"outcome":"finished","firstMs":100`) + "{}"
@@ -132,14 +132,14 @@
 	require.Contains(t, bad[0].Error(), "log0:1: ")
 }
 
-// Days of logs are merged into wider spans in place of more rows.
+// Long logs must widen the time buckets instead of adding more of them, without losing requests.
 func TestRowsByTimeAreBounded(t *testing.T) {
 	log := ""
-	for i := range 5 * maxSpans {
+	for i := range 5 * maxBuckets {
 		log += chosenLine(i*1000, "e1", fmt.Sprint(i), 100, 0, 1) + endedLine(i*1000+10, "e1", fmt.Sprint(i), `"tookMs":10,"outcome":"finished","firstMs":9`)
 	}
 	a, _ := read(t, log)
-	require.LessOrEqual(t, len(a.Buckets), maxSpans)
+	require.LessOrEqual(t, len(a.Buckets), maxBuckets)
 	require.Equal(t, 8*time.Second, a.BucketWidth)
 	sum := 0
 	for _, span := range a.Buckets {
@@ -162,9 +162,10 @@
 	require.Contains(t, plot.String(), "<svg")
 }
 
-// Entries on hosts with slow links, choices on news that lack requests, and reads that made
-// answers pause are told apart: of four requests at one server the second chooser knew one
-// of two, and the answer of the third paused beside the read of a long prompt.
+// The report must group by the link of the entry's host, by unseen requests, and by the prefills
+// beside paused answers. Of four requests at one server, the third was chosen with all requests
+// known and its answer paused during the prefill of a long prompt; the second was chosen by an
+// entry that did not know of the first.
 func TestTheAccountSplitsByHostAndByWhatWasNotKnown(t *testing.T) {
 	chosen := func(at int, entry, request string, tokens, believed int, helpers string) string {
 		return fmt.Sprintf(`{"msg":"server chosen","time":%q,"name":%q,"request":%q,"route":"r","tokens":%d,"server":"s1","serverRequests":%d,"helpers":[%s]}`,
@@ -191,9 +192,9 @@
 	require.Contains(t, table.String(), "200000")
 }
 
-// Servers end one after the other. Under one request, which comes in three attempts at two
-// entries, four of them ended, always before its first event; another one ran beside it twice
-// and had events. The table must name the first one first, and leave out what was there once.
+// Several servers crash. Four of them crash under one request, submitted three times at two
+// entries, always before its first event; another request ran beside it twice and had events.
+// The table must list the first request first, and omit a request that was there only once.
 func TestRequestsUnderWhichServersEndAreNamed(t *testing.T) {
 	tried := func(at int, entry, request, fingerprint, server, rest string) string {
 		return fmt.Sprintf(`{"msg":"try ended","time":%q,"name":%q,"request":%q,"fingerprint":%q,"server":%q,"result":"broken"%s}`, stamp(at), entry, request,
--- a/entry/account/beside.go
+++ b/entry/account/beside.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// Bounds of what is kept of each server.
+// Bounds of the state per server.
 const (
-	// maxReads is how many of the newest reads at a server are kept: more than begin there
+	// maxPrefills bounds the latest prefills that are kept per server: more than begin there
 	// while one answer is written.
-	maxReads = 64
-	// lackedMost is from how many requests on rows are not told apart.
-	lackedMost = 3
+	maxPrefills = 64
+	// maxUnseen is the count from which on requests, or prefills, share one row.
+	maxUnseen = 3
 )
 
-// serverRead is one prompt, or a part of one, that a server was sent.
-type serverRead struct {
+// prefill is the reading of one prompt, or of a part of one, at a server.
+type prefill struct {
 	at     time.Time
 	tokens int64
 }
 
-// place is what all entries together did at one server.
-type place struct {
-	// open are the requests that were sent there and have not ended.
-	open int
-	// reads are the newest ones, oldest first.
-	reads []serverRead
+// serverActivity is the work that all entries together have sent to one server.
+type serverActivity struct {
+	// openRequests counts the requests that were sent there and have not ended.
+	openRequests int
+	// prefills are the latest ones, oldest first.
+	prefills []prefill
 }
 
-func (p *place) add(r serverRead) {
-	if len(p.reads) >= maxReads {
-		p.reads = slices.Delete(p.reads, 0, 1)
+func (p *serverActivity) add(r prefill) {
+	if len(p.prefills) >= maxPrefills {
+		p.prefills = slices.Delete(p.prefills, 0, 1)
 	}
-	p.reads = append(p.reads, r)
+	p.prefills = append(p.prefills, r)
 }
 
-// PauseStats tells what was read at the servers of the answers that paused for too long, while
-// they were written.
+// PauseStats counts the prefills that began at servers while these wrote answers with a pause
+// beyond their bound.
 type PauseStats struct {
-	// Answers paused for too long; ByReads divides them by how many reads of other prompts
-	// began there meanwhile, up to lackedMost.
-	Answers int
-	ByPrefills [lackedMost + 1]int
-	// LongestPrefills are those reads' tokens, the longest of each answer.
+	// Answers counts the answers with such a pause. ByPrefills divides them by the number of
+	// prefills of other prompts that began there meanwhile; the last element stands for
+	// maxUnseen or more.
+	Answers    int
+	ByPrefills [maxUnseen + 1]int
+	// LongestPrefills holds the tokens of the longest such prefill for each answer.
 	LongestPrefills []int64
 }
 
-// maxLongest bounds Longest.
-const maxLongest = 10_000
+// maxLongestPrefills bounds PauseStats.LongestPrefills.
+const maxLongestPrefills = 10_000
 
-func (p *PauseStats) add(reads []serverRead) {
+func (p *PauseStats) add(reads []prefill) {
 	p.Answers++
-	p.ByPrefills[min(len(reads), lackedMost)]++
-	if len(reads) == 0 || len(p.LongestPrefills) >= maxLongest {
+	p.ByPrefills[min(len(reads), maxUnseen)]++
+	if len(reads) == 0 || len(p.LongestPrefills) >= maxLongestPrefills {
 		return
 	}
-	longest := slices.MaxFunc(reads, func(a, b serverRead) int { return int(a.tokens - b.tokens) })
+	longest := slices.MaxFunc(reads, func(a, b prefill) int { return int(a.tokens - b.tokens) })
 	p.LongestPrefills = append(p.LongestPrefills, longest.tokens)
 }
 
-// MedianLongestPrefill is the median of Longest; 0 without any.
+// MedianLongestPrefill returns the median of LongestPrefills in tokens; 0 if there are none.
 func (p *PauseStats) MedianLongestPrefill() int64 {
 	if len(p.LongestPrefills) == 0 {
 		return 0
@@ -68,44 +69,44 @@
 	return ordered[len(ordered)/2]
 }
 
-// places are the servers as all logs together show them. A choice is compared with them:
-// what runs there that the chooser did not know of, it lacked.
-type places map[string]*place
+// activityByServer holds the activity of each server as all logs together show it. Each choice of
+// a server is compared with it to find the requests that the choosing entry did not know of.
+type activityByServer map[string]*serverActivity
 
-func (p places) at(server string) *place {
+func (p activityByServer) at(server string) *serverActivity {
 	if p[server] == nil {
-		p[server] = &place{}
+		p[server] = &serverActivity{}
 	}
 	return p[server]
 }
 
-// chosen books a choice and returns how many requests the chooser lacked.
-func (p places) chosen(line *Line) int {
+// requestPlaced records a choice and returns the number of unseen requests at the server.
+func (p activityByServer) requestPlaced(line *Line) int {
 	first := p.at(line.Server)
-	lacked := max(first.open-line.ServerRequests, 0)
-	first.open++
+	lacked := max(first.openRequests-line.ServerRequests, 0)
+	first.openRequests++
 	part := line.Tokens / int64(len(line.Helpers)+1)
 	for _, server := range append([]string{line.Server}, line.Helpers...) {
-		p.at(server).add(serverRead{line.Time, part})
+		p.at(server).add(prefill{line.Time, part})
 	}
 	return lacked
 }
 
-// left books that a request no longer runs at a server.
-func (p places) left(server string) {
-	if at := p[server]; at != nil && at.open > 0 {
-		at.open--
+// requestEnded records that a request no longer runs at a server.
+func (p activityByServer) requestEnded(server string) {
+	if at := p[server]; at != nil && at.openRequests > 0 {
+		at.openRequests--
 	}
 }
 
-// during returns the reads that began at a server in a span of time.
-func (p places) during(server string, from, to time.Time) []serverRead {
+// prefillsBetween returns the prefills that began at a server between two times.
+func (p activityByServer) prefillsBetween(server string, from, to time.Time) []prefill {
 	at := p[server]
 	if at == nil {
 		return nil
 	}
-	var found []serverRead
-	for _, r := range at.reads {
+	var found []prefill
+	for _, r := range at.prefills {
 		if r.at.After(from) && r.at.Before(to) {
 			found = append(found, r)
 		}
--- a/entry/account/cause.go
+++ b/entry/account/cause.go
@@ -5,24 +5,25 @@
 	"arbutusdeck/entry/gateway"
 )
 
-// Cause is why a request was not served in time. Each request has exactly one.
+// Cause classifies how a request ended. Each request has exactly one: InTime, or the reason why
+// it was not served in time.
 type Cause string
 
 // Causes, in the order in which tables show them.
 const (
-	// InTime: first event and pauses were within the route's bounds.
+	// InTime: the first event and all pauses were within the route's bounds.
 	InTime Cause = "in time"
 	// PredictedLate: the first event was late, as predicted when the server was chosen.
 	PredictedLate Cause = "predicted late"
-	// PredictedInTime: it was late though predicted to be in time.
+	// PredictedInTime: the first event was late, though predicted to be in time.
 	PredictedInTime Cause = "predicted in time"
-	// WaitedAtEntry: it would have been in time but for the wait at the entry.
+	// WaitedAtEntry: the first event was late only because of the wait at the entry.
 	WaitedAtEntry Cause = "waited at the entry"
-	// Pause: the first event was in time, a pause between two events too long.
+	// Pause: the first event was in time, but a pause between two events was too long.
 	Pause Cause = "pause"
-	// Retried: it was late, and the first try had failed.
+	// Retried: the response was late or paused, and its first attempt had failed.
 	Retried Cause = "another try"
-	// RefusedStopping and the following: refused by the entry, and not run.
+	// RefusedStopping and the causes that follow: the entry refused the request; it was not run.
 	RefusedStopping      Cause = "refused: stopping"
 	RefusedConfiguration Cause = "refused: no configuration"
 	RefusedQueue         Cause = "refused: queue full"
@@ -30,26 +31,27 @@
 	RefusedNoServer      Cause = "refused: no server"
 	RefusedQuarantined   Cause = "refused: servers end under it"
 	RefusedOther         Cause = "refused: other"
-	// Denied: the caller's own fault (no route, no key, a bad body).
+	// Denied: the request was invalid (no route, no key, a bad body).
 	Denied Cause = "denied"
-	// TimedOut: the route's time passed before the answer was whole.
+	// TimedOut: the route's timeout passed before the response was complete.
 	TimedOut Cause = "timed out"
-	// ServerFailed: servers failed or broke off, and no further try was left.
+	// ServerFailed: servers failed or broke the response off, and no attempt was left.
 	ServerFailed Cause = "server failed"
-	// EntryTerminated: the entry ended before the request did, or had to end it at the limit of its stop.
+	// EntryTerminated: the entry terminated before the request ended, or aborted it at the
+	// time limit of its graceful shutdown.
 	EntryTerminated Cause = "entry gone"
-	// CallerDisconnected: the caller left.
+	// CallerDisconnected: the caller closed its connection.
 	CallerDisconnected Cause = "caller gone"
 	// Unfinished: the logs end before the request does.
 	Unfinished Cause = "not ended in the logs"
 )
 
-// Causes are all causes, in the order of tables.
+// Causes lists all causes in the order of the tables.
 var Causes = []Cause{InTime, PredictedLate, PredictedInTime, WaitedAtEntry, Pause, Retried, RefusedStopping, RefusedConfiguration, RefusedQueue,
 	RefusedInfeasible, RefusedNoServer, RefusedQuarantined, RefusedOther, Denied, TimedOut, ServerFailed, EntryTerminated, CallerDisconnected, Unfinished}
 
-// refusals are the causes of refusals by their codes.
-var refusals = map[execution.Code]Cause{
+// causeByCode maps the codes of refusals to causes.
+var causeByCode = map[execution.Code]Cause{
 	gateway.CodeStopping:        RefusedStopping,
 	gateway.CodeNoConfiguration: RefusedConfiguration,
 	gateway.CodeNoRoute:         Denied,
@@ -62,26 +64,28 @@
 	execution.CodeQuarantined:   RefusedQuarantined,
 }
 
-// history is what is kept of a request until it ends.
-type history struct {
+// openRequest is a request that has begun and not ended.
+type openRequest struct {
 	line Line
-	// choices counts the servers chosen for it.
+	// choices counts the servers that were chosen for it.
 	choices int
-	// beside says that a much longer prompt was under way when it began.
-	beside bool
-	// lacked is how many requests at its server the chooser did not know of.
-	lacked int
+	// besideLong is set if a much longer prompt was open when it began.
+	besideLong bool
+	// unseen counts the requests at its server that were missing from the load table of the
+	// choosing entry.
+	unseen int
 }
 
-// causeOf classifies an ended request by its last choice of a server and its end.
-func causeOf(h *history, end *Line) Cause {
+// causeOf returns the cause of an ended request, from the last choice of a server for it and
+// from the line of its end.
+func causeOf(h *openRequest, end *Line) Cause {
 	switch {
 	case end.Code == execution.CodeCallerGone:
 		return CallerDisconnected
 	case end.Code == gateway.CodeTimeout:
 		return TimedOut
 	case end.Code != "" && end.Outcome == execution.NotRun.String():
-		if cause, ok := refusals[end.Code]; ok {
+		if cause, ok := causeByCode[end.Code]; ok {
 			return cause
 		}
 		return RefusedOther
@@ -92,20 +96,20 @@
 	case *end.FirstMs > end.TargetMs:
 		return causeOfLate(h, end)
 	case end.GapMs > 0 && end.LongestGapMs > end.GapMs:
-		return pauseCause(h)
+		return causeOfPause(h)
 	}
 	return InTime
 }
 
-func pauseCause(h *history) Cause {
+func causeOfPause(h *openRequest) Cause {
 	if h.choices > 1 {
 		return Retried
 	}
 	return Pause
 }
 
-// causeOfLate tells why a first event was late.
-func causeOfLate(h *history, end *Line) Cause {
+// causeOfLate returns the cause of a late first event.
+func causeOfLate(h *openRequest, end *Line) Cause {
 	switch {
 	case h.choices > 1:
 		return Retried
--- a/entry/account/ends.go
+++ b/entry/account/ends.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Bounds of what is kept of requests whose servers ended.
+// Bounds of the suspect requests.
 const (
-	// maxEndings bounds the requests; a crash of many servers cuts some thousand.
-	maxEndings = 20_000
-	// shownEndings is how many of them the table names, and leastEnded under how many servers
-	// must have ended for a request to be named: what runs beside another one that ends its
-	// server is rarely there twice.
-	shownEndings = 5
-	leastEnded   = 2
+	// maxSuspects bounds the requests that are tracked; a crash of many servers breaks off
+	// some thousand.
+	maxSuspects = 20_000
+	// maxShownSuspects bounds the requests in the table. minCrashedServers is the number of
+	// crashed servers from which a request is listed: a request that merely runs beside a
+	// poison request rarely does so twice.
+	maxShownSuspects  = 5
+	minCrashedServers = 2
 )
 
-// SuspectRequest is what is known of one request, in all its attempts and at all entries, under which
-// servers ended.
+// SuspectRequest describes one request under which servers crashed, over all its submissions at
+// all entries.
 type SuspectRequest struct {
-	// Fingerprint names the request in all its attempts.
+	// Fingerprint identifies the request across all its submissions.
 	Fingerprint string
-	// CrashedServers ended under it, CrashedBeforeFirstEvent of them before its first event there.
+	// CrashedServers crashed under it; CrashedBeforeFirstEvent are those of them that crashed
+	// before its first event there.
 	CrashedServers, CrashedBeforeFirstEvent map[string]bool
-	// RequestIDs and Entries are those in which it came.
-	RequestIDs, Entries map[string]bool
-	FirstCrash, LastCrash          time.Time
+	// RequestIDs are the IDs of its submissions, Entries the entries that received them.
+	RequestIDs, Entries   map[string]bool
+	FirstCrash, LastCrash time.Time
 }
 
-// endings are the requests under which servers ended, by fingerprint.
-type endings map[string]*SuspectRequest
+// suspectsByFingerprint holds the requests under which servers crashed.
+type suspectsByFingerprint map[string]*SuspectRequest
 
-// tried takes in how a try ended.
-func (e endings) tried(line *Line) {
+// recordAttempt records the end of an attempt if its server crashed.
+func (e suspectsByFingerprint) recordAttempt(line *Line) {
 	if !line.ServerEnded || line.Fingerprint == "" {
 		return
 	}
 	known := e[line.Fingerprint]
 	if known == nil {
-		if len(e) >= maxEndings {
+		if len(e) >= maxSuspects {
 			return
 		}
 		known = &SuspectRequest{Fingerprint: line.Fingerprint, CrashedServers: map[string]bool{}, CrashedBeforeFirstEvent: map[string]bool{}, RequestIDs: map[string]bool{},
@@ -56,11 +58,12 @@
 	known.LastCrash = line.Time
 }
 
-// SuspectRequests returns the requests under which most servers ended, the worst first.
+// SuspectRequests returns the requests under which the most servers crashed, in descending order
+// of that number.
 func (a *Report) SuspectRequests() []*SuspectRequest {
-	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.endings)), func(e *SuspectRequest) bool { return len(e.CrashedServers) < leastEnded })
+	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.suspects)), func(e *SuspectRequest) bool { return len(e.CrashedServers) < minCrashedServers })
 	slices.SortFunc(worst, func(x, y *SuspectRequest) int {
 		return cmp.Or(cmp.Compare(len(y.CrashedServers), len(x.CrashedServers)), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
-	return worst[:min(len(worst), shownEndings)]
+	return worst[:min(len(worst), maxShownSuspects)]
 }
--- a/entry/account/lines.go
+++ b/entry/account/lines.go
@@ -13,7 +13,8 @@
 	"arbutusdeck/core/execution"
 )
 
-// Line is what the account reads of one log line. Times and pauses are in milliseconds.
+// Line holds the fields of a log line that the report uses. Fields whose names end in Ms are in
+// milliseconds.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -23,45 +24,47 @@
 	Route   string `json:"route"`
 	Tokens  int64  `json:"tokens"`
 	// PredictedMs is the time to the first event as predicted when the server was
-	// chosen, WaitedMs the time that had passed at the entry.
+	// chosen, WaitedMs the time that the request had waited at the entry until then.
 	PredictedMs float64 `json:"predictedMs"`
 	WaitedMs    float64 `json:"waitedMs"`
-	// Server and Helpers are the servers chosen, ServerRequests what was believed to run or
-	// wait at Server.
+	// Server and Helpers are the chosen servers. ServerRequests is the number of requests at
+	// Server, running or waiting, in the load table of the choosing entry.
 	Server         string   `json:"server"`
 	Helpers        []string `json:"helpers"`
 	ServerRequests int      `json:"serverRequests"`
-	// LinkMbps is the rate of the link of an entry's host, in Mbit/s, told at its start.
+	// LinkMbps is the link rate of the entry's host in Mbit/s, logged at its start.
 	LinkMbps float64 `json:"linkMbps"`
-	// FirstMs is nil where nothing was delivered.
+	// FirstMs is the time to the first event; nil if none was delivered.
 	FirstMs      *float64 `json:"firstMs"`
 	LongestGapMs float64  `json:"longestGapMs"`
 	TargetMs     float64  `json:"targetMs"`
 	GapMs        float64  `json:"gapMs"`
 	TookMs       float64  `json:"tookMs"`
-	// Code is empty for an answer of a server that tells of success.
+	// Code is the error code; empty for a successful response of a server.
 	Code    execution.Code `json:"code"`
 	Outcome string         `json:"outcome"`
-	// Fingerprint names a request in all its attempts, ServerEnded says that the server of a
-	// try was gone, and AnswerMs for how long an answer had come from it; nil if none had.
+	// Fingerprint identifies a request across all its submissions. ServerEnded is set if the
+	// server of an attempt crashed. AnswerMs is the time from the first event of the attempt to
+	// its end; nil if there was no event.
 	Fingerprint string   `json:"fingerprint"`
 	ServerEnded bool     `json:"serverEnded"`
 	AnswerMs    *float64 `json:"answerMs"`
-	// Exchanged and StoreCalls are what an entry has counted since its start.
-	Exchanged  MessageCounts        `json:"exchanged"`
+	// Exchanged and StoreCalls are the entry's counts since its start.
+	Exchanged  MessageCounts    `json:"exchanged"`
 	StoreCalls map[string]int64 `json:"storeCalls"`
-	// To is the new state of the entry, a server or a zone, Version that of a configuration, Revision
-	// that of the store.
-	To       StateName   `json:"to"`
-	Zone     string `json:"zone"`
-	Version  uint64 `json:"version"`
-	Revision uint64 `json:"revision"`
+	// To is the new state of the entry, a server or a zone, Version the version of a
+	// configuration, Revision the revision of the store.
+	To       StateName `json:"to"`
+	Zone     string    `json:"zone"`
+	Version  uint64    `json:"version"`
+	Revision uint64    `json:"revision"`
 }
 
-// StateName is a field that some lines give a word and others a list, which counts as none.
+// StateName is the name of a state. Other lines have a list in the same field, which is read as
+// the empty name.
 type StateName string
 
-// UnmarshalJSON reads a word.
+// UnmarshalJSON accepts any JSON value; all but strings yield the empty name.
 func (w *StateName) UnmarshalJSON(data []byte) error {
 	var word string
 	if err := json.Unmarshal(data, &word); err != nil {
@@ -71,12 +74,12 @@
 	return nil
 }
 
-// Messages that the account reads; all others are passed over.
+// Messages of the log lines that the report uses; all others are skipped.
 const (
-	messageStarted = "started"
-	messageChosen  = "server chosen"
-	messageTried   = "try ended"
-	messageEnded   = "request ended"
+	messageStarted      = "started"
+	messageServerChosen = "server chosen"
+	messageAttemptEnded = "try ended"
+	messageRequestEnded = "request ended"
 
 	messageExchange      = "exchange so far"
 	messageState         = "state changed"
@@ -85,10 +88,10 @@
 	messageZone          = "availability zone changed"
 )
 
-// stateServing is an entry's state in which it takes requests.
+// stateServing is the state of an entry that accepts requests.
 const stateServing = "serving"
 
-// BadLine is a line that can't be read as a log line.
+// BadLine reports a line that can't be parsed as a log line.
 type BadLine struct {
 	File  string
 	Line  int
@@ -99,29 +102,29 @@
 	return fmt.Sprintf("%s:%d: not a log line of an entry: %v", e.File, e.Line, e.Cause)
 }
 
-var errNoObject = errors.New("no JSON object; give the entries' standard output as it was written")
+var errNotLogLine = errors.New("no JSON object with a msg field; expected the unmodified standard output of entries")
 
-// parse reads a line. Text before the object is what a collector of logs puts there.
-func parse(raw []byte) (Line, error) {
+// parseLine parses a log line. It skips text before the JSON object, as log collectors add a prefix.
+func parseLine(raw []byte) (Line, error) {
 	var line Line
 	start := bytes.IndexByte(raw, '{')
 	if start < 0 {
-		return line, errNoObject
+		return line, errNotLogLine
 	}
 	if err := json.Unmarshal(raw[start:], &line); err != nil {
 		return line, err
 	}
 	if line.Message == "" {
-		return line, errNoObject
+		return line, errNotLogLine
 	}
 	return line, nil
 }
 
-// maxLineBytes bounds one line. An entry's longest names sixteen helpers in some 1,000
-// bytes.
+// maxLineBytes bounds the length of a line. The longest line of an entry lists sixteen helpers in
+// some 1,000 bytes.
 const maxLineBytes = 64 << 10
 
-// source is one file of lines, read one ahead.
+// source reads one input; current is its next line.
 type source struct {
 	name    string
 	in      *bufio.Reader
@@ -129,8 +132,8 @@
 	current Line
 }
 
-// advance reads up to the next good line; bad ones are told to report. It returns io.EOF
-// at the end.
+// advance reads the next valid line into current and passes invalid ones to onBadLine. It returns
+// io.EOF at the end of the input.
 func (s *source) advance(report func(*BadLine)) error {
 	for {
 		raw, err := s.next()
@@ -140,7 +143,7 @@
 		if err == nil && len(bytes.TrimSpace(raw)) == 0 {
 			continue
 		}
-		line, parsed := parse(raw)
+		line, parsed := parseLine(raw)
 		if err != nil {
 			parsed = fmt.Errorf("longer than %d bytes", maxLineBytes)
 		}
@@ -152,8 +155,8 @@
 	}
 }
 
-// next returns the next line without its end; bufio.ErrTooLong after passing over one
-// that is too long.
+// next returns the next line; bufio.ErrTooLong after skipping a line of more than maxLineBytes;
+// io.EOF at the end of the input.
 func (s *source) next() ([]byte, error) {
 	var raw []byte
 	long := false
@@ -177,11 +180,11 @@
 	}
 }
 
-// merger hands out the lines of several files in the order of their times, so that what
-// entries did at the same moment is seen together.
+// merger merges the lines of several inputs in the order of their times, as the report compares
+// what several entries did at the same time. It implements heap.Interface.
 type merger struct {
-	sources []*source
-	report  func(*BadLine)
+	sources   []*source
+	onBadLine func(*BadLine)
 }
 
 func (m *merger) Len() int { return len(m.sources) }
@@ -196,33 +199,33 @@
 	return last
 }
 
-// add takes in one more file.
+// add adds an input.
 func (m *merger) add(name string, in io.Reader) error {
 	s := &source{name: name, in: bufio.NewReader(in)}
-	if err := s.advance(m.report); err != nil {
-		return ignoreEnd(name, err)
+	if err := s.advance(m.onBadLine); err != nil {
+		return ignoreEOF(name, err)
 	}
 	heap.Push(m, s)
 	return nil
 }
 
-// next returns the earliest line; false at the end of all files.
+// next returns the earliest line; false at the end of all inputs.
 func (m *merger) next() (Line, bool, error) {
 	if m.Len() == 0 {
 		return Line{}, false, nil
 	}
 	s := m.sources[0]
 	line := s.current
-	err := s.advance(m.report)
+	err := s.advance(m.onBadLine)
 	if err == nil {
 		heap.Fix(m, 0)
 		return line, true, nil
 	}
 	heap.Pop(m)
-	return line, true, ignoreEnd(s.name, err)
+	return line, true, ignoreEOF(s.name, err)
 }
 
-func ignoreEnd(name string, err error) error {
+func ignoreEOF(name string, err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
--- a/entry/account/spread.go
+++ b/entry/account/spread.go
@@ -7,32 +7,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxChanges bounds the changes that are remembered; the oldest are forgotten.
+// maxChanges bounds the changes that are tracked; the oldest are dropped first.
 const maxChanges = 4000
 
-// spread is how long changes take to reach the entries, counted from the first line of any that tells of one: what the
-// first entry needs is not in it. What an entry learns at its start, before it serves, doesn't count.
-type spread struct {
-	serving map[string]bool
-	first   map[string]time.Time
-	order   []string
-	byKind  map[string]*spreadOf
+// propagation measures how long changes take to reach the entries. A delay starts at the first line of any entry
+// about the change, so the delay to the first entry is not included. Changes that an entry learns at its start,
+// before it serves, don't count.
+type propagation struct {
+	serving   map[string]bool
+	firstSeen map[string]time.Time
+	order     []string
+	byKind    map[string]*changeDelays
 }
 
-// spreadOf is the delays of the changes of a kind, in milliseconds.
-type spreadOf struct {
-	changes   int
-	delays    *hdrhistogram.Histogram
-	last      int64
-	lastEntry string
+// changeDelays holds the propagation delays of all changes of one kind, in milliseconds.
+type changeDelays struct {
+	changes  int
+	delays   *hdrhistogram.Histogram
+	maxMs    int64
+	maxEntry string
 }
 
-func newSpread() spread {
-	return spread{serving: map[string]bool{}, first: map[string]time.Time{}, byKind: map[string]*spreadOf{}}
+func newPropagation() propagation {
+	return propagation{serving: map[string]bool{}, firstSeen: map[string]time.Time{}, byKind: map[string]*changeDelays{}}
 }
 
-// changeOf returns the kind of change that a line tells of, and what tells one change from another; false for others.
-func changeOf(line *Line) (kind, key string, ok bool) {
+// changeIn returns the kind of change that a line reports and a key that identifies the change; false if the line
+// reports none.
+func changeIn(line *Line) (kind, key string, ok bool) {
 	switch line.Message {
 	case messageConfiguration:
 		return "configuration", fmt.Sprint(line.Version), true
@@ -44,8 +46,8 @@
 	return "", "", false
 }
 
-// take takes in a line.
-func (s *spread) take(line *Line) error {
+// observe records the change that a line reports, if any.
+func (s *propagation) observe(line *Line) error {
 	switch {
 	case line.Message == messageStarted:
 		delete(s.serving, line.Entry)
@@ -54,34 +56,34 @@
 		s.serving[line.Entry] = line.To == stateServing
 		return nil
 	}
-	kind, key, ok := changeOf(line)
+	kind, key, ok := changeIn(line)
 	if !ok || !s.serving[line.Entry] {
 		return nil
 	}
 	of := s.byKind[kind]
 	if of == nil {
-		of = &spreadOf{delays: hdrhistogram.New(1, longestMs, histogramDigits)}
+		of = &changeDelays{delays: hdrhistogram.New(1, maxHistogramMs, histogramDigits)}
 		s.byKind[kind] = of
 	}
-	first, known := s.first[kind+key]
+	first, known := s.firstSeen[kind+key]
 	if !known {
 		s.remember(kind+key, line.Time)
 		of.changes++
 		first = line.Time
 	}
-	// Clocks differ, so that a later line may bear an earlier time.
-	delay := min(max(line.Time.Sub(first).Milliseconds(), 0), longestMs)
-	if delay > of.last || of.lastEntry == "" {
-		of.last, of.lastEntry = delay, line.Entry
+	// The clocks of hosts differ, so that a later line may have an earlier time.
+	delay := min(max(line.Time.Sub(first).Milliseconds(), 0), maxHistogramMs)
+	if delay > of.maxMs || of.maxEntry == "" {
+		of.maxMs, of.maxEntry = delay, line.Entry
 	}
 	return of.delays.RecordValue(delay)
 }
 
-func (s *spread) remember(key string, at time.Time) {
-	s.first[key] = at
+func (s *propagation) remember(key string, at time.Time) {
+	s.firstSeen[key] = at
 	s.order = append(s.order, key)
 	if len(s.order) > maxChanges {
-		delete(s.first, s.order[0])
+		delete(s.firstSeen, s.order[0])
 		s.order = s.order[1:]
 	}
 }
--- a/entry/account/traffic.go
+++ b/entry/account/traffic.go
@@ -8,36 +8,36 @@
 	"text/tabwriter"
 )
 
-// MessageCounts is what an entry tells of its messages: by direction and kind, messages and bytes.
+// MessageCounts holds the numbers of messages and bytes that an entry has exchanged, by direction and kind.
 type MessageCounts map[string]map[string][2]int64
 
-// traffic sums what entries tell of their exchange. Each tells what it has counted since its start; a restarted one
-// begins anew.
+// traffic sums the message and call counts of all entries. An entry logs its counts since its start, so that a restart
+// begins at zero.
 type traffic struct {
-	last  map[string]MessageCounts
-	calls map[string]map[string]int64
-	// over are the sums of starts that are over, by entry.
-	over      map[string]MessageCounts
-	callsOver map[string]map[string]int64
+	current      map[string]MessageCounts
+	currentCalls map[string]map[string]int64
+	// previous and previousCalls are the sums over the earlier runs of each entry.
+	previous      map[string]MessageCounts
+	previousCalls map[string]map[string]int64
 }
 
 func newTraffic() traffic {
-	return traffic{last: map[string]MessageCounts{}, calls: map[string]map[string]int64{}, over: map[string]MessageCounts{}, callsOver: map[string]map[string]int64{}}
+	return traffic{current: map[string]MessageCounts{}, currentCalls: map[string]map[string]int64{}, previous: map[string]MessageCounts{}, previousCalls: map[string]map[string]int64{}}
 }
 
-func (t *traffic) told(line *Line) {
-	t.last[line.Entry], t.calls[line.Entry] = line.Exchanged, line.StoreCalls
+func (t *traffic) update(line *Line) {
+	t.current[line.Entry], t.currentCalls[line.Entry] = line.Exchanged, line.StoreCalls
 }
 
-// started closes the counts of an entry's start before.
-func (t *traffic) started(entry string) {
-	t.over[entry] = addExchanged(t.over[entry], t.last[entry])
-	t.callsOver[entry] = addCalls(t.callsOver[entry], t.calls[entry])
-	delete(t.last, entry)
-	delete(t.calls, entry)
+// restart adds the counts of an entry's last run to those of its earlier runs.
+func (t *traffic) restart(entry string) {
+	t.previous[entry] = addMessageCounts(t.previous[entry], t.current[entry])
+	t.previousCalls[entry] = addCalls(t.previousCalls[entry], t.currentCalls[entry])
+	delete(t.current, entry)
+	delete(t.currentCalls, entry)
 }
 
-func addExchanged(sum, more MessageCounts) MessageCounts {
+func addMessageCounts(sum, more MessageCounts) MessageCounts {
 	if sum == nil {
 		sum = MessageCounts{}
 	}
@@ -63,25 +63,26 @@
 	return sum
 }
 
-// TrafficRow is what all entries exchanged of a kind in a direction, and the most that one of them did.
+// TrafficRow sums the messages of one kind and direction over all entries. MaxBytes and MaxEntry are the largest share
+// of one entry and its name.
 type TrafficRow struct {
-	Direction, Kind       string
+	Direction, Kind string
 	Messages, Bytes int64
-	MaxBytes       int64
-	MaxEntry       string
+	MaxBytes        int64
+	MaxEntry        string
 }
 
-// Traffic returns the rows by direction and kind, and the store's calls by what they read.
+// Traffic returns the rows ordered by direction and kind, and the number of calls to the store by type.
 func (a *Report) Traffic() ([]TrafficRow, map[string]int64) {
 	rows, calls := map[[2]string]*TrafficRow{}, map[string]int64{}
-	entries := maps.Clone(a.traffic.last)
-	for entry := range a.traffic.over {
+	entries := maps.Clone(a.traffic.current)
+	for entry := range a.traffic.previous {
 		if entries[entry] == nil {
 			entries[entry] = MessageCounts{}
 		}
 	}
 	for _, entry := range slices.Sorted(maps.Keys(entries)) {
-		whole := addExchanged(addExchanged(nil, a.traffic.over[entry]), a.traffic.last[entry])
+		whole := addMessageCounts(addMessageCounts(nil, a.traffic.previous[entry]), a.traffic.current[entry])
 		for way, kinds := range whole {
 			for kind, counts := range kinds {
 				key := [2]string{way, kind}
@@ -91,7 +92,7 @@
 				rows[key].add(entry, counts)
 			}
 		}
-		calls = addCalls(addCalls(calls, a.traffic.callsOver[entry]), a.traffic.calls[entry])
+		calls = addCalls(addCalls(calls, a.traffic.previousCalls[entry]), a.traffic.currentCalls[entry])
 	}
 	sorted := make([]TrafficRow, 0, len(rows))
 	for _, row := range rows {
@@ -111,7 +112,8 @@
 	}
 }
 
-// WriteTraffic writes what entries exchanged, the calls of the store, and how long changes took to reach them.
+// WriteTraffic writes tables of the messages between entries, the calls to the store and the propagation delays of
+// changes; nothing if the logs hold no counts.
 func (a *Report) WriteTraffic(out io.Writer) error {
 	rows, calls := a.Traffic()
 	if len(rows) == 0 && len(calls) == 0 {
@@ -128,9 +130,9 @@
 		print("%s\t%d\t\n", call, calls[call])
 	}
 	print("\t\nchange\tchanges\tentries\tp50 ms\tp99 ms\tlast ms\tlast entry\t\n")
-	for _, kind := range slices.Sorted(maps.Keys(a.spread.byKind)) {
-		s := a.spread.byKind[kind]
-		print("%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", kind, s.changes, s.delays.TotalCount(), s.delays.ValueAtQuantile(50), s.delays.ValueAtQuantile(99), s.last, s.lastEntry)
+	for _, kind := range slices.Sorted(maps.Keys(a.propagation.byKind)) {
+		s := a.propagation.byKind[kind]
+		print("%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", kind, s.changes, s.delays.TotalCount(), s.delays.ValueAtQuantile(50), s.delays.ValueAtQuantile(99), s.maxMs, s.maxEntry)
 	}
 	return w.Flush()
 }
--- a/entry/account/traffic_test.go
+++ b/entry/account/traffic_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// line is one log line of an entry.
+// line returns one log line of an entry.
 func line(ms int, entry, message, fields string) string {
 	return fmt.Sprintf(`{"msg":%q,"time":%q,"name":%q,%s}`+"\n", message, stamp(ms), entry, fields)
 }
 
-// An entry tells what it has exchanged since its start, again and again, and is restarted in between: what it had counted
-// before is neither lost nor counted twice.
+// An entry logs its counts since its start repeatedly and is restarted in between. The counts of its earlier runs must
+// be neither lost nor counted twice.
 func TestTheExchangeOfAllStartsIsSummed(t *testing.T) {
 	told := func(messages, bytes, calls int) string {
 		return fmt.Sprintf(`"exchanged":{"sent.far":{"heartbeat":[%d,%d]}},"storeCalls":{"watch":%d}`, messages, bytes, calls)
@@ -31,7 +31,8 @@
 	require.Contains(t, out.String(), "sent.far")
 }
 
-// A change is told by the lines of all entries that learn of it; what one learns as it starts is no news.
+// The delays of a change count from the first entry that logs it, and must not include entries that learn it at their
+// start.
 func TestTheSpreadOfAChangeCountsFromTheFirstEntry(t *testing.T) {
 	serves := func(entry string) string { return line(0, entry, messageState, `"to":"serving"`) }
 	change := `"server":"i-1","to":"leaving","revision":7`
@@ -41,11 +42,11 @@
 		line(900, "e3", messageServer, change)+line(950, "e3", messageState, `"to":"serving"`)+line(5300, "e3", messageConfiguration, `"version":9`),
 		line(10, "e4", "the division of the servers by zone has changed", `"to":["a"]`))
 	require.Empty(t, bad)
-	leaving, configuration := a.spread.byKind["server leaving"], a.spread.byKind["configuration"]
+	leaving, configuration := a.propagation.byKind["server leaving"], a.propagation.byKind["configuration"]
 	require.EqualValues(t, 3, leaving.delays.TotalCount(), "also by a clock that is behind")
-	require.EqualValues(t, 30, leaving.last)
-	require.Equal(t, "e2", leaving.lastEntry)
+	require.EqualValues(t, 30, leaving.maxMs)
+	require.Equal(t, "e2", leaving.maxEntry)
 	require.Equal(t, 1, configuration.changes)
-	require.EqualValues(t, 300, configuration.last)
-	require.Equal(t, "e3", configuration.lastEntry)
+	require.EqualValues(t, 300, configuration.maxMs)
+	require.Equal(t, "e3", configuration.maxEntry)
 }
