--- a/entry/cmd/arbutus-entry/account.go
+++ b/entry/cmd/arbutus-entry/account.go
@@ -12,17 +12,17 @@
 	"arbutusdeck/entry/account"
 )
 
-// shownBadLines is how many lines that can't be read are named; all are counted.
-const shownBadLines = 5
+// maxPrintedBadLines bounds the unreadable lines that are printed; all are counted.
+const maxPrintedBadLines = 5
 
 func accountCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "account",
-		Usage:     "tell from entries' log lines what callers got, and why requests were late, refused or failed",
-		ArgsUsage: "[LOGS...] (standard input without any)",
+		Usage:     "report from entries' logs how requests were served, and why requests were late, refused or failed",
+		ArgsUsage: "[LOGS...] (default: standard input)",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "csv", Usage: "write comma-separated values in place of tables"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the causes over time into `FILE` (SVG)"},
+			&cli.BoolFlag{Name: "csv", Usage: "write comma-separated values instead of tables"},
+			&cli.StringFlag{Name: "plot", Usage: "plot the causes over time to `FILE` (SVG)"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			return runAccount(c.Args().Slice(), c.Bool("csv"), c.String("plot"), c.Root().Writer, c.Root().ErrWriter)
@@ -38,58 +38,58 @@
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			return fmt.Errorf("account: %w; give files with the entries' log lines", err)
+			return fmt.Errorf("account: %w; expected files with the log lines of entries", err)
 		}
 		defer file.Close()
 		inputs = append(inputs, account.Input{Name: path, In: file})
 	}
-	a, err := readAccount(inputs, errs)
+	report, err := readLogs(inputs, errs)
 	if err != nil {
 		return err
 	}
 	if plot != "" {
-		if err := writePlot(a, plot); err != nil {
+		if err := writePlot(report, plot); err != nil {
 			return err
 		}
 	}
 	if asCSV {
-		return a.WriteCSV(out)
+		return report.WriteCSV(out)
 	}
-	if err := a.WriteTable(out); err != nil {
+	if err := report.WriteTable(out); err != nil {
 		return err
 	}
-	return a.WriteTraffic(out)
+	return report.WriteTraffic(out)
 }
 
-func readAccount(inputs []account.Input, errs io.Writer) (*account.Report, error) {
-	a := account.New()
-	report := func(bad *account.BadLine) {
-		if a.BadLines <= shownBadLines {
+func readLogs(inputs []account.Input, errs io.Writer) (*account.Report, error) {
+	report := account.New()
+	onBadLine := func(bad *account.BadLine) {
+		if report.BadLines <= maxPrintedBadLines {
 			_, _ = fmt.Fprintln(errs, bad)
 		}
 	}
 	progress := func(lines int) { _, _ = fmt.Fprintf(errs, "%d lines read\n", lines) }
-	if err := a.Read(inputs, report, progress); err != nil {
+	if err := report.Read(inputs, onBadLine, progress); err != nil {
 		return nil, fmt.Errorf("account: %w", err)
 	}
-	if a.BadLines > 0 {
-		_, _ = fmt.Fprintf(errs, "%d lines could not be read and are left out\n", a.BadLines)
+	if report.BadLines > 0 {
+		_, _ = fmt.Fprintf(errs, "%d lines could not be read and are left out\n", report.BadLines)
 	}
-	if a.DroppedRequests > 0 {
-		_, _ = fmt.Fprintf(errs, "%d requests began while too many were open and are left out\n", a.DroppedRequests)
+	if report.DroppedRequests > 0 {
+		_, _ = fmt.Fprintf(errs, "%d requests began while too many were open and are left out\n", report.DroppedRequests)
 	}
-	if a.All.Requests == 0 {
-		return nil, errors.New("account: no requests in the logs; give the standard output of `arbutus-entry forward`")
+	if report.All.Requests == 0 {
+		return nil, errors.New("account: no requests in the logs; expected the standard output of `arbutus-entry forward`")
 	}
-	return a, nil
+	return report, nil
 }
 
-func writePlot(a *account.Report, path string) error {
+func writePlot(report *account.Report, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("account: %w", err)
 	}
-	if err := a.WritePlot(file); err != nil {
+	if err := report.WritePlot(file); err != nil {
 		_ = file.Close()
 		return fmt.Errorf("account: %w", err)
 	}
--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -1,5 +1,5 @@
-// Command arbutus-entry is the entry daemon: a few run behind the platform's
-// balancer and take callers' requests.
+// Command arbutus-entry runs the entry daemon. A few entries run behind the platform's
+// load balancer and route callers' requests to backend servers.
 package main
 
 import (
@@ -22,7 +22,7 @@
 func main() {
 	command := &cli.Command{
 		Name:        "arbutus-entry",
-		Usage:       "take callers' requests and find each a backend server",
+		Usage:       "route callers' requests to backend servers",
 		Version:     process.Version,
 		Description: process.ExitCodesHelp,
 		Commands:    append([]*cli.Command{serveCommand(), forwardCommand(), accountCommand(), demoCommand()}, commands.Operator()...),
@@ -33,7 +33,7 @@
 func serveCommand() *cli.Command {
 	var settings server.Settings
 	flags := append(commands.SettingsFlags(&settings.Settings),
-		&cli.StringFlag{Name: "listen-address", Usage: "IP and port for callers", Sources: cli.EnvVars("ARBUTUS_LISTEN_ADDRESS")})
+		&cli.StringFlag{Name: "listen-address", Usage: "IP address and port on which callers are served", Sources: cli.EnvVars("ARBUTUS_LISTEN_ADDRESS")})
 	return &cli.Command{
 		Name:   "serve",
 		Usage:  "run the daemon until SIGTERM",
@@ -45,8 +45,8 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run everything in one process, without set-up: short prompts beside enormous ones",
-		Flags: []cli.Flag{&cli.DurationFlag{Name: "duration", Value: demoDuration, Usage: "how long callers come, for each of the two runs"}},
+		Usage: "run the whole system in one process, with short and very long prompts; needs no configuration",
+		Flags: []cli.Flag{&cli.DurationFlag{Name: "duration", Value: defaultDemoDuration, Usage: "how long callers send requests in each of the two runs"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt)
 			defer stop()
@@ -55,13 +55,13 @@
 	}
 }
 
-// demoDuration is long enough for a stable table.
-const demoDuration = 12 * time.Second
+// defaultDemoDuration is the default duration of a run. It yields enough requests for stable percentiles.
+const defaultDemoDuration = 12 * time.Second
 
 func serve(ctx context.Context, c *cli.Command, settings *server.Settings) error {
-	given := settings.Settings
+	fromFlags := settings.Settings
 	override := func() {
-		commands.Override(c, &settings.Settings, given)
+		commands.Override(c, &settings.Settings, fromFlags)
 		if c.IsSet("listen-address") {
 			settings.ListenAddress = c.String("listen-address")
 		}
@@ -82,7 +82,7 @@
 func forwardCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "forward",
-		Usage: "run the daemon that forwards requests by host name and path, until SIGTERM",
+		Usage: "run the daemon that routes requests by host name and path until SIGTERM",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the daemon's settings `FILE` (YAML)", Required: true, Sources: cli.EnvVars("ARBUTUS_SETTINGS")}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return forward(ctx, c.String("settings"))
