--- a/entry/demo/demo.go
+++ b/entry/demo/demo.go
@@ -48,8 +48,8 @@
 	readyLimit   = 20 * time.Second
 )
 
-// Outcome is what the callers of one run saw.
-type Outcome struct {
+// RunResult is what the callers of one run saw.
+type RunResult struct {
 	Name       string
 	FirstToken map[string]*hdrhistogram.Histogram // microseconds, by length
 	Sent, Done int
@@ -66,7 +66,7 @@
 func Run(ctx context.Context, options Options) error {
 	fmt.Fprintf(options.Out, "arbutusdeck demo: 1 entry, %d host daemons, %d engines (%d times real speed), %s for each run\n",
 		servers, servers, speed, options.Duration)
-	var outcomes []*Outcome
+	var outcomes []*RunResult
 	for _, policy := range []scheduling.Policy{scheduling.FirstComeFirstServed, scheduling.Isolating} {
 		outcome, err := run(ctx, options, policy)
 		if err != nil {
@@ -77,7 +77,7 @@
 	return printTable(options.Out, outcomes)
 }
 
-func run(ctx context.Context, options Options, policy scheduling.Policy) (*Outcome, error) {
+func run(ctx context.Context, options Options, policy scheduling.Policy) (*RunResult, error) {
 	spec := fleet.DefaultSpec()
 	spec.Servers, spec.Entries, spec.Speed, spec.Slots = servers, 1, speed, 16
 	spec.Engine = engine.DefaultSpec()
@@ -98,7 +98,7 @@
 	if err := awaitReady(ctx, f); err != nil {
 		return nil, err
 	}
-	outcome := &Outcome{Name: names[policy], FirstToken: map[string]*hdrhistogram.Histogram{shortLength: histogram(), longLength: histogram()}}
+	outcome := &RunResult{Name: names[policy], FirstToken: map[string]*hdrhistogram.Histogram{shortLength: histogram(), longLength: histogram()}}
 	callers(ctx, options, f, outcome)
 	return outcome, ctx.Err()
 }
@@ -174,7 +174,7 @@
 }
 
 // callers sends both kinds of traffic and shows how it goes.
-func callers(ctx context.Context, options Options, f *fleet.Fleet, outcome *Outcome) {
+func callers(ctx context.Context, options Options, f *fleet.Fleet, outcome *RunResult) {
 	fmt.Fprintf(options.Out, "\n%s\n", outcome.Name)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	defer client.CloseIdleConnections()
@@ -254,7 +254,7 @@
 	return (time.Duration(h.ValueAtQuantile(q)) * time.Microsecond).Round(time.Millisecond).String()
 }
 
-func printTable(out io.Writer, outcomes []*Outcome) error {
+func printTable(out io.Writer, outcomes []*RunResult) error {
 	fmt.Fprintln(out, "\ntime to first token, in the demo's own time")
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "run\tprompts\tanswered\tp50\tp95\tp99")
