--- a/entry/demo/demo.go
+++ b/entry/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole system in one process against stand-ins of the
-// platform and the engines: short prompts beside enormous ones, with and without
-// isolation. Nothing of it is on the serving path.
+// Package demo runs the whole system in one process against simulators of the platform
+// and the engines. It sends short and very long prompts together, with and without
+// isolation, and compares the times to the first token. It is not used for serving.
 package demo
 
 import (
@@ -27,16 +27,16 @@
 	"arbutusdeck/standin/fleet"
 )
 
-// Options describe a demo.
+// Options configures a demo.
 type Options struct {
-	// Duration is how long callers come, for each of the two runs.
+	// Duration is the time for which callers send requests in each of the two runs.
 	Duration time.Duration
-	// Out gets the progress and the closing table.
+	// Out receives the progress lines and the final table.
 	Out io.Writer
 }
 
-// The engines run speed times faster than real ones, so that enormous prompts
-// are seen within seconds. All printed times are those of the demo's own clock.
+// Parameters of the demo. The simulated engines run speed times faster than real ones,
+// so that very long prompts complete within seconds. Printed times are not scaled back.
 const (
 	speed        = 20
 	servers      = 3
@@ -48,33 +48,34 @@
 	readyLimit   = 20 * time.Second
 )
 
-// RunResult is what the callers of one run saw.
+// RunResult holds the responses of one run as its callers saw them.
 type RunResult struct {
 	Name       string
-	FirstToken map[string]*hdrhistogram.Histogram // microseconds, by length
+	FirstToken map[string]*hdrhistogram.Histogram // microseconds, by prompt length
 	Sent, Done int
 	Refused    int
 }
 
-// Lengths of prompts in the demo.
+// Prompt lengths of the demo, as printed and as keys of RunResult.FirstToken.
 const (
 	shortLength = "short (1.5k tokens)"
 	longLength  = "long (250k tokens)"
 )
 
-// Run runs the demo and prints its table.
+// Run runs the demo and prints its table. It returns an error if a daemon does not start or
+// ctx is cancelled.
 func Run(ctx context.Context, options Options) error {
 	fmt.Fprintf(options.Out, "arbutusdeck demo: 1 entry, %d host daemons, %d engines (%d times real speed), %s for each run\n",
 		servers, servers, speed, options.Duration)
-	var outcomes []*RunResult
+	var results []*RunResult
 	for _, policy := range []scheduling.Policy{scheduling.FirstComeFirstServed, scheduling.Isolating} {
-		outcome, err := run(ctx, options, policy)
+		result, err := run(ctx, options, policy)
 		if err != nil {
 			return err
 		}
-		outcomes = append(outcomes, outcome)
+		results = append(results, result)
 	}
-	return printTable(options.Out, outcomes)
+	return printTable(options.Out, results)
 }
 
 func run(ctx context.Context, options Options, policy scheduling.Policy) (*RunResult, error) {
@@ -98,12 +99,12 @@
 	if err := awaitReady(ctx, f); err != nil {
 		return nil, err
 	}
-	outcome := &RunResult{Name: names[policy], FirstToken: map[string]*hdrhistogram.Histogram{shortLength: histogram(), longLength: histogram()}}
-	callers(ctx, options, f, outcome)
-	return outcome, ctx.Err()
+	result := &RunResult{Name: runNames[policy], FirstToken: map[string]*hdrhistogram.Histogram{shortLength: histogram(), longLength: histogram()}}
+	sendTraffic(ctx, options, f, result)
+	return result, ctx.Err()
 }
 
-var names = map[scheduling.Policy]string{
+var runNames = map[scheduling.Policy]string{
 	scheduling.FirstComeFirstServed: "without isolation (first come, first served)",
 	scheduling.Isolating:            "with isolation",
 }
@@ -114,31 +115,32 @@
 
 func startDaemons(t *tomb.Tomb, f *fleet.Fleet, policy scheduling.Policy) error {
 	for i := range servers {
-		written, err := f.HostSettings(i)
+		generated, err := f.HostSettings(i)
 		if err != nil {
 			return err
 		}
-		settings := host.Settings{Settings: common(written.Common), Engines: written.Engines, Services: written.Services, SchedulingPolicy: string(policy)}
+		settings := host.Settings{Settings: commonSettings(generated.Common), Engines: generated.Engines, Services: generated.Services, SchedulingPolicy: string(policy)}
 		daemonOptions := host.DefaultOptions(settings, process.Quiet(), audit.NewTrail(nil, audit.DefaultLimit))
 		if policy == scheduling.FirstComeFirstServed {
-			daemonOptions.Backend.Limits.Patience = patient
+			daemonOptions.Backend.Limits.Patience = disabledPatience
 		}
 		if err := host.New(daemonOptions).Start(t); err != nil {
 			return err
 		}
 	}
-	written, err := f.EntrySettings(0)
+	generated, err := f.EntrySettings(0)
 	if err != nil {
 		return err
 	}
-	settings := entry.Settings{Settings: common(written.Common), ListenAddress: written.ListenAddress}
+	settings := entry.Settings{Settings: commonSettings(generated.Common), ListenAddress: generated.ListenAddress}
 	return entry.New(entry.DefaultOptions(settings, process.Quiet(), audit.NewTrail(nil, audit.DefaultLimit))).Start(t)
 }
 
-// patient switches early refusals off, which the plain baseline does not have.
-const patient = 1e4
+// disabledPatience is a Patience so large that hosts refuse no request early, as the baseline
+// without isolation has no early refusals.
+const disabledPatience = 1e4
 
-func common(c fleet.Common) process.Settings {
+func commonSettings(c fleet.Common) process.Settings {
 	settings := process.Settings{Name: c.Name, Zone: c.Zone, AdminAddress: c.AdminAddress, AdminToken: c.AdminToken, Platform: c.Platform,
 		PeerAddress: c.PeerAddress, Secret: c.Secret}
 	for _, peer := range c.Peers {
@@ -149,11 +151,11 @@
 
 func awaitReady(ctx context.Context, f *fleet.Fleet) error {
 	deadline := time.Now().Add(readyLimit)
-	waiting := []string{fleet.EntryName(0)}
+	pending := []string{fleet.EntryName(0)}
 	for i := range servers {
-		waiting = append(waiting, fleet.ServerName(i))
+		pending = append(pending, fleet.ServerName(i))
 	}
-	for _, name := range waiting {
+	for _, name := range pending {
 		for !ready(f.AdminURL(name) + "/readyz") {
 			if time.Now().After(deadline) || ctx.Err() != nil {
 				return fmt.Errorf("%s did not become ready", name)
@@ -173,52 +175,53 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// callers sends both kinds of traffic and shows how it goes.
-func callers(ctx context.Context, options Options, f *fleet.Fleet, outcome *RunResult) {
-	fmt.Fprintf(options.Out, "\n%s\n", outcome.Name)
+// sendTraffic sends short and long prompts for the duration of the run and prints the progress.
+func sendTraffic(ctx context.Context, options Options, f *fleet.Fleet, result *RunResult) {
+	fmt.Fprintf(options.Out, "\n%s\n", result.Name)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	defer client.CloseIdleConnections()
 	random := rand.New(rand.NewPCG(1, 1))
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	var mu sync.Mutex
 	send := func(length string, tokens int) {
-		wait.Go(func() {
-			first, ok := ask(ctx, client, f.CallerURL(0), tokens)
+		group.Go(func() {
+			first, ok := sendPrompt(ctx, client, f.CallerURL(0), tokens)
 			mu.Lock()
 			defer mu.Unlock()
-			outcome.Sent++
+			result.Sent++
 			if !ok {
-				outcome.Refused++
+				result.Refused++
 				return
 			}
-			outcome.Done++
-			_ = outcome.FirstToken[length].RecordValue(first.Microseconds())
+			result.Done++
+			_ = result.FirstToken[length].RecordValue(first.Microseconds())
 		})
 	}
-	begun := time.Now()
-	nextLong, nextLine := begun, begun.Add(time.Second)
-	for now := begun; now.Sub(begun) < options.Duration && ctx.Err() == nil; now = time.Now() {
+	start := time.Now()
+	nextLong, nextProgress := start, start.Add(time.Second)
+	for now := start; now.Sub(start) < options.Duration && ctx.Err() == nil; now = time.Now() {
 		send(shortLength, shortTokens)
 		if !now.Before(nextLong) {
 			nextLong = now.Add(longEvery)
 			send(longLength, longTokens)
 		}
-		if !now.Before(nextLine) {
-			nextLine = now.Add(time.Second)
+		if !now.Before(nextProgress) {
+			nextProgress = now.Add(time.Second)
 			mu.Lock()
-			fmt.Fprintf(options.Out, "  %2.0f s: %4d answered, short p95 %s\n", now.Sub(begun).Seconds(), outcome.Done, p95(outcome.FirstToken[shortLength]))
+			fmt.Fprintf(options.Out, "  %2.0f s: %4d answered, short p95 %s\n", now.Sub(start).Seconds(), result.Done, p95(result.FirstToken[shortLength]))
 			mu.Unlock()
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / shortPerSec * float64(time.Second)))
 	}
-	wait.Wait()
+	group.Wait()
 }
 
-// bytesPerToken is how the entry reckons a prompt's length.
+// bytesPerToken is the factor by which the entry estimates the length of a prompt.
 const bytesPerToken = 4
 
-// ask sends one prompt and returns the time to its first token.
-func ask(ctx context.Context, client *http.Client, url string, tokens int) (time.Duration, bool) {
+// sendPrompt sends one prompt. It returns the time to the first token, and false if the request
+// was refused or failed.
+func sendPrompt(ctx context.Context, client *http.Client, url string, tokens int) (time.Duration, bool) {
 	kind := fleet.Kind
 	if tokens == longTokens {
 		kind = fleet.LongKind
@@ -231,7 +234,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+fleet.APIKey)
 	request.Header.Set("X-Request-Kind", kind)
-	begun := time.Now()
+	start := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, false
@@ -241,9 +244,9 @@
 		_, _ = io.Copy(io.Discard, response.Body)
 		return 0, false
 	}
-	var one [1]byte
-	_, err = io.ReadFull(response.Body, one[:])
-	first := time.Since(begun)
+	var firstByte [1]byte
+	_, err = io.ReadFull(response.Body, firstByte[:])
+	first := time.Since(start)
 	_, _ = io.Copy(io.Discard, response.Body)
 	return first, err == nil
 }
@@ -254,21 +257,21 @@
 	return (time.Duration(h.ValueAtQuantile(q)) * time.Microsecond).Round(time.Millisecond).String()
 }
 
-func printTable(out io.Writer, outcomes []*RunResult) error {
+func printTable(out io.Writer, results []*RunResult) error {
 	fmt.Fprintln(out, "\ntime to first token, in the demo's own time")
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "run\tprompts\tanswered\tp50\tp95\tp99")
-	for _, outcome := range outcomes {
+	for _, result := range results {
 		for _, length := range []string{shortLength, longLength} {
-			h := outcome.FirstToken[length]
-			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", outcome.Name, length, h.TotalCount(), quantile(h, 50), quantile(h, 95), quantile(h, 99))
+			h := result.FirstToken[length]
+			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", result.Name, length, h.TotalCount(), quantile(h, 50), quantile(h, 95), quantile(h, 99))
 		}
-		fmt.Fprintf(table, "\trefused, with a time to come back\t%d\t\t\t\n", outcome.Refused)
+		fmt.Fprintf(table, "\trefused, with a time to come back\t%d\t\t\t\n", result.Refused)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	without, with := outcomes[0].FirstToken[shortLength], outcomes[1].FirstToken[shortLength]
+	without, with := results[0].FirstToken[shortLength], results[1].FirstToken[shortLength]
 	slowdown := float64(without.ValueAtQuantile(95)) / math.Max(1, float64(with.ValueAtQuantile(95)))
 	_, err := fmt.Fprintf(out, "\nshort prompts beside long ones begin %.1f times later at p95 without isolation than with it\n", slowdown)
 	return err
