--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -45,29 +45,29 @@
 	return &GroupStats{Causes: map[Cause]int{}, FirstEvent: histogram(), WithLongPrompts: histogram(), WithoutLongPrompts: histogram()}
 }
 
-func (t *GroupStats) add(cause Cause, first *float64, beside bool) error {
-	t.Requests++
-	t.Causes[cause]++
-	if first == nil {
+func (g *GroupStats) add(cause Cause, firstMs *float64, besideLong bool) error {
+	g.Requests++
+	g.Causes[cause]++
+	if firstMs == nil {
 		return nil
 	}
-	ms := min(max(int64(*first), 1), maxHistogramMs)
-	if err := t.FirstEvent.RecordValue(ms); err != nil {
+	ms := min(max(int64(*firstMs), 1), maxHistogramMs)
+	if err := g.FirstEvent.RecordValue(ms); err != nil {
 		return err
 	}
-	if beside {
-		return t.WithLongPrompts.RecordValue(ms)
+	if besideLong {
+		return g.WithLongPrompts.RecordValue(ms)
 	}
-	return t.WithoutLongPrompts.RecordValue(ms)
+	return g.WithoutLongPrompts.RecordValue(ms)
 }
 
 // Slowdown returns the ratio of the median times to the first event with and without much
 // longer open prompts; 0 if one of them is unknown.
-func (t *GroupStats) Slowdown() float64 {
-	if t.WithLongPrompts.TotalCount() == 0 || t.WithoutLongPrompts.TotalCount() == 0 {
+func (g *GroupStats) Slowdown() float64 {
+	if g.WithLongPrompts.TotalCount() == 0 || g.WithoutLongPrompts.TotalCount() == 0 {
 		return 0
 	}
-	return float64(t.WithLongPrompts.ValueAtQuantile(50)) / float64(t.WithoutLongPrompts.ValueAtQuantile(50))
+	return float64(g.WithLongPrompts.ValueAtQuantile(50)) / float64(g.WithoutLongPrompts.ValueAtQuantile(50))
 }
 
 // Bucket counts the requests that began in one interval of time.
@@ -147,10 +147,10 @@
 // that it can't parse, passes them to onBadLine and goes on; it calls progress every
 // progressInterval lines with the number of lines read. It returns an error if an input
 // can't be read.
-func (a *Report) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
+func (r *Report) Read(inputs []Input, onBadLine func(*BadLine), progress func(lines int)) error {
 	m := &merger{onBadLine: func(bad *BadLine) {
-		a.BadLines++
-		report(bad)
+		r.BadLines++
+		onBadLine(bad)
 	}}
 	for _, input := range inputs {
 		if err := m.add(input.Name, input.In); err != nil {
@@ -165,57 +165,57 @@
 		if !ok {
 			break
 		}
-		if err := a.observe(&line); err != nil {
+		if err := r.observe(&line); err != nil {
 			return fmt.Errorf("line of %s at %s: %w", line.Entry, line.Time.Format(time.RFC3339Nano), err)
 		}
 		if lines%progressInterval == 0 {
 			progress(lines)
 		}
 	}
-	return a.finish()
+	return r.finish()
 }
 
-func (a *Report) observe(line *Line) error {
-	if err := a.propagation.observe(line); err != nil {
+func (r *Report) observe(line *Line) error {
+	if err := r.propagation.observe(line); err != nil {
 		return err
 	}
 	switch line.Message {
 	case messageStarted:
-		a.linkMbps[line.Entry] = line.LinkMbps
-		a.traffic.restart(line.Entry)
-		return a.closeRequestsOf(line.Entry)
+		r.linkMbps[line.Entry] = line.LinkMbps
+		r.traffic.restart(line.Entry)
+		return r.closeRequestsOf(line.Entry)
 	case messageServerChosen:
-		a.recordChoice(line)
+		r.recordChoice(line)
 	case messageExchange:
-		a.traffic.update(line)
+		r.traffic.update(line)
 	case messageAttemptEnded:
-		a.suspects.recordAttempt(line)
+		r.suspects.recordAttempt(line)
 	case messageRequestEnded:
-		return a.recordEnd(line)
+		return r.recordEnd(line)
 	}
 	return nil
 }
 
-func (a *Report) recordChoice(line *Line) {
-	if h := a.openRequests[line.Request]; h != nil {
-		a.servers.requestEnded(h.line.Server)
-		h.unseen = a.servers.requestPlaced(line)
-		h.line.PredictedMs, h.line.WaitedMs, h.line.Server = line.PredictedMs, line.WaitedMs, line.Server
-		h.choices++
+func (r *Report) recordChoice(line *Line) {
+	if req := r.openRequests[line.Request]; req != nil {
+		r.servers.requestEnded(req.line.Server)
+		req.unseen = r.servers.requestPlaced(line)
+		req.line.PredictedMs, req.line.WaitedMs, req.line.Server = line.PredictedMs, line.WaitedMs, line.Server
+		req.choices++
 		return
 	}
-	if len(a.openRequests) >= maxOpenRequests {
-		a.DroppedRequests++
+	if len(r.openRequests) >= maxOpenRequests {
+		r.DroppedRequests++
 		return
 	}
 	length := lengthClassOf(line.Tokens)
-	a.openRequests[line.Request] = &openRequest{line: *line, choices: 1, besideLong: a.muchLongerOpen(length), unseen: a.servers.requestPlaced(line)}
-	a.openByLengthClass[length]++
+	r.openRequests[line.Request] = &openRequest{line: *line, choices: 1, besideLong: r.muchLongerOpen(length), unseen: r.servers.requestPlaced(line)}
+	r.openByLengthClass[length]++
 }
 
 // muchLongerOpen reports whether a prompt is open that is much longer than those of a class.
-func (a *Report) muchLongerOpen(length LengthClass) bool {
-	for other, count := range a.openByLengthClass {
+func (r *Report) muchLongerOpen(length LengthClass) bool {
+	for other, count := range r.openByLengthClass {
 		if count > 0 && length >= 0 && other >= length+muchLongerDoublings {
 			return true
 		}
@@ -223,40 +223,40 @@
 	return false
 }
 
-func (a *Report) recordEnd(end *Line) error {
-	h := a.openRequests[end.Request]
-	if h == nil {
-		h = &openRequest{line: *end}
+func (r *Report) recordEnd(end *Line) error {
+	req := r.openRequests[end.Request]
+	if req == nil {
+		req = &openRequest{line: *end}
 	} else {
-		a.removeOpen(end.Request, h)
+		r.removeOpen(end.Request, req)
 	}
-	return a.countRequest(h, causeOf(h, end), end)
+	return r.countRequest(req, causeOf(req, end), end)
 }
 
-func (a *Report) removeOpen(request string, h *openRequest) {
-	delete(a.openRequests, request)
-	a.servers.requestEnded(h.line.Server)
-	a.openByLengthClass[lengthClassOf(h.line.Tokens)]--
+func (r *Report) removeOpen(request string, req *openRequest) {
+	delete(r.openRequests, request)
+	r.servers.requestEnded(req.line.Server)
+	r.openByLengthClass[lengthClassOf(req.line.Tokens)]--
 }
 
 // closeRequestsOf ends the open requests of an entry that has restarted.
-func (a *Report) closeRequestsOf(entry string) error {
-	for request, h := range a.openRequests {
-		if h.line.Entry != entry {
+func (r *Report) closeRequestsOf(entry string) error {
+	for request, req := range r.openRequests {
+		if req.line.Entry != entry {
 			continue
 		}
-		a.removeOpen(request, h)
-		if err := a.countRequest(h, EntryTerminated, &Line{}); err != nil {
+		r.removeOpen(request, req)
+		if err := r.countRequest(req, EntryTerminated, &Line{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *Report) finish() error {
-	for request, h := range a.openRequests {
-		a.removeOpen(request, h)
-		if err := a.countRequest(h, Unfinished, &Line{}); err != nil {
+func (r *Report) finish() error {
+	for request, req := range r.openRequests {
+		r.removeOpen(request, req)
+		if err := r.countRequest(req, Unfinished, &Line{}); err != nil {
 			return err
 		}
 	}
@@ -264,69 +264,69 @@
 }
 
 // countRequest adds a request that has ended to all its groups.
-func (a *Report) countRequest(h *openRequest, cause Cause, end *Line) error {
-	route := h.line.Route
+func (r *Report) countRequest(req *openRequest, cause Cause, end *Line) error {
+	route := req.line.Route
 	if route == "" {
 		route = "(no route)"
 	}
-	tallies := []*GroupStats{a.All, statsOf(a.ByRoute, route), statsOf(a.ByLengthClass, lengthClassOf(h.line.Tokens)), statsOf(a.ByLink, a.linkMbps[h.line.Entry])}
-	if h.choices > 0 {
-		tallies = append(tallies, statsOf(a.ByUnseen, min(h.unseen, maxUnseen)))
+	groups := []*GroupStats{r.All, statsOf(r.ByRoute, route), statsOf(r.ByLengthClass, lengthClassOf(req.line.Tokens)), statsOf(r.ByLink, r.linkMbps[req.line.Entry])}
+	if req.choices > 0 {
+		groups = append(groups, statsOf(r.ByUnseen, min(req.unseen, maxUnseen)))
 	}
 	if cause == Pause && end.FirstMs != nil {
 		from := end.Time.Add(-millis(end.TookMs - *end.FirstMs))
-		a.Pauses.add(a.servers.prefillsBetween(h.line.Server, from, end.Time))
+		r.Pauses.add(r.servers.prefillsBetween(req.line.Server, from, end.Time))
 	}
-	for _, tally := range tallies {
-		if err := tally.add(cause, end.FirstMs, h.besideLong); err != nil {
+	for _, group := range groups {
+		if err := group.add(cause, end.FirstMs, req.besideLong); err != nil {
 			return fmt.Errorf("a time of %v ms: %w", *end.FirstMs, err)
 		}
 	}
-	began := h.line.Time
+	start := req.line.Time
 	if !end.Time.IsZero() {
-		began = end.Time.Add(-millis(end.TookMs))
+		start = end.Time.Add(-millis(end.TookMs))
 	}
-	a.countInBucket(began, cause)
+	r.countInBucket(start, cause)
 	return nil
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func statsOf[K comparable](tallies map[K]*GroupStats, key K) *GroupStats {
-	if tallies[key] == nil {
-		tallies[key] = newGroupStats()
+func statsOf[K comparable](groups map[K]*GroupStats, key K) *GroupStats {
+	if groups[key] == nil {
+		groups[key] = newGroupStats()
 	}
-	return tallies[key]
+	return groups[key]
 }
 
-func (a *Report) countInBucket(began time.Time, cause Cause) {
-	if a.Start.IsZero() {
-		a.Start = began.Truncate(time.Second)
+func (r *Report) countInBucket(start time.Time, cause Cause) {
+	if r.Start.IsZero() {
+		r.Start = start.Truncate(time.Second)
 	}
-	index := int(began.Sub(a.Start) / a.BucketWidth)
-	if a.Buckets[index] == nil {
-		a.Buckets[index] = &Bucket{Causes: map[Cause]int{}}
+	index := int(start.Sub(r.Start) / r.BucketWidth)
+	if r.Buckets[index] == nil {
+		r.Buckets[index] = &Bucket{Causes: map[Cause]int{}}
 	}
-	a.Buckets[index].Asked++
-	a.Buckets[index].Causes[cause]++
-	for len(a.Buckets) > maxBuckets {
-		a.mergeBuckets()
+	r.Buckets[index].Asked++
+	r.Buckets[index].Causes[cause]++
+	for len(r.Buckets) > maxBuckets {
+		r.mergeBuckets()
 	}
 }
 
 // mergeBuckets merges the buckets in pairs, which doubles their width.
-func (a *Report) mergeBuckets() {
+func (r *Report) mergeBuckets() {
 	merged := map[int]*Bucket{}
-	for index, span := range a.Buckets {
+	for index, bucket := range r.Buckets {
 		half := index >> 1
 		if merged[half] == nil {
-			merged[half] = span
+			merged[half] = bucket
 			continue
 		}
-		merged[half].Asked += span.Asked
-		for cause, count := range span.Causes {
+		merged[half].Asked += bucket.Asked
+		for cause, count := range bucket.Causes {
 			merged[half].Causes[cause] += count
 		}
 	}
-	a.Buckets, a.BucketWidth = merged, 2*a.BucketWidth
+	r.Buckets, r.BucketWidth = merged, 2*r.BucketWidth
 }
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -39,20 +39,20 @@
 // Each request has exactly one cause, determined from the last choice of a server for it and from
 // how it ended.
 func TestEachRequestHasOneCause(t *testing.T) {
-	const whole = `"tookMs":1000,"outcome":"finished",`
+	const answered = `"tookMs":1000,"outcome":"finished",`
 	for _, c := range []struct {
 		want              Cause
 		waited, predicted int
 		choices           int
 		end               string
 	}{
-		{InTime, 0, 100, 1, whole + `"firstMs":200,"longestGapMs":100`},
-		{PredictedLate, 0, 400, 1, whole + `"firstMs":500,"longestGapMs":100`},
-		{PredictedInTime, 0, 200, 1, whole + `"firstMs":500,"longestGapMs":100`},
-		{WaitedAtEntry, 200, 200, 1, whole + `"firstMs":500,"longestGapMs":100`},
-		{Pause, 0, 200, 1, whole + `"firstMs":200,"longestGapMs":251`},
-		{Retried, 0, 200, 2, whole + `"firstMs":500,"longestGapMs":1`},
-		{Retried, 0, 200, 2, whole + `"firstMs":200,"longestGapMs":1500`},
+		{InTime, 0, 100, 1, answered + `"firstMs":200,"longestGapMs":100`},
+		{PredictedLate, 0, 400, 1, answered + `"firstMs":500,"longestGapMs":100`},
+		{PredictedInTime, 0, 200, 1, answered + `"firstMs":500,"longestGapMs":100`},
+		{WaitedAtEntry, 200, 200, 1, answered + `"firstMs":500,"longestGapMs":100`},
+		{Pause, 0, 200, 1, answered + `"firstMs":200,"longestGapMs":251`},
+		{Retried, 0, 200, 2, answered + `"firstMs":500,"longestGapMs":1`},
+		{Retried, 0, 200, 2, answered + `"firstMs":200,"longestGapMs":1500`},
 		{RefusedStopping, 0, 0, 0, `"code":"stopping","outcome":"notRun"`},
 		{RefusedQueue, 0, 0, 0, `"code":"queue_full","outcome":"notRun"`},
 		{RefusedInfeasible, 0, 0, 0, `"code":"deadline_infeasible","outcome":"notRun"`},
@@ -133,7 +133,7 @@
 }
 
 // Long logs must widen the time buckets instead of adding more of them, without losing requests.
-func TestRowsByTimeAreBounded(t *testing.T) {
+func TestTimeBucketsAreBounded(t *testing.T) {
 	log := ""
 	for i := range 5 * maxBuckets {
 		log += chosenLine(i*1000, "e1", fmt.Sprint(i), 100, 0, 1) + endedLine(i*1000+10, "e1", fmt.Sprint(i), `"tookMs":10,"outcome":"finished","firstMs":9`)
@@ -142,8 +142,8 @@
 	require.LessOrEqual(t, len(a.Buckets), maxBuckets)
 	require.Equal(t, 8*time.Second, a.BucketWidth)
 	sum := 0
-	for _, span := range a.Buckets {
-		sum += span.Asked
+	for _, bucket := range a.Buckets {
+		sum += bucket.Asked
 	}
 	require.Equal(t, a.All.Requests, sum)
 }
@@ -152,12 +152,12 @@
 	log := chosenLine(0, "e1", "a", 5000, 0, 400) + endedLine(900, "e1", "a", `"tookMs":900,"outcome":"finished","firstMs":600`) +
 		endedLine(2000, "e1", "b", `"code":"stopping","outcome":"notRun"`)
 	a, _ := read(t, log)
-	var table, list, plot strings.Builder
+	var table, csv, plot strings.Builder
 	require.NoError(t, a.WriteTable(&table))
 	require.Contains(t, table.String(), "predicted late")
 	require.Contains(t, table.String(), "up to 8k")
-	require.NoError(t, a.WriteCSV(&list))
-	require.Contains(t, list.String(), "route,r,refused: stopping,1")
+	require.NoError(t, a.WriteCSV(&csv))
+	require.Contains(t, csv.String(), "route,r,refused: stopping,1")
 	require.NoError(t, a.WritePlot(&plot))
 	require.Contains(t, plot.String(), "<svg")
 }
@@ -166,19 +166,19 @@
 // beside paused answers. Of four requests at one server, the third was chosen with all requests
 // known and its answer paused during the prefill of a long prompt; the second was chosen by an
 // entry that did not know of the first.
-func TestTheAccountSplitsByHostAndByWhatWasNotKnown(t *testing.T) {
-	chosen := func(at int, entry, request string, tokens, believed int, helpers string) string {
+func TestReportGroupsByLinkUnseenRequestsAndPrefills(t *testing.T) {
+	chosen := func(at int, entry, request string, tokens, known int, helpers string) string {
 		return fmt.Sprintf(`{"msg":"server chosen","time":%q,"name":%q,"request":%q,"route":"r","tokens":%d,"server":"s1","serverRequests":%d,"helpers":[%s]}`,
-			stamp(at), entry, request, tokens, believed, helpers) + "\n"
+			stamp(at), entry, request, tokens, known, helpers) + "\n"
 	}
 	started := func(entry string, link int) string {
 		return fmt.Sprintf(`{"msg":"started","time":%q,"name":%q,"linkMbps":%d}`, stamp(0), entry, link) + "\n"
 	}
-	whole := `"tookMs":1000,"outcome":"finished","firstMs":100,"longestGapMs":%d`
+	answered := `"tookMs":1000,"outcome":"finished","firstMs":100,"longestGapMs":%d`
 	a, bad := read(t, started("big", 200)+chosen(1, "big", "a", 1000, 0, "")+chosen(20, "big", "c", 1000, 2, "")+
-		endedLine(1010, "big", "a", fmt.Sprintf(whole, 10))+endedLine(1020, "big", "c", fmt.Sprintf(whole, 400)),
+		endedLine(1010, "big", "a", fmt.Sprintf(answered, 10))+endedLine(1020, "big", "c", fmt.Sprintf(answered, 400)),
 		started("small", 20)+chosen(10, "small", "b", 1000, 0, "")+chosen(500, "small", "d", 400_000, 3, `"s2"`)+
-			endedLine(1030, "small", "b", fmt.Sprintf(whole, 10))+endedLine(1400, "small", "d", fmt.Sprintf(whole, 10)))
+			endedLine(1030, "small", "b", fmt.Sprintf(answered, 10))+endedLine(1400, "small", "d", fmt.Sprintf(answered, 10)))
 	require.Empty(t, bad)
 	require.Equal(t, 2, a.ByLink[200].Requests)
 	require.Equal(t, 1, a.ByLink[200].Causes[Pause])
@@ -195,25 +195,25 @@
 // Several servers crash. Four of them crash under one request, submitted three times at two
 // entries, always before its first event; another request ran beside it twice and had events.
 // The table must list the first request first, and omit a request that was there only once.
-func TestRequestsUnderWhichServersEndAreNamed(t *testing.T) {
-	tried := func(at int, entry, request, fingerprint, server, rest string) string {
+func TestRequestsUnderWhichServersCrashAreListed(t *testing.T) {
+	attempt := func(at int, entry, request, fingerprint, server, rest string) string {
 		return fmt.Sprintf(`{"msg":"try ended","time":%q,"name":%q,"request":%q,"fingerprint":%q,"server":%q,"result":"broken"%s}`, stamp(at), entry, request,
 			fingerprint, server, rest) + "\n"
 	}
-	const ended = `,"serverEnded":true`
-	log := tried(0, "e1", "a1", "aa", "s1", ended) + tried(10, "e1", "b1", "bb", "s1", ended+`,"answerMs":700`) +
-		tried(100, "e1", "a1", "aa", "s2", ended) + tried(110, "e1", "b1", "bb", "s2", ended+`,"answerMs":20`) +
-		tried(120, "e1", "c1", "cc", "s2", ended) +
-		tried(200, "e2", "a2", "aa", "s3", ended) + tried(210, "e2", "a2", "aa", "s3", ended) +
-		tried(300, "e2", "a3", "aa", "s4", ended) + tried(400, "e2", "a3", "aa", "s5", `,"serverEnded":false`) +
+	const crashed = `,"serverEnded":true`
+	log := attempt(0, "e1", "a1", "aa", "s1", crashed) + attempt(10, "e1", "b1", "bb", "s1", crashed+`,"answerMs":700`) +
+		attempt(100, "e1", "a1", "aa", "s2", crashed) + attempt(110, "e1", "b1", "bb", "s2", crashed+`,"answerMs":20`) +
+		attempt(120, "e1", "c1", "cc", "s2", crashed) +
+		attempt(200, "e2", "a2", "aa", "s3", crashed) + attempt(210, "e2", "a2", "aa", "s3", crashed) +
+		attempt(300, "e2", "a3", "aa", "s4", crashed) + attempt(400, "e2", "a3", "aa", "s5", `,"serverEnded":false`) +
 		endedLine(500, "e2", "a3", `"code":"connection_lost","outcome":"unknown"`)
 	a, bad := read(t, log)
 	require.Empty(t, bad)
-	endings := a.SuspectRequests()
-	require.Len(t, endings, 2)
-	require.Equal(t, []string{"aa", "bb"}, []string{endings[0].Fingerprint, endings[1].Fingerprint})
-	require.Equal(t, []int{4, 4, 3, 2}, []int{len(endings[0].CrashedServers), len(endings[0].CrashedBeforeFirstEvent), len(endings[0].RequestIDs), len(endings[0].Entries)})
-	require.Equal(t, []int{2, 0}, []int{len(endings[1].CrashedServers), len(endings[1].CrashedBeforeFirstEvent)})
+	suspects := a.SuspectRequests()
+	require.Len(t, suspects, 2)
+	require.Equal(t, []string{"aa", "bb"}, []string{suspects[0].Fingerprint, suspects[1].Fingerprint})
+	require.Equal(t, []int{4, 4, 3, 2}, []int{len(suspects[0].CrashedServers), len(suspects[0].CrashedBeforeFirstEvent), len(suspects[0].RequestIDs), len(suspects[0].Entries)})
+	require.Equal(t, []int{2, 0}, []int{len(suspects[1].CrashedServers), len(suspects[1].CrashedBeforeFirstEvent)})
 	var table strings.Builder
 	require.NoError(t, a.WriteTable(&table))
 	require.Contains(t, table.String(), "request under which servers ended")
--- a/entry/account/beside.go
+++ b/entry/account/activity.go
@@ -28,11 +28,11 @@
 	prefills []prefill
 }
 
-func (p *serverActivity) add(r prefill) {
-	if len(p.prefills) >= maxPrefills {
-		p.prefills = slices.Delete(p.prefills, 0, 1)
+func (a *serverActivity) add(newest prefill) {
+	if len(a.prefills) >= maxPrefills {
+		a.prefills = slices.Delete(a.prefills, 0, 1)
 	}
-	p.prefills = append(p.prefills, r)
+	a.prefills = append(a.prefills, newest)
 }
 
 // PauseStats counts the prefills that began at servers while these wrote answers with a pause
@@ -50,13 +50,13 @@
 // maxLongestPrefills bounds PauseStats.LongestPrefills.
 const maxLongestPrefills = 10_000
 
-func (p *PauseStats) add(reads []prefill) {
+func (p *PauseStats) add(prefills []prefill) {
 	p.Answers++
-	p.ByPrefills[min(len(reads), maxUnseen)]++
-	if len(reads) == 0 || len(p.LongestPrefills) >= maxLongestPrefills {
+	p.ByPrefills[min(len(prefills), maxUnseen)]++
+	if len(prefills) == 0 || len(p.LongestPrefills) >= maxLongestPrefills {
 		return
 	}
-	longest := slices.MaxFunc(reads, func(a, b prefill) int { return int(a.tokens - b.tokens) })
+	longest := slices.MaxFunc(prefills, func(a, b prefill) int { return int(a.tokens - b.tokens) })
 	p.LongestPrefills = append(p.LongestPrefills, longest.tokens)
 }
 
@@ -73,42 +73,42 @@
 // a server is compared with it to find the requests that the choosing entry did not know of.
 type activityByServer map[string]*serverActivity
 
-func (p activityByServer) at(server string) *serverActivity {
-	if p[server] == nil {
-		p[server] = &serverActivity{}
+func (a activityByServer) at(server string) *serverActivity {
+	if a[server] == nil {
+		a[server] = &serverActivity{}
 	}
-	return p[server]
+	return a[server]
 }
 
 // requestPlaced records a choice and returns the number of unseen requests at the server.
-func (p activityByServer) requestPlaced(line *Line) int {
-	first := p.at(line.Server)
-	lacked := max(first.openRequests-line.ServerRequests, 0)
-	first.openRequests++
+func (a activityByServer) requestPlaced(line *Line) int {
+	chosen := a.at(line.Server)
+	unseen := max(chosen.openRequests-line.ServerRequests, 0)
+	chosen.openRequests++
 	part := line.Tokens / int64(len(line.Helpers)+1)
 	for _, server := range append([]string{line.Server}, line.Helpers...) {
-		p.at(server).add(prefill{line.Time, part})
+		a.at(server).add(prefill{line.Time, part})
 	}
-	return lacked
+	return unseen
 }
 
 // requestEnded records that a request no longer runs at a server.
-func (p activityByServer) requestEnded(server string) {
-	if at := p[server]; at != nil && at.openRequests > 0 {
-		at.openRequests--
+func (a activityByServer) requestEnded(server string) {
+	if activity := a[server]; activity != nil && activity.openRequests > 0 {
+		activity.openRequests--
 	}
 }
 
 // prefillsBetween returns the prefills that began at a server between two times.
-func (p activityByServer) prefillsBetween(server string, from, to time.Time) []prefill {
-	at := p[server]
-	if at == nil {
+func (a activityByServer) prefillsBetween(server string, from, to time.Time) []prefill {
+	activity := a[server]
+	if activity == nil {
 		return nil
 	}
 	var found []prefill
-	for _, r := range at.prefills {
-		if r.at.After(from) && r.at.Before(to) {
-			found = append(found, r)
+	for _, p := range activity.prefills {
+		if p.at.After(from) && p.at.Before(to) {
+			found = append(found, p)
 		}
 	}
 	return found
--- a/entry/account/cause.go
+++ b/entry/account/cause.go
@@ -78,7 +78,7 @@
 
 // causeOf returns the cause of an ended request, from the last choice of a server for it and
 // from the line of its end.
-func causeOf(h *openRequest, end *Line) Cause {
+func causeOf(req *openRequest, end *Line) Cause {
 	switch {
 	case end.Code == execution.CodeCallerGone:
 		return CallerDisconnected
@@ -94,28 +94,28 @@
 	case end.Code != "" || end.FirstMs == nil:
 		return ServerFailed
 	case *end.FirstMs > end.TargetMs:
-		return causeOfLate(h, end)
+		return causeOfLate(req, end)
 	case end.GapMs > 0 && end.LongestGapMs > end.GapMs:
-		return causeOfPause(h)
+		return causeOfPause(req)
 	}
 	return InTime
 }
 
-func causeOfPause(h *openRequest) Cause {
-	if h.choices > 1 {
+func causeOfPause(req *openRequest) Cause {
+	if req.choices > 1 {
 		return Retried
 	}
 	return Pause
 }
 
 // causeOfLate returns the cause of a late first event.
-func causeOfLate(h *openRequest, end *Line) Cause {
+func causeOfLate(req *openRequest, end *Line) Cause {
 	switch {
-	case h.choices > 1:
+	case req.choices > 1:
 		return Retried
-	case h.line.PredictedMs > end.TargetMs:
+	case req.line.PredictedMs > end.TargetMs:
 		return PredictedLate
-	case h.line.WaitedMs+h.line.PredictedMs > end.TargetMs:
+	case req.line.WaitedMs+req.line.PredictedMs > end.TargetMs:
 		return WaitedAtEntry
 	}
 	return PredictedInTime
--- a/entry/account/lines.go
+++ b/entry/account/lines.go
@@ -65,12 +65,12 @@
 type StateName string
 
 // UnmarshalJSON accepts any JSON value; all but strings yield the empty name.
-func (w *StateName) UnmarshalJSON(data []byte) error {
-	var word string
-	if err := json.Unmarshal(data, &word); err != nil {
-		word = ""
+func (n *StateName) UnmarshalJSON(data []byte) error {
+	var name string
+	if err := json.Unmarshal(data, &name); err != nil {
+		name = ""
 	}
-	*w = StateName(word)
+	*n = StateName(name)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 
 // advance reads the next valid line into current and passes invalid ones to onBadLine. It returns
 // io.EOF at the end of the input.
-func (s *source) advance(report func(*BadLine)) error {
+func (s *source) advance(onBadLine func(*BadLine)) error {
 	for {
 		raw, err := s.next()
 		if err != nil && !errors.Is(err, bufio.ErrTooLong) {
@@ -143,15 +143,15 @@
 		if err == nil && len(bytes.TrimSpace(raw)) == 0 {
 			continue
 		}
-		line, parsed := parseLine(raw)
+		line, parseErr := parseLine(raw)
 		if err != nil {
-			parsed = fmt.Errorf("longer than %d bytes", maxLineBytes)
+			parseErr = fmt.Errorf("longer than %d bytes", maxLineBytes)
 		}
-		if parsed == nil {
+		if parseErr == nil {
 			s.current = line
 			return nil
 		}
-		report(&BadLine{s.name, s.number, parsed})
+		onBadLine(&BadLine{s.name, s.number, parseErr})
 	}
 }
 
--- a/entry/account/spread.go
+++ b/entry/account/propagation.go
@@ -46,44 +46,44 @@
 	return "", "", false
 }
 
-// observe records the change that a line reports, if any.
-func (s *propagation) observe(line *Line) error {
+// observe records which entries are serving, and the change that a line reports, if any.
+func (p *propagation) observe(line *Line) error {
 	switch {
 	case line.Message == messageStarted:
-		delete(s.serving, line.Entry)
+		delete(p.serving, line.Entry)
 		return nil
 	case line.Message == messageState:
-		s.serving[line.Entry] = line.To == stateServing
+		p.serving[line.Entry] = line.To == stateServing
 		return nil
 	}
 	kind, key, ok := changeIn(line)
-	if !ok || !s.serving[line.Entry] {
+	if !ok || !p.serving[line.Entry] {
 		return nil
 	}
-	of := s.byKind[kind]
-	if of == nil {
-		of = &changeDelays{delays: hdrhistogram.New(1, maxHistogramMs, histogramDigits)}
-		s.byKind[kind] = of
+	stats := p.byKind[kind]
+	if stats == nil {
+		stats = &changeDelays{delays: hdrhistogram.New(1, maxHistogramMs, histogramDigits)}
+		p.byKind[kind] = stats
 	}
-	first, known := s.firstSeen[kind+key]
+	first, known := p.firstSeen[kind+key]
 	if !known {
-		s.remember(kind+key, line.Time)
-		of.changes++
+		p.track(kind+key, line.Time)
+		stats.changes++
 		first = line.Time
 	}
 	// The clocks of hosts differ, so that a later line may have an earlier time.
 	delay := min(max(line.Time.Sub(first).Milliseconds(), 0), maxHistogramMs)
-	if delay > of.maxMs || of.maxEntry == "" {
-		of.maxMs, of.maxEntry = delay, line.Entry
+	if delay > stats.maxMs || stats.maxEntry == "" {
+		stats.maxMs, stats.maxEntry = delay, line.Entry
 	}
-	return of.delays.RecordValue(delay)
+	return stats.delays.RecordValue(delay)
 }
 
-func (s *propagation) remember(key string, at time.Time) {
-	s.firstSeen[key] = at
-	s.order = append(s.order, key)
-	if len(s.order) > maxChanges {
-		delete(s.firstSeen, s.order[0])
-		s.order = s.order[1:]
+func (p *propagation) track(key string, at time.Time) {
+	p.firstSeen[key] = at
+	p.order = append(p.order, key)
+	if len(p.order) > maxChanges {
+		delete(p.firstSeen, p.order[0])
+		p.order = p.order[1:]
 	}
 }
--- a/entry/account/ends.go
+++ b/entry/account/suspects.go
@@ -36,32 +36,32 @@
 type suspectsByFingerprint map[string]*SuspectRequest
 
 // recordAttempt records the end of an attempt if its server crashed.
-func (e suspectsByFingerprint) recordAttempt(line *Line) {
+func (s suspectsByFingerprint) recordAttempt(line *Line) {
 	if !line.ServerEnded || line.Fingerprint == "" {
 		return
 	}
-	known := e[line.Fingerprint]
-	if known == nil {
-		if len(e) >= maxSuspects {
+	suspect := s[line.Fingerprint]
+	if suspect == nil {
+		if len(s) >= maxSuspects {
 			return
 		}
-		known = &SuspectRequest{Fingerprint: line.Fingerprint, CrashedServers: map[string]bool{}, CrashedBeforeFirstEvent: map[string]bool{}, RequestIDs: map[string]bool{},
+		suspect = &SuspectRequest{Fingerprint: line.Fingerprint, CrashedServers: map[string]bool{}, CrashedBeforeFirstEvent: map[string]bool{}, RequestIDs: map[string]bool{},
 			Entries: map[string]bool{}, FirstCrash: line.Time}
-		e[line.Fingerprint] = known
+		s[line.Fingerprint] = suspect
 	}
-	known.CrashedServers[line.Server] = true
+	suspect.CrashedServers[line.Server] = true
 	if line.AnswerMs == nil {
-		known.CrashedBeforeFirstEvent[line.Server] = true
+		suspect.CrashedBeforeFirstEvent[line.Server] = true
 	}
-	known.RequestIDs[line.Request] = true
-	known.Entries[line.Entry] = true
-	known.LastCrash = line.Time
+	suspect.RequestIDs[line.Request] = true
+	suspect.Entries[line.Entry] = true
+	suspect.LastCrash = line.Time
 }
 
 // SuspectRequests returns the requests under which the most servers crashed, in descending order
 // of that number.
-func (a *Report) SuspectRequests() []*SuspectRequest {
-	worst := slices.DeleteFunc(slices.Collect(maps.Values(a.suspects)), func(e *SuspectRequest) bool { return len(e.CrashedServers) < minCrashedServers })
+func (r *Report) SuspectRequests() []*SuspectRequest {
+	worst := slices.DeleteFunc(slices.Collect(maps.Values(r.suspects)), func(suspect *SuspectRequest) bool { return len(suspect.CrashedServers) < minCrashedServers })
 	slices.SortFunc(worst, func(x, y *SuspectRequest) int {
 		return cmp.Or(cmp.Compare(len(y.CrashedServers), len(x.CrashedServers)), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -20,73 +20,73 @@
 
 // groupRows returns a row for all requests, followed by the rows by route, by prompt length, by the
 // link rate of the entry's host and by the number of unseen requests.
-func (a *Report) groupRows() []groupRow {
-	rows := []groupRow{{"all", "all", a.All}}
-	for _, name := range slices.Sorted(maps.Keys(a.ByRoute)) {
-		rows = append(rows, groupRow{"route", name, a.ByRoute[name]})
+func (r *Report) groupRows() []groupRow {
+	rows := []groupRow{{"all", "all", r.All}}
+	for _, name := range slices.Sorted(maps.Keys(r.ByRoute)) {
+		rows = append(rows, groupRow{"route", name, r.ByRoute[name]})
 	}
-	for _, length := range slices.Sorted(maps.Keys(a.ByLengthClass)) {
-		rows = append(rows, groupRow{"prompt", length.String(), a.ByLengthClass[length]})
+	for _, length := range slices.Sorted(maps.Keys(r.ByLengthClass)) {
+		rows = append(rows, groupRow{"prompt", length.String(), r.ByLengthClass[length]})
 	}
-	for _, link := range slices.Sorted(maps.Keys(a.ByLink)) {
-		rows = append(rows, groupRow{"link", fmt.Sprintf("%g Mbit/s", link), a.ByLink[link]})
+	for _, link := range slices.Sorted(maps.Keys(r.ByLink)) {
+		rows = append(rows, groupRow{"link", fmt.Sprintf("%g Mbit/s", link), r.ByLink[link]})
 	}
-	for _, lacked := range slices.Sorted(maps.Keys(a.ByUnseen)) {
-		rows = append(rows, groupRow{"lacked", unseenLabel(lacked), a.ByUnseen[lacked]})
+	for _, unseen := range slices.Sorted(maps.Keys(r.ByUnseen)) {
+		rows = append(rows, groupRow{"lacked", unseenLabel(unseen), r.ByUnseen[unseen]})
 	}
 	return rows
 }
 
 // unseenLabel formats a count that is capped at maxUnseen.
-func unseenLabel(lacked int) string {
-	if lacked == maxUnseen {
-		return fmt.Sprintf("%d or more", lacked)
+func unseenLabel(count int) string {
+	if count == maxUnseen {
+		return fmt.Sprintf("%d or more", count)
 	}
-	return strconv.Itoa(lacked)
+	return strconv.Itoa(count)
 }
 
 // occurringCauses returns the causes of at least one request, in the order of Causes.
-func (a *Report) occurringCauses() []Cause {
-	return slices.DeleteFunc(slices.Clone(Causes), func(c Cause) bool { return a.All.Causes[c] == 0 })
+func (r *Report) occurringCauses() []Cause {
+	return slices.DeleteFunc(slices.Clone(Causes), func(c Cause) bool { return r.All.Causes[c] == 0 })
 }
 
 // WriteTable writes the report as text tables.
-func (a *Report) WriteTable(out io.Writer) error {
+func (r *Report) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	print := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format, values...) }
 	print("requests\t\tasked\tin time %%\tfirst p50 ms\tp95 ms\tp99 ms\tslowdown beside long\t\n")
-	for _, r := range a.groupRows() {
-		print("%s\t%s\t%d\t%.1f\t%s\t%s\t\n", r.group, r.name, r.stats.Requests, 100*share(r.stats.Causes[InTime], r.stats.Requests),
-			formatQuantiles(r.stats), formatRatio(r.stats.Slowdown()))
+	for _, row := range r.groupRows() {
+		print("%s\t%s\t%d\t%.1f\t%s\t%s\t\n", row.group, row.name, row.stats.Requests, 100*share(row.stats.Causes[InTime], row.stats.Requests),
+			formatQuantiles(row.stats), formatRatio(row.stats.Slowdown()))
 	}
 	print("\t\n")
-	causes := a.occurringCauses()
+	causes := r.occurringCauses()
 	print("requests\t\t")
 	for _, cause := range causes {
 		print("%s\t", cause)
 	}
 	print("\n")
-	for _, r := range a.groupRows() {
-		print("%s\t%s\t", r.group, r.name)
+	for _, row := range r.groupRows() {
+		print("%s\t%s\t", row.group, row.name)
 		for _, cause := range causes {
-			print("%d\t", r.stats.Causes[cause])
+			print("%d\t", row.stats.Causes[cause])
 		}
 		print("\n")
 	}
 	print("\t\npaused answers\treads of others there meanwhile\t")
-	for reads := range a.Pauses.ByPrefills {
-		print("%s\t", unseenLabel(reads))
+	for prefills := range r.Pauses.ByPrefills {
+		print("%s\t", unseenLabel(prefills))
 	}
-	print("longest, median tokens\t\n%d\t\t", a.Pauses.Answers)
-	for _, count := range a.Pauses.ByPrefills {
+	print("longest, median tokens\t\n%d\t\t", r.Pauses.Answers)
+	for _, count := range r.Pauses.ByPrefills {
 		print("%d\t", count)
 	}
-	print("%d\t\n", a.Pauses.MedianLongestPrefill())
-	if endings := a.SuspectRequests(); len(endings) > 0 {
+	print("%d\t\n", r.Pauses.MedianLongestPrefill())
+	if suspects := r.SuspectRequests(); len(suspects) > 0 {
 		print("\t\nrequest under which servers ended\tservers\tof them before its first event\tattempts\tentries\tfrom\tto\t\n")
-		for _, e := range endings {
-			print("%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", e.Fingerprint, len(e.CrashedServers), len(e.CrashedBeforeFirstEvent), len(e.RequestIDs), len(e.Entries),
-				e.FirstCrash.Format(time.TimeOnly), e.LastCrash.Format(time.TimeOnly))
+		for _, suspect := range suspects {
+			print("%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", suspect.Fingerprint, len(suspect.CrashedServers), len(suspect.CrashedBeforeFirstEvent), len(suspect.RequestIDs), len(suspect.Entries),
+				suspect.FirstCrash.Format(time.TimeOnly), suspect.LastCrash.Format(time.TimeOnly))
 		}
 	}
 	print("\t\nfrom\tasked\t")
@@ -94,27 +94,27 @@
 		print("%s\t", cause)
 	}
 	print("\n")
-	for _, index := range slices.Sorted(maps.Keys(a.Buckets)) {
-		print("%s\t%d\t", a.bucketStart(index).Format("15:04:05"), a.Buckets[index].Asked)
+	for _, index := range slices.Sorted(maps.Keys(r.Buckets)) {
+		print("%s\t%d\t", r.bucketStart(index).Format("15:04:05"), r.Buckets[index].Asked)
 		for _, cause := range causes {
-			print("%d\t", a.Buckets[index].Causes[cause])
+			print("%d\t", r.Buckets[index].Causes[cause])
 		}
 		print("\n")
 	}
 	return w.Flush()
 }
 
-func (a *Report) bucketStart(index int) time.Time {
-	return a.Start.Add(time.Duration(index) * a.BucketWidth)
+func (r *Report) bucketStart(index int) time.Time {
+	return r.Start.Add(time.Duration(index) * r.BucketWidth)
 }
 
 func share(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
 
-func formatQuantiles(t *GroupStats) string {
-	if t.FirstEvent.TotalCount() == 0 {
+func formatQuantiles(g *GroupStats) string {
+	if g.FirstEvent.TotalCount() == 0 {
 		return "-\t-\t-"
 	}
-	return fmt.Sprintf("%d\t%d\t%d", t.FirstEvent.ValueAtQuantile(50), t.FirstEvent.ValueAtQuantile(95), t.FirstEvent.ValueAtQuantile(99))
+	return fmt.Sprintf("%d\t%d\t%d", g.FirstEvent.ValueAtQuantile(50), g.FirstEvent.ValueAtQuantile(95), g.FirstEvent.ValueAtQuantile(99))
 }
 
 func formatRatio(value float64) string {
@@ -127,18 +127,18 @@
 // WriteCSV writes the report as CSV with one record for each cause of each group and time bucket:
 // group, name, cause, number of requests, and for groups the median and the 99th percentile of the
 // time to the first event in milliseconds.
-func (a *Report) WriteCSV(out io.Writer) error {
+func (r *Report) WriteCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	records := [][]string{{"group", "name", "cause", "requests", "first p50 ms", "first p99 ms"}}
-	for _, r := range a.groupRows() {
-		for _, cause := range a.occurringCauses() {
-			records = append(records, []string{r.group, r.name, string(cause), strconv.Itoa(r.stats.Causes[cause]),
-				strconv.FormatInt(r.stats.FirstEvent.ValueAtQuantile(50), 10), strconv.FormatInt(r.stats.FirstEvent.ValueAtQuantile(99), 10)})
+	for _, row := range r.groupRows() {
+		for _, cause := range r.occurringCauses() {
+			records = append(records, []string{row.group, row.name, string(cause), strconv.Itoa(row.stats.Causes[cause]),
+				strconv.FormatInt(row.stats.FirstEvent.ValueAtQuantile(50), 10), strconv.FormatInt(row.stats.FirstEvent.ValueAtQuantile(99), 10)})
 		}
 	}
-	for _, index := range slices.Sorted(maps.Keys(a.Buckets)) {
-		for _, cause := range a.occurringCauses() {
-			records = append(records, []string{"time", a.bucketStart(index).Format(time.RFC3339), string(cause), strconv.Itoa(a.Buckets[index].Causes[cause]), "", ""})
+	for _, index := range slices.Sorted(maps.Keys(r.Buckets)) {
+		for _, cause := range r.occurringCauses() {
+			records = append(records, []string{"time", r.bucketStart(index).Format(time.RFC3339), string(cause), strconv.Itoa(r.Buckets[index].Causes[cause]), "", ""})
 		}
 	}
 	if err := w.WriteAll(records); err != nil {
@@ -148,8 +148,8 @@
 }
 
 // failureCauses returns the occurring causes except InTime, the most frequent first.
-func (a *Report) failureCauses() []Cause {
-	causes := slices.DeleteFunc(a.occurringCauses(), func(c Cause) bool { return c == InTime })
-	slices.SortStableFunc(causes, func(x, y Cause) int { return cmp.Compare(a.All.Causes[y], a.All.Causes[x]) })
+func (r *Report) failureCauses() []Cause {
+	causes := slices.DeleteFunc(r.occurringCauses(), func(c Cause) bool { return c == InTime })
+	slices.SortStableFunc(causes, func(x, y Cause) int { return cmp.Compare(r.All.Causes[y], r.All.Causes[x]) })
 	return causes
 }
--- a/entry/account/traffic.go
+++ b/entry/account/traffic.go
@@ -41,13 +41,13 @@
 	if sum == nil {
 		sum = MessageCounts{}
 	}
-	for way, kinds := range more {
-		if sum[way] == nil {
-			sum[way] = map[string][2]int64{}
+	for direction, kinds := range more {
+		if sum[direction] == nil {
+			sum[direction] = map[string][2]int64{}
 		}
 		for kind, counts := range kinds {
-			known := sum[way][kind]
-			sum[way][kind] = [2]int64{known[0] + counts[0], known[1] + counts[1]}
+			known := sum[direction][kind]
+			sum[direction][kind] = [2]int64{known[0] + counts[0], known[1] + counts[1]}
 		}
 	}
 	return sum
@@ -73,26 +73,26 @@
 }
 
 // Traffic returns the rows ordered by direction and kind, and the number of calls to the store by type.
-func (a *Report) Traffic() ([]TrafficRow, map[string]int64) {
+func (r *Report) Traffic() ([]TrafficRow, map[string]int64) {
 	rows, calls := map[[2]string]*TrafficRow{}, map[string]int64{}
-	entries := maps.Clone(a.traffic.current)
-	for entry := range a.traffic.previous {
+	entries := maps.Clone(r.traffic.current)
+	for entry := range r.traffic.previous {
 		if entries[entry] == nil {
 			entries[entry] = MessageCounts{}
 		}
 	}
 	for _, entry := range slices.Sorted(maps.Keys(entries)) {
-		whole := addMessageCounts(addMessageCounts(nil, a.traffic.previous[entry]), a.traffic.current[entry])
-		for way, kinds := range whole {
+		total := addMessageCounts(addMessageCounts(nil, r.traffic.previous[entry]), r.traffic.current[entry])
+		for direction, kinds := range total {
 			for kind, counts := range kinds {
-				key := [2]string{way, kind}
+				key := [2]string{direction, kind}
 				if rows[key] == nil {
-					rows[key] = &TrafficRow{Direction: way, Kind: kind}
+					rows[key] = &TrafficRow{Direction: direction, Kind: kind}
 				}
 				rows[key].add(entry, counts)
 			}
 		}
-		calls = addCalls(addCalls(calls, a.traffic.previousCalls[entry]), a.traffic.currentCalls[entry])
+		calls = addCalls(addCalls(calls, r.traffic.previousCalls[entry]), r.traffic.currentCalls[entry])
 	}
 	sorted := make([]TrafficRow, 0, len(rows))
 	for _, row := range rows {
@@ -114,8 +114,8 @@
 
 // WriteTraffic writes tables of the messages between entries, the calls to the store and the propagation delays of
 // changes; nothing if the logs hold no counts.
-func (a *Report) WriteTraffic(out io.Writer) error {
-	rows, calls := a.Traffic()
+func (r *Report) WriteTraffic(out io.Writer) error {
+	rows, calls := r.Traffic()
 	if len(rows) == 0 && len(calls) == 0 {
 		return nil
 	}
@@ -130,8 +130,8 @@
 		print("%s\t%d\t\n", call, calls[call])
 	}
 	print("\t\nchange\tchanges\tentries\tp50 ms\tp99 ms\tlast ms\tlast entry\t\n")
-	for _, kind := range slices.Sorted(maps.Keys(a.propagation.byKind)) {
-		s := a.propagation.byKind[kind]
+	for _, kind := range slices.Sorted(maps.Keys(r.propagation.byKind)) {
+		s := r.propagation.byKind[kind]
 		print("%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", kind, s.changes, s.delays.TotalCount(), s.delays.ValueAtQuantile(50), s.delays.ValueAtQuantile(99), s.maxMs, s.maxEntry)
 	}
 	return w.Flush()
--- a/entry/account/traffic_test.go
+++ b/entry/account/traffic_test.go
@@ -15,14 +15,14 @@
 
 // An entry logs its counts since its start repeatedly and is restarted in between. The counts of its earlier runs must
 // be neither lost nor counted twice.
-func TestTheExchangeOfAllStartsIsSummed(t *testing.T) {
-	told := func(messages, bytes, calls int) string {
+func TestTrafficIsSummedOverRestarts(t *testing.T) {
+	counts := func(messages, bytes, calls int) string {
 		return fmt.Sprintf(`"exchanged":{"sent.far":{"heartbeat":[%d,%d]}},"storeCalls":{"watch":%d}`, messages, bytes, calls)
 	}
 	a, _ := read(t,
-		line(0, "e1", messageStarted, `"linkMbps":20`)+line(10, "e1", messageExchange, told(1, 100, 1))+line(20, "e1", messageExchange, told(3, 300, 2))+
-			line(30, "e1", messageStarted, `"linkMbps":20`)+line(40, "e1", messageExchange, told(2, 200, 1)),
-		line(15, "e2", messageExchange, told(10, 1000, 5)))
+		line(0, "e1", messageStarted, `"linkMbps":20`)+line(10, "e1", messageExchange, counts(1, 100, 1))+line(20, "e1", messageExchange, counts(3, 300, 2))+
+			line(30, "e1", messageStarted, `"linkMbps":20`)+line(40, "e1", messageExchange, counts(2, 200, 1)),
+		line(15, "e2", messageExchange, counts(10, 1000, 5)))
 	rows, calls := a.Traffic()
 	require.Equal(t, []TrafficRow{{Direction: "sent.far", Kind: "heartbeat", Messages: 15, Bytes: 1500, MaxBytes: 1000, MaxEntry: "e2"}}, rows)
 	require.Equal(t, map[string]int64{"watch": 8}, calls)
@@ -33,7 +33,7 @@
 
 // The delays of a change count from the first entry that logs it, and must not include entries that learn it at their
 // start.
-func TestTheSpreadOfAChangeCountsFromTheFirstEntry(t *testing.T) {
+func TestPropagationDelayCountsFromTheFirstEntry(t *testing.T) {
 	serves := func(entry string) string { return line(0, entry, messageState, `"to":"serving"`) }
 	change := `"server":"i-1","to":"leaving","revision":7`
 	a, bad := read(t,
