--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -72,8 +72,8 @@
 
 // Bucket counts the requests that began in one interval of time.
 type Bucket struct {
-	Asked  int
-	Causes map[Cause]int
+	Requests int
+	Causes   map[Cause]int
 }
 
 // Report holds the statistics of all log lines read. It is not safe for concurrent use.
@@ -307,7 +307,7 @@
 	if r.Buckets[index] == nil {
 		r.Buckets[index] = &Bucket{Causes: map[Cause]int{}}
 	}
-	r.Buckets[index].Asked++
+	r.Buckets[index].Requests++
 	r.Buckets[index].Causes[cause]++
 	for len(r.Buckets) > maxBuckets {
 		r.mergeBuckets()
@@ -323,7 +323,7 @@
 			merged[half] = bucket
 			continue
 		}
-		merged[half].Asked += bucket.Asked
+		merged[half].Requests += bucket.Requests
 		for cause, count := range bucket.Causes {
 			merged[half].Causes[cause] += count
 		}
--- a/entry/account/account_test.go
+++ b/entry/account/account_test.go
@@ -143,7 +143,7 @@
 	require.Equal(t, 8*time.Second, a.BucketWidth)
 	sum := 0
 	for _, bucket := range a.Buckets {
-		sum += bucket.Asked
+		sum += bucket.Requests
 	}
 	require.Equal(t, a.All.Requests, sum)
 }
--- a/entry/account/plot.go
+++ b/entry/account/plot.go
@@ -29,7 +29,7 @@
 	}
 	graph := chart.Chart{Width: 1200, Height: 500, YAxis: chart.YAxis{Name: fmt.Sprintf("requests in %s", r.BucketWidth)},
 		XAxis: chart.XAxis{ValueFormatter: chart.TimeValueFormatterWithFormat("15:04:05")}}
-	graph.Series = append(graph.Series, curve("asked", func(s *Bucket) int { return s.Asked }))
+	graph.Series = append(graph.Series, curve("asked", func(s *Bucket) int { return s.Requests }))
 	worst := r.failureCauses()
 	for _, cause := range worst[:min(len(worst), maxPlottedCauses)] {
 		graph.Series = append(graph.Series, curve(string(cause), func(s *Bucket) int { return s.Causes[cause] }))
--- a/entry/account/table.go
+++ b/entry/account/table.go
@@ -95,7 +95,7 @@
 	}
 	print("\n")
 	for _, index := range slices.Sorted(maps.Keys(r.Buckets)) {
-		print("%s\t%d\t", r.bucketStart(index).Format("15:04:05"), r.Buckets[index].Asked)
+		print("%s\t%d\t", r.bucketStart(index).Format("15:04:05"), r.Buckets[index].Requests)
 		for _, cause := range causes {
 			print("%d\t", r.Buckets[index].Causes[cause])
 		}
