--- a/entry/account/account.go
+++ b/entry/account/account.go
@@ -1,7 +1,7 @@
-// Package account reads the log lines of entries and tells what callers got: against
-// each route's target, pause and time, by length of prompt, by route and by second, with
-// one cause for each request that was not served in time. Its memory is bounded, however
-// long the logs are.
+// Package account implements the account command: it analyses the log lines of entries and
+// reports how requests were served against the targets, pauses and timeouts of their routes:
+// by prompt length, by route and over time, with one cause for each request that was not
+// served in time. Its memory is bounded, however long the logs are.
 package account
 
 import (
@@ -13,140 +13,144 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what is kept.
+// Bounds of the memory and precision of a report.
 const (
-	// maxOpen bounds the requests that have begun and not ended. An entry that was
-	// killed never ends its requests; its next start does.
-	maxOpen = 200_000
-	// maxSpans bounds the rows by time; beyond it rows are merged in pairs.
-	maxSpans = 240
-	// longestMs is the longest time that histograms tell apart.
-	longestMs = 600_000
-	// histogramDigits is their precision: two decimal digits.
+	// maxOpenRequests bounds the requests that have begun and not ended. The requests of a
+	// killed entry stay open until its next start.
+	maxOpenRequests = 200_000
+	// maxBuckets bounds the time buckets; beyond it they are merged in pairs.
+	maxBuckets = 240
+	// maxHistogramMs is the largest value of the histograms; larger ones are recorded as it.
+	maxHistogramMs = 600_000
+	// histogramDigits is the precision of the histograms in significant decimal digits.
 	histogramDigits = 2
-	// besideFactor is how many doublings longer a prompt is that counts as one
-	// beside which others may be slowed down: at least eight times.
-	besideFactor = 3
+	// muchLongerDoublings is the distance in length classes from which an open prompt counts
+	// as much longer than another one, which it may slow down: three doublings, some eight
+	// times the length.
+	muchLongerDoublings = 3
 )
 
-// Tally is what the requests of a group got.
-type Tally struct {
-	Asked  int
-	Causes map[Cause]int
-	// First is the times to the first event in milliseconds, of answers; Beside and
-	// Apart are the same of those that began while a much longer prompt was under way,
-	// and of the others.
-	First, Beside, Apart *hdrhistogram.Histogram
+// GroupStats holds the statistics of one group of requests.
+type GroupStats struct {
+	Requests int
+	Causes   map[Cause]int
+	// FirstEvent holds the times to the first event of responses, in milliseconds.
+	// WithLongPrompts holds those of requests that began while a much longer prompt was open,
+	// WithoutLongPrompts those of all others.
+	FirstEvent, WithLongPrompts, WithoutLongPrompts *hdrhistogram.Histogram
 }
 
-func newTally() *Tally {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMs, histogramDigits) }
-	return &Tally{Causes: map[Cause]int{}, First: histogram(), Beside: histogram(), Apart: histogram()}
+func newGroupStats() *GroupStats {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMs, histogramDigits) }
+	return &GroupStats{Causes: map[Cause]int{}, FirstEvent: histogram(), WithLongPrompts: histogram(), WithoutLongPrompts: histogram()}
 }
 
-func (t *Tally) add(cause Cause, first *float64, beside bool) error {
-	t.Asked++
-	t.Causes[cause]++
-	if first == nil {
+func (g *GroupStats) add(cause Cause, firstMs *float64, besideLong bool) error {
+	g.Requests++
+	g.Causes[cause]++
+	if firstMs == nil {
 		return nil
 	}
-	ms := min(max(int64(*first), 1), longestMs)
-	if err := t.First.RecordValue(ms); err != nil {
+	ms := min(max(int64(*firstMs), 1), maxHistogramMs)
+	if err := g.FirstEvent.RecordValue(ms); err != nil {
 		return err
 	}
-	if beside {
-		return t.Beside.RecordValue(ms)
+	if besideLong {
+		return g.WithLongPrompts.RecordValue(ms)
 	}
-	return t.Apart.RecordValue(ms)
+	return g.WithoutLongPrompts.RecordValue(ms)
 }
 
-// Slowdown is the median time to the first event beside much longer prompts over that
-// without any; 0 where one of them is unknown.
-func (t *Tally) Slowdown() float64 {
-	if t.Beside.TotalCount() == 0 || t.Apart.TotalCount() == 0 {
+// Slowdown returns the ratio of the median times to the first event with and without much
+// longer open prompts; 0 if one of them is unknown.
+func (g *GroupStats) Slowdown() float64 {
+	if g.WithLongPrompts.TotalCount() == 0 || g.WithoutLongPrompts.TotalCount() == 0 {
 		return 0
 	}
-	return float64(t.Beside.ValueAtQuantile(50)) / float64(t.Apart.ValueAtQuantile(50))
+	return float64(g.WithLongPrompts.ValueAtQuantile(50)) / float64(g.WithoutLongPrompts.ValueAtQuantile(50))
 }
 
-// Span is what callers got whose requests began in a span of time.
-type Span struct {
-	Asked  int
-	Causes map[Cause]int
+// Bucket counts the requests that began in one interval of time.
+type Bucket struct {
+	Requests int
+	Causes   map[Cause]int
 }
 
-// Account is not safe for concurrent use.
-type Account struct {
-	All      *Tally
-	ByRoute  map[string]*Tally
-	ByLength map[Length]*Tally
-	// ByLink is by the rate of the link of the entry's host, in Mbit/s; 0 where it is not
-	// told. ByLacked is by how many requests at the first server the chooser did not know.
-	ByLink   map[float64]*Tally
-	ByLacked map[int]*Tally
-	Pauses   Pauses
-	// Spans are by the number of Step since the first line.
-	Spans map[int]*Span
-	Step  time.Duration
-	From  time.Time
-	// Bad counts the lines that could not be read.
-	Bad int
-	// Dropped counts the requests that were forgotten before they ended.
-	Dropped int
+// Report holds the statistics of all log lines read. It is not safe for concurrent use.
+type Report struct {
+	All           *GroupStats
+	ByRoute       map[string]*GroupStats
+	ByLengthClass map[LengthClass]*GroupStats
+	// ByLink groups by the link rate of the entry's host in Mbit/s; 0 if it is unknown.
+	// ByUnseen groups by the number of unseen requests: those that ran at the chosen server
+	// but were missing from the load table of the entry that chose it.
+	ByLink   map[float64]*GroupStats
+	ByUnseen map[int]*GroupStats
+	Pauses   PauseStats
+	// Buckets are keyed by the number of whole BucketWidths since Start.
+	Buckets     map[int]*Bucket
+	BucketWidth time.Duration
+	Start       time.Time
+	// BadLines counts the lines that could not be read.
+	BadLines int
+	// DroppedRequests counts the requests that began while maxOpenRequests were open.
+	DroppedRequests int
 
-	open   map[string]*history
-	under  map[Length]int
-	links  map[string]float64
-	places places
-	// endings are the requests under which servers ended.
-	endings endings
-	traffic traffic
-	spread  spread
+	openRequests      map[string]*openRequest
+	openByLengthClass map[LengthClass]int
+	linkMbps          map[string]float64
+	servers           activityByServer
+	// suspects are the requests under which servers crashed.
+	suspects    suspectsByFingerprint
+	traffic     traffic
+	propagation propagation
 }
 
-// New returns an empty account.
-func New() *Account {
-	return &Account{All: newTally(), ByRoute: map[string]*Tally{}, ByLength: map[Length]*Tally{}, Spans: map[int]*Span{}, Step: time.Second,
-		ByLink: map[float64]*Tally{}, ByLacked: map[int]*Tally{}, open: map[string]*history{}, under: map[Length]int{},
-		links: map[string]float64{}, places: places{}, endings: endings{}, traffic: newTraffic(), spread: newSpread()}
+// New returns an empty report.
+func New() *Report {
+	return &Report{All: newGroupStats(), ByRoute: map[string]*GroupStats{}, ByLengthClass: map[LengthClass]*GroupStats{}, Buckets: map[int]*Bucket{}, BucketWidth: time.Second,
+		ByLink: map[float64]*GroupStats{}, ByUnseen: map[int]*GroupStats{}, openRequests: map[string]*openRequest{}, openByLengthClass: map[LengthClass]int{},
+		linkMbps: map[string]float64{}, servers: activityByServer{}, suspects: suspectsByFingerprint{}, traffic: newTraffic(), propagation: newPropagation()}
 }
 
-// Length is a class of prompts: those of up to 1,000 tokens times two to its power; -1
-// for requests without a prompt.
-type Length int
+// LengthClass is a class of prompt lengths: class n holds prompts of up to 1,000 * 2^n tokens;
+// -1 holds requests without a prompt.
+type LengthClass int
 
-const tokensUnit = 1000
+const lengthClassTokens = 1000
 
-func lengthOf(tokens int64) Length {
+func lengthClassOf(tokens int64) LengthClass {
 	if tokens <= 0 {
 		return -1
 	}
-	return Length(bits.Len64(uint64((tokens - 1) / tokensUnit)))
+	return LengthClass(bits.Len64(uint64((tokens - 1) / lengthClassTokens)))
 }
 
-// String names the class by its longest prompts.
-func (l Length) String() string {
+// String returns the label of the class: the length of its longest prompts.
+func (l LengthClass) String() string {
 	if l < 0 {
 		return "no prompt"
 	}
 	return fmt.Sprintf("up to %dk", 1<<l)
 }
 
-// Input is one file of log lines.
+// Input is one file of log lines; Name identifies it in errors.
 type Input struct {
 	Name string
 	In   io.Reader
 }
 
-// progressLines is after how many lines progress is told.
-const progressLines = 250_000
+// progressInterval is the number of lines between two progress reports.
+const progressInterval = 250_000
 
-// Read takes in all lines of some files. Bad lines are told to report and counted;
-// progress is called now and then with the number of lines read.
-func (a *Account) Read(inputs []Input, report func(*BadLine), progress func(lines int)) error {
-	m := &merger{report: func(bad *BadLine) {
-		a.Bad++
-		report(bad)
+// Read adds all lines of inputs to the report, in the order of their times. It counts lines
+// that it can't parse, passes them to onBadLine and goes on; it calls progress every
+// progressInterval lines with the number of lines read. It returns an error if an input
+// can't be read.
+func (r *Report) Read(inputs []Input, onBadLine func(*BadLine), progress func(lines int)) error {
+	m := &merger{onBadLine: func(bad *BadLine) {
+		r.BadLines++
+		onBadLine(bad)
 	}}
 	for _, input := range inputs {
 		if err := m.add(input.Name, input.In); err != nil {
@@ -161,168 +165,168 @@
 		if !ok {
 			break
 		}
-		if err := a.take(&line); err != nil {
+		if err := r.observe(&line); err != nil {
 			return fmt.Errorf("line of %s at %s: %w", line.Entry, line.Time.Format(time.RFC3339Nano), err)
 		}
-		if lines%progressLines == 0 {
+		if lines%progressInterval == 0 {
 			progress(lines)
 		}
 	}
-	return a.finish()
+	return r.finish()
 }
 
-func (a *Account) take(line *Line) error {
-	if err := a.spread.take(line); err != nil {
+func (r *Report) observe(line *Line) error {
+	if err := r.propagation.observe(line); err != nil {
 		return err
 	}
 	switch line.Message {
 	case messageStarted:
-		a.links[line.Entry] = line.LinkMbps
-		a.traffic.started(line.Entry)
-		return a.closeEntry(line.Entry)
-	case messageChosen:
-		a.chosen(line)
+		r.linkMbps[line.Entry] = line.LinkMbps
+		r.traffic.restart(line.Entry)
+		return r.closeRequestsOf(line.Entry)
+	case messageServerChosen:
+		r.recordChoice(line)
 	case messageExchange:
-		a.traffic.told(line)
-	case messageTried:
-		a.endings.tried(line)
-	case messageEnded:
-		return a.ended(line)
+		r.traffic.update(line)
+	case messageAttemptEnded:
+		r.suspects.recordAttempt(line)
+	case messageRequestEnded:
+		return r.recordEnd(line)
 	}
 	return nil
 }
 
-func (a *Account) chosen(line *Line) {
-	if h := a.open[line.Request]; h != nil {
-		a.places.left(h.line.Server)
-		h.lacked = a.places.chosen(line)
-		h.line.PredictedMs, h.line.WaitedMs, h.line.Server = line.PredictedMs, line.WaitedMs, line.Server
-		h.choices++
+func (r *Report) recordChoice(line *Line) {
+	if req := r.openRequests[line.Request]; req != nil {
+		r.servers.requestEnded(req.line.Server)
+		req.unseen = r.servers.requestPlaced(line)
+		req.line.PredictedMs, req.line.WaitedMs, req.line.Server = line.PredictedMs, line.WaitedMs, line.Server
+		req.choices++
 		return
 	}
-	if len(a.open) >= maxOpen {
-		a.Dropped++
+	if len(r.openRequests) >= maxOpenRequests {
+		r.DroppedRequests++
 		return
 	}
-	length := lengthOf(line.Tokens)
-	a.open[line.Request] = &history{line: *line, choices: 1, beside: a.longUnderWay(length), lacked: a.places.chosen(line)}
-	a.under[length]++
+	length := lengthClassOf(line.Tokens)
+	r.openRequests[line.Request] = &openRequest{line: *line, choices: 1, besideLong: r.muchLongerOpen(length), unseen: r.servers.requestPlaced(line)}
+	r.openByLengthClass[length]++
 }
 
-// longUnderWay says whether a prompt is under way that is much longer than a class.
-func (a *Account) longUnderWay(length Length) bool {
-	for other, count := range a.under {
-		if count > 0 && length >= 0 && other >= length+besideFactor {
+// muchLongerOpen reports whether a prompt is open that is much longer than those of a class.
+func (r *Report) muchLongerOpen(length LengthClass) bool {
+	for other, count := range r.openByLengthClass {
+		if count > 0 && length >= 0 && other >= length+muchLongerDoublings {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Account) ended(end *Line) error {
-	h := a.open[end.Request]
-	if h == nil {
-		h = &history{line: *end}
+func (r *Report) recordEnd(end *Line) error {
+	req := r.openRequests[end.Request]
+	if req == nil {
+		req = &openRequest{line: *end}
 	} else {
-		a.forget(end.Request, h)
+		r.removeOpen(end.Request, req)
 	}
-	return a.count(h, causeOf(h, end), end)
+	return r.countRequest(req, causeOf(req, end), end)
 }
 
-func (a *Account) forget(request string, h *history) {
-	delete(a.open, request)
-	a.places.left(h.line.Server)
-	a.under[lengthOf(h.line.Tokens)]--
+func (r *Report) removeOpen(request string, req *openRequest) {
+	delete(r.openRequests, request)
+	r.servers.requestEnded(req.line.Server)
+	r.openByLengthClass[lengthClassOf(req.line.Tokens)]--
 }
 
-// closeEntry ends what an entry had begun before it started anew.
-func (a *Account) closeEntry(entry string) error {
-	for request, h := range a.open {
-		if h.line.Entry != entry {
+// closeRequestsOf ends the open requests of an entry that has restarted.
+func (r *Report) closeRequestsOf(entry string) error {
+	for request, req := range r.openRequests {
+		if req.line.Entry != entry {
 			continue
 		}
-		a.forget(request, h)
-		if err := a.count(h, EntryGone, &Line{}); err != nil {
+		r.removeOpen(request, req)
+		if err := r.countRequest(req, EntryTerminated, &Line{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *Account) finish() error {
-	for request, h := range a.open {
-		a.forget(request, h)
-		if err := a.count(h, Unfinished, &Line{}); err != nil {
+func (r *Report) finish() error {
+	for request, req := range r.openRequests {
+		r.removeOpen(request, req)
+		if err := r.countRequest(req, Unfinished, &Line{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// count books a request that is over.
-func (a *Account) count(h *history, cause Cause, end *Line) error {
-	route := h.line.Route
+// countRequest adds a request that has ended to all its groups.
+func (r *Report) countRequest(req *openRequest, cause Cause, end *Line) error {
+	route := req.line.Route
 	if route == "" {
 		route = "(no route)"
 	}
-	tallies := []*Tally{a.All, tallyOf(a.ByRoute, route), tallyOf(a.ByLength, lengthOf(h.line.Tokens)), tallyOf(a.ByLink, a.links[h.line.Entry])}
-	if h.choices > 0 {
-		tallies = append(tallies, tallyOf(a.ByLacked, min(h.lacked, lackedMost)))
+	groups := []*GroupStats{r.All, statsOf(r.ByRoute, route), statsOf(r.ByLengthClass, lengthClassOf(req.line.Tokens)), statsOf(r.ByLink, r.linkMbps[req.line.Entry])}
+	if req.choices > 0 {
+		groups = append(groups, statsOf(r.ByUnseen, min(req.unseen, maxUnseen)))
 	}
 	if cause == Pause && end.FirstMs != nil {
 		from := end.Time.Add(-millis(end.TookMs - *end.FirstMs))
-		a.Pauses.add(a.places.during(h.line.Server, from, end.Time))
+		r.Pauses.add(r.servers.prefillsBetween(req.line.Server, from, end.Time))
 	}
-	for _, tally := range tallies {
-		if err := tally.add(cause, end.FirstMs, h.beside); err != nil {
+	for _, group := range groups {
+		if err := group.add(cause, end.FirstMs, req.besideLong); err != nil {
 			return fmt.Errorf("a time of %v ms: %w", *end.FirstMs, err)
 		}
 	}
-	began := h.line.Time
+	start := req.line.Time
 	if !end.Time.IsZero() {
-		began = end.Time.Add(-millis(end.TookMs))
+		start = end.Time.Add(-millis(end.TookMs))
 	}
-	a.countSpan(began, cause)
+	r.countInBucket(start, cause)
 	return nil
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func tallyOf[K comparable](tallies map[K]*Tally, key K) *Tally {
-	if tallies[key] == nil {
-		tallies[key] = newTally()
+func statsOf[K comparable](groups map[K]*GroupStats, key K) *GroupStats {
+	if groups[key] == nil {
+		groups[key] = newGroupStats()
 	}
-	return tallies[key]
+	return groups[key]
 }
 
-func (a *Account) countSpan(began time.Time, cause Cause) {
-	if a.From.IsZero() {
-		a.From = began.Truncate(time.Second)
+func (r *Report) countInBucket(start time.Time, cause Cause) {
+	if r.Start.IsZero() {
+		r.Start = start.Truncate(time.Second)
 	}
-	index := int(began.Sub(a.From) / a.Step)
-	if a.Spans[index] == nil {
-		a.Spans[index] = &Span{Causes: map[Cause]int{}}
+	index := int(start.Sub(r.Start) / r.BucketWidth)
+	if r.Buckets[index] == nil {
+		r.Buckets[index] = &Bucket{Causes: map[Cause]int{}}
 	}
-	a.Spans[index].Asked++
-	a.Spans[index].Causes[cause]++
-	for len(a.Spans) > maxSpans {
-		a.widen()
+	r.Buckets[index].Requests++
+	r.Buckets[index].Causes[cause]++
+	for len(r.Buckets) > maxBuckets {
+		r.mergeBuckets()
 	}
 }
 
-// widen merges the spans in pairs.
-func (a *Account) widen() {
-	merged := map[int]*Span{}
-	for index, span := range a.Spans {
+// mergeBuckets merges the buckets in pairs, which doubles their width.
+func (r *Report) mergeBuckets() {
+	merged := map[int]*Bucket{}
+	for index, bucket := range r.Buckets {
 		half := index >> 1
 		if merged[half] == nil {
-			merged[half] = span
+			merged[half] = bucket
 			continue
 		}
-		merged[half].Asked += span.Asked
-		for cause, count := range span.Causes {
+		merged[half].Requests += bucket.Requests
+		for cause, count := range bucket.Causes {
 			merged[half].Causes[cause] += count
 		}
 	}
-	a.Spans, a.Step = merged, 2*a.Step
+	r.Buckets, r.BucketWidth = merged, 2*r.BucketWidth
 }
--- a/entry/account/traffic.go
+++ b/entry/account/traffic.go
@@ -8,46 +8,46 @@
 	"text/tabwriter"
 )
 
-// Exchanged is what an entry tells of its messages: by direction and kind, messages and bytes.
-type Exchanged map[string]map[string][2]int64
+// MessageCounts holds the numbers of messages and bytes that an entry has exchanged, by direction and kind.
+type MessageCounts map[string]map[string][2]int64
 
-// traffic sums what entries tell of their exchange. Each tells what it has counted since its start; a restarted one
-// begins anew.
+// traffic sums the message and call counts of all entries. An entry logs its counts since its start, so that a restart
+// begins at zero.
 type traffic struct {
-	last  map[string]Exchanged
-	calls map[string]map[string]int64
-	// over are the sums of starts that are over, by entry.
-	over      map[string]Exchanged
-	callsOver map[string]map[string]int64
+	current      map[string]MessageCounts
+	currentCalls map[string]map[string]int64
+	// previous and previousCalls are the sums over the earlier runs of each entry.
+	previous      map[string]MessageCounts
+	previousCalls map[string]map[string]int64
 }
 
 func newTraffic() traffic {
-	return traffic{last: map[string]Exchanged{}, calls: map[string]map[string]int64{}, over: map[string]Exchanged{}, callsOver: map[string]map[string]int64{}}
+	return traffic{current: map[string]MessageCounts{}, currentCalls: map[string]map[string]int64{}, previous: map[string]MessageCounts{}, previousCalls: map[string]map[string]int64{}}
 }
 
-func (t *traffic) told(line *Line) {
-	t.last[line.Entry], t.calls[line.Entry] = line.Exchanged, line.StoreCalls
+func (t *traffic) update(line *Line) {
+	t.current[line.Entry], t.currentCalls[line.Entry] = line.Exchanged, line.StoreCalls
 }
 
-// started closes the counts of an entry's start before.
-func (t *traffic) started(entry string) {
-	t.over[entry] = addExchanged(t.over[entry], t.last[entry])
-	t.callsOver[entry] = addCalls(t.callsOver[entry], t.calls[entry])
-	delete(t.last, entry)
-	delete(t.calls, entry)
+// restart adds the counts of an entry's last run to those of its earlier runs.
+func (t *traffic) restart(entry string) {
+	t.previous[entry] = addMessageCounts(t.previous[entry], t.current[entry])
+	t.previousCalls[entry] = addCalls(t.previousCalls[entry], t.currentCalls[entry])
+	delete(t.current, entry)
+	delete(t.currentCalls, entry)
 }
 
-func addExchanged(sum, more Exchanged) Exchanged {
+func addMessageCounts(sum, more MessageCounts) MessageCounts {
 	if sum == nil {
-		sum = Exchanged{}
+		sum = MessageCounts{}
 	}
-	for way, kinds := range more {
-		if sum[way] == nil {
-			sum[way] = map[string][2]int64{}
+	for direction, kinds := range more {
+		if sum[direction] == nil {
+			sum[direction] = map[string][2]int64{}
 		}
 		for kind, counts := range kinds {
-			known := sum[way][kind]
-			sum[way][kind] = [2]int64{known[0] + counts[0], known[1] + counts[1]}
+			known := sum[direction][kind]
+			sum[direction][kind] = [2]int64{known[0] + counts[0], known[1] + counts[1]}
 		}
 	}
 	return sum
@@ -63,42 +63,43 @@
 	return sum
 }
 
-// TrafficRow is what all entries exchanged of a kind in a direction, and the most that one of them did.
+// TrafficRow sums the messages of one kind and direction over all entries. MaxBytes and MaxEntry are the largest share
+// of one entry and its name.
 type TrafficRow struct {
-	Way, Kind       string
+	Direction, Kind string
 	Messages, Bytes int64
-	MostBytes       int64
-	MostEntry       string
+	MaxBytes        int64
+	MaxEntry        string
 }
 
-// Traffic returns the rows by direction and kind, and the store's calls by what they read.
-func (a *Account) Traffic() ([]TrafficRow, map[string]int64) {
+// Traffic returns the rows ordered by direction and kind, and the number of calls to the store by type.
+func (r *Report) Traffic() ([]TrafficRow, map[string]int64) {
 	rows, calls := map[[2]string]*TrafficRow{}, map[string]int64{}
-	entries := maps.Clone(a.traffic.last)
-	for entry := range a.traffic.over {
+	entries := maps.Clone(r.traffic.current)
+	for entry := range r.traffic.previous {
 		if entries[entry] == nil {
-			entries[entry] = Exchanged{}
+			entries[entry] = MessageCounts{}
 		}
 	}
 	for _, entry := range slices.Sorted(maps.Keys(entries)) {
-		whole := addExchanged(addExchanged(nil, a.traffic.over[entry]), a.traffic.last[entry])
-		for way, kinds := range whole {
+		total := addMessageCounts(addMessageCounts(nil, r.traffic.previous[entry]), r.traffic.current[entry])
+		for direction, kinds := range total {
 			for kind, counts := range kinds {
-				key := [2]string{way, kind}
+				key := [2]string{direction, kind}
 				if rows[key] == nil {
-					rows[key] = &TrafficRow{Way: way, Kind: kind}
+					rows[key] = &TrafficRow{Direction: direction, Kind: kind}
 				}
 				rows[key].add(entry, counts)
 			}
 		}
-		calls = addCalls(addCalls(calls, a.traffic.callsOver[entry]), a.traffic.calls[entry])
+		calls = addCalls(addCalls(calls, r.traffic.previousCalls[entry]), r.traffic.currentCalls[entry])
 	}
 	sorted := make([]TrafficRow, 0, len(rows))
 	for _, row := range rows {
 		sorted = append(sorted, *row)
 	}
 	slices.SortFunc(sorted, func(x, y TrafficRow) int {
-		return slices.Compare([]string{x.Way, x.Kind}, []string{y.Way, y.Kind})
+		return slices.Compare([]string{x.Direction, x.Kind}, []string{y.Direction, y.Kind})
 	})
 	return sorted, calls
 }
@@ -106,14 +107,15 @@
 func (r *TrafficRow) add(entry string, counts [2]int64) {
 	r.Messages += counts[0]
 	r.Bytes += counts[1]
-	if counts[1] > r.MostBytes {
-		r.MostBytes, r.MostEntry = counts[1], entry
+	if counts[1] > r.MaxBytes {
+		r.MaxBytes, r.MaxEntry = counts[1], entry
 	}
 }
 
-// WriteTraffic writes what entries exchanged, the calls of the store, and how long changes took to reach them.
-func (a *Account) WriteTraffic(out io.Writer) error {
-	rows, calls := a.Traffic()
+// WriteTraffic writes tables of the messages between entries, the calls to the store and the propagation delays of
+// changes; nothing if the logs hold no counts.
+func (r *Report) WriteTraffic(out io.Writer) error {
+	rows, calls := r.Traffic()
 	if len(rows) == 0 && len(calls) == 0 {
 		return nil
 	}
@@ -121,16 +123,16 @@
 	print := func(format string, values ...any) { _, _ = fmt.Fprintf(w, format, values...) }
 	print("\t\nexchange\tkind\tmessages\tMB\tmost of an entry, MB\tentry\t\n")
 	for _, row := range rows {
-		print("%s\t%s\t%d\t%.3f\t%.3f\t%s\t\n", row.Way, row.Kind, row.Messages, megabytes(row.Bytes), megabytes(row.MostBytes), row.MostEntry)
+		print("%s\t%s\t%d\t%.3f\t%.3f\t%s\t\n", row.Direction, row.Kind, row.Messages, megabytes(row.Bytes), megabytes(row.MaxBytes), row.MaxEntry)
 	}
 	print("\t\ncalls of the store\tcalls\t\n")
 	for _, call := range slices.Sorted(maps.Keys(calls)) {
 		print("%s\t%d\t\n", call, calls[call])
 	}
 	print("\t\nchange\tchanges\tentries\tp50 ms\tp99 ms\tlast ms\tlast entry\t\n")
-	for _, kind := range slices.Sorted(maps.Keys(a.spread.byKind)) {
-		s := a.spread.byKind[kind]
-		print("%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", kind, s.changes, s.delays.TotalCount(), s.delays.ValueAtQuantile(50), s.delays.ValueAtQuantile(99), s.last, s.lastEntry)
+	for _, kind := range slices.Sorted(maps.Keys(r.propagation.byKind)) {
+		s := r.propagation.byKind[kind]
+		print("%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", kind, s.changes, s.delays.TotalCount(), s.delays.ValueAtQuantile(50), s.delays.ValueAtQuantile(99), s.maxMs, s.maxEntry)
 	}
 	return w.Flush()
 }
