--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -11,7 +11,7 @@
 
 // Finding is a promise that was broken.
 type Finding struct {
-	Promise string
+	Guarantee string
 	Detail  string
 }
 
@@ -198,7 +198,7 @@
 	asked, served := 0, 0
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		if call.Began.Before(c.Calm.Add(CalmTime/2)) || call.Kind == OldKey || call.Left || c.withoutServers(call) {
+		if call.Began.Before(c.Calm.Add(RecoveryTime/2)) || call.Kind == OldKey || call.Left || c.withoutServers(call) {
 			continue
 		}
 		asked++
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -20,7 +20,7 @@
 // soundRecords are of a run in which one order is served and nothing is broken.
 func soundRecords() *Records {
 	r := newRecords()
-	r.ChangeBound = DefaultChangeBound
+	r.ChangeBound = DefaultMaxPropagationDelay
 	r.Starts[0] = []time.Time{began}
 	r.Configs = []ConfigChange{{1, began}, {2, began}, {3, began}}
 	r.Calm = after(100)
@@ -260,7 +260,7 @@
 func promisesOf(r *Records) []string {
 	var promises []string
 	for _, f := range Check(r, true) {
-		promises = append(promises, f.Promise)
+		promises = append(promises, f.Guarantee)
 	}
 	return promises
 }
--- a/proof/soak/cmd/soak/main.go
+++ b/proof/soak/cmd/soak/main.go
@@ -26,9 +26,9 @@
 			&cli.FloatFlag{Name: "minutes", Value: 0.5, Usage: "how long faults strike, for each seed"},
 			&cli.IntFlag{Name: "processes", Value: 5, Usage: "how many entries run"},
 			&cli.IntFlag{Name: "workers", Value: 9, Usage: "how many backend servers the stand-ins play"},
-			&cli.DurationFlag{Name: "bound", Value: soak.DefaultChangeBound, Usage: "how soon a change has to be in force; from 2.5s on two entries read the store for all"},
+			&cli.DurationFlag{Name: "bound", Value: soak.DefaultMaxPropagationDelay, Usage: "how soon a change has to be in force; from 2.5s on two entries read the store for all"},
 			&cli.IntFlag{Name: "fatal", Value: 2, Usage: "how many requests come again and again that end each server which begins to run them"},
-			&cli.DurationFlag{Name: "hold", Value: soak.DefaultFatalHold, Usage: "for how long at the most servers run such a request before they end, while many of its callers leave"},
+			&cli.DurationFlag{Name: "hold", Value: soak.DefaultMaxCrashDelay, Usage: "for how long at the most servers run such a request before they end, while many of its callers leave"},
 			&cli.IntFlag{Name: "long", Value: 1, Usage: "how many callers of streams that outlast most stops each entry has"},
 			&cli.BoolFlag{Name: "zones", Value: true, Usage: "spread the servers over two zones, evacuate one now and then, and let servers come back cold"},
 			&cli.BoolFlag{Name: "untimed", Usage: "check no promise that bounds a time, for a machine that is busy"},
@@ -76,18 +76,18 @@
 // playSeed plays one seed, and keeps its folder only if it failed.
 func playSeed(c *cli.Command, seed uint64, binary, folder string) (bool, error) {
 	kept := filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
-	report, err := soak.Play(soak.Options{Seed: seed, Length: time.Duration(c.Float("minutes") * float64(time.Minute)), Entries: c.Int("processes"),
-		Workers: c.Int("workers"), ChangeBound: c.Duration("bound"), Fatal: c.Int("fatal"), FatalHold: c.Duration("hold"), Long: c.Int("long"), Zones: c.Bool("zones"), Binary: binary, Folder: kept, Timed: !c.Bool("untimed"), Progress: os.Stderr})
+	report, err := soak.Execute(soak.Options{Seed: seed, FaultDuration: time.Duration(c.Float("minutes") * float64(time.Minute)), Entries: c.Int("processes"),
+		Servers: c.Int("workers"), MaxPropagationDelay: c.Duration("bound"), PoisonRequests: c.Int("fatal"), MaxCrashDelay: c.Duration("hold"), LongStreamCallers: c.Int("long"), MultiZone: c.Bool("zones"), Binary: binary, Folder: kept, CheckTiming: !c.Bool("untimed"), Progress: os.Stderr})
 	if err != nil {
 		return false, fmt.Errorf("seed %d, logs in %s: %w", seed, kept, err)
 	}
-	fmt.Printf("seed %d: %d faults, %d calls, %d answered, %d runs, %d servers ended under fatal requests, %d findings\n", seed, len(report.Steps), report.Calls, report.Answered, report.Runs, report.Ended,
+	fmt.Printf("seed %d: %d faults, %d calls, %d answered, %d runs, %d servers ended under fatal requests, %d findings\n", seed, len(report.Faults), report.Calls, report.Succeeded, report.Runs, report.Crashes,
 		len(report.Findings))
 	if !report.Failed() {
 		return true, os.RemoveAll(kept)
 	}
 	for _, f := range report.Findings {
-		fmt.Printf("  %s: %s\n", f.Promise, f.Detail)
+		fmt.Printf("  %s: %s\n", f.Guarantee, f.Detail)
 	}
 	fmt.Printf("  logs: %s; again: soak --seed %d --minutes %g --processes %d --workers %d --bound %s --fatal %d --hold %s --long %d --zones=%t\n", kept, seed, c.Float("minutes"), c.Int("processes"),
 		c.Int("workers"), c.Duration("bound"), c.Int("fatal"), c.Duration("hold"), c.Int("long"), c.Bool("zones"))
--- a/proof/soak/doc.go
+++ b/proof/soak/doc.go
@@ -23,9 +23,9 @@
 	// Seed draws the faults and the callers' requests.
 	Seed uint64
 	// Length is how long faults strike; a calm part of CalmTime follows.
-	Length time.Duration
+	FaultDuration time.Duration
 	// Entries and Workers are how many daemons and backend servers there are.
-	Entries, Workers int
+	Entries, Servers int
 	// Binary is the entry daemon's program.
 	Binary string
 	// Folder gets the settings and logs of the processes.
@@ -33,21 +33,21 @@
 	// ChangeBound is how long after the store's acknowledgement an older configuration may
 	// be used and a leaving server may get requests, as the entries are told; 0 is
 	// DefaultChangeBound, below which each entry reads the store itself.
-	ChangeBound time.Duration
+	MaxPropagationDelay time.Duration
 	// Fatal is how many requests come again and again that end each server which begins to run
 	// them.
-	Fatal int
+	PoisonRequests int
 	// FatalHold is for how long at the most a server runs such a request before it ends. Where it is
 	// positive all callers of every second one leave before. Some ms at least.
-	FatalHold time.Duration
+	MaxCrashDelay time.Duration
 	// Long is how many callers of streams that outlast most stops each entry has.
-	Long int
+	LongStreamCallers int
 	// Zones spreads the backend servers over two zones, evacuates the second one now and then, and lets servers that
 	// start during the run be cold for a while.
-	Zones bool
+	MultiZone bool
 	// Timed also checks the promises that bound times. They hold on a machine
 	// that is not overloaded.
-	Timed bool
+	CheckTiming bool
 	// Progress gets a line every few seconds.
 	Progress io.Writer
 }
@@ -55,10 +55,10 @@
 // Bounds of the promises, and what a busy machine adds to them.
 const (
 	// DefaultChangeBound is the ChangeBound of the users' smallest deployments.
-	DefaultChangeBound = 2 * time.Second
+	DefaultMaxPropagationDelay = 2 * time.Second
 	// DefaultFatalHold is longer than entries wait for an overdue first event of a short prompt before
 	// they go on to another server.
-	DefaultFatalHold = 400 * time.Millisecond
+	DefaultMaxCrashDelay = 400 * time.Millisecond
 	// stableWindow is how long an entry must have been free of faults for these
 	// bounds to hold; the users' figure.
 	stableWindow = 3 * time.Second
@@ -74,7 +74,7 @@
 	retryWindow = 10 * time.Second
 	// CalmTime is the part without faults at the end of a run, in which the
 	// system has to recover. It is longer than rows, pauses and distrust last.
-	CalmTime = 6 * time.Second
+	RecoveryTime = 6 * time.Second
 	// recoveredShare is the least share of requests that is served in the second
 	// half of the calm part.
 	recoveredShare = 0.5
--- a/proof/soak/fatal.go
+++ b/proof/soak/fatal.go
@@ -125,7 +125,7 @@
 		c := callers[random.IntN(len(callers))]
 		leave := time.Duration(0)
 		if number%2 == 0 {
-			leave = shortestHold(w.options.FatalHold)
+			leave = shortestHold(w.options.MaxCrashDelay)
 		}
 		c.oneFatal(number, number, leave)
 		c.oneFatal(number, 0, 0)
@@ -205,7 +205,7 @@
 // entry has lived since and so can tell all others. Where two requests have ended servers under which
 // both ran, either may be at fault: each has the three sends more that the users allow.
 func (c *checker) checkCalm(number int, known time.Time) {
-	from := c.Calm.Add(CalmTime / 2)
+	from := c.Calm.Add(RecoveryTime / 2)
 	if told := known.Add(slack); told.After(from) {
 		from = told
 	}
--- a/proof/soak/plan.go
+++ b/proof/soak/plan.go
@@ -92,9 +92,9 @@
 // Plan draws the faults of a run, in the order of time.
 func Plan(o Options) []Step {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
-	perGap := max(float64(o.Entries+o.Workers)/usualTargets, 1)
+	perGap := max(float64(o.Entries+o.Servers)/usualTargets, 1)
 	var steps []Step
-	for at := firstFault; at < o.Length; {
+	for at := firstFault; at < o.FaultDuration; {
 		steps = append(steps, series(random, o, at)...)
 		at += time.Duration(random.ExpFloat64() * float64(meanGap) / perGap)
 	}
@@ -107,14 +107,14 @@
 // longSteps draws stops of the entries that nothing else than planned work strikes, each after the one before
 // has come to its end, and one return of the store from an older copy.
 func longSteps(random *rand.Rand, o Options) []Step {
-	if o.Long == 0 {
+	if o.LongStreamCallers == 0 {
 		return nil
 	}
-	age := min(time.Duration(random.Int64N(int64(longestFault))), o.Length-firstFault)
-	steps := []Step{{At: firstFault + time.Duration(random.Int64N(int64(o.Length-firstFault-age)+1)), For: age, Kind: StoreRestored}}
+	age := min(time.Duration(random.Int64N(int64(longestFault))), o.FaultDuration-firstFault)
+	steps := []Step{{At: firstFault + time.Duration(random.Int64N(int64(o.FaultDuration-firstFault-age)+1)), For: age, Kind: StoreRestored}}
 	for entry := o.targets(EntryKilled); entry < o.Entries; entry++ {
 		at := firstFault + time.Duration(random.Int64N(int64(longestFault)))
-		for ; at < o.Length; at += stopLimit + time.Duration(random.Int64N(int64(longestFault))) {
+		for ; at < o.FaultDuration; at += stopLimit + time.Duration(random.Int64N(int64(longestFault))) {
 			steps = append(steps, Step{At: at, Kind: EntryStopped, Target: entry})
 		}
 	}
@@ -131,13 +131,13 @@
 // evacuations draws evacuations of the second zone, one after the other. They have random numbers of their own: the faults
 // of a seed stay what they were.
 func evacuations(o Options) []Step {
-	if !o.Zones {
+	if !o.MultiZone {
 		return nil
 	}
 	random := rand.New(rand.NewPCG(o.Seed, 2))
 	var steps []Step
-	for at := firstFault; at < o.Length; {
-		length := o.ChangeBound + slack + evacuationBeyond + time.Duration(random.Int64N(int64(longestFault)))
+	for at := firstFault; at < o.FaultDuration; {
+		length := o.MaxPropagationDelay + slack + evacuationBeyond + time.Duration(random.Int64N(int64(longestFault)))
 		steps = append(steps, Step{At: at, For: length, Kind: ZoneEvacuated})
 		at += length + time.Duration(random.ExpFloat64()*float64(evacuationGap))
 	}
@@ -158,8 +158,8 @@
 		if !again {
 			step.Target = (first.Target + i) % o.targets(first.Kind)
 		}
-		if step.At < o.Length {
-			step.For = min(step.For, o.Length-step.At)
+		if step.At < o.FaultDuration {
+			step.For = min(step.For, o.FaultDuration-step.At)
 			steps = append(steps, step)
 		}
 	}
@@ -169,13 +169,13 @@
 // targets is how many things a kind may strike.
 func (o Options) targets(kind Kind) int {
 	switch {
-	case o.Long > 0 && kind.onEntry() && !kind.planned():
+	case o.LongStreamCallers > 0 && kind.onEntry() && !kind.planned():
 		// The others' stops come to their ends undisturbed: a stop lasts for longer than faults lie apart.
 		return (o.Entries + 1) / 2
 	case kind.onEntry():
 		return o.Entries
 	case kind.onWorker():
-		return o.Workers
+		return o.Servers
 	}
 	return 1
 }
--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -84,10 +84,10 @@
 	require.NoError(b, err)
 	binary := build(b, overlay)
 	for seed := range uint64(removalSeeds) {
-		report, err := Play(Options{Seed: seed, Length: removalLength, Entries: 5, Workers: 9, Fatal: 4, FatalHold: DefaultFatalHold, Long: 2, Binary: binary, Folder: b.TempDir(), Timed: true})
+		report, err := Execute(Options{Seed: seed, FaultDuration: removalLength, Entries: 5, Servers: 9, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay, LongStreamCallers: 2, Binary: binary, Folder: b.TempDir(), CheckTiming: true})
 		require.NoError(b, err)
 		for _, f := range report.Findings {
-			if f.Promise == r.promise {
+			if f.Guarantee == r.promise {
 				return fmt.Sprintf("seed %d: %s", seed, f.Detail)
 			}
 		}
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -15,12 +15,12 @@
 // Report is the outcome of a run.
 type Report struct {
 	Seed     uint64
-	Steps    []Step
+	Faults    []Step
 	Calls    int
-	Answered int
+	Succeeded int
 	Runs     int
 	// Ended is how many servers have ended under fatal requests.
-	Ended    int
+	Crashes    int
 	Findings []Finding
 }
 
@@ -28,8 +28,8 @@
 func (r Report) Failed() bool { return len(r.Findings) > 0 }
 
 // Play plays one seed. An error means that the run itself could not be carried out.
-func Play(o Options) (Report, error) {
-	report := Report{Seed: o.Seed, Steps: Plan(o)}
+func Execute(o Options) (Report, error) {
+	report := Report{Seed: o.Seed, Faults: Plan(o)}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return report, fmt.Errorf("the folder of a run: %w", err)
 	}
@@ -38,16 +38,16 @@
 		w.close()
 		return report, err
 	}
-	err = errors.Join(w.play(report.Steps), w.records.Failure)
-	report.Findings = Check(w.records, o.Timed)
+	err = errors.Join(w.play(report.Faults), w.records.Failure)
+	report.Findings = Check(w.records, o.CheckTiming)
 	if report.Failed() {
 		err = errors.Join(err, w.keep(report.Findings))
 	}
 	report.Calls, report.Runs = w.records.counts()
-	report.Ended = len(w.records.Ends)
+	report.Crashes = len(w.records.Ends)
 	for _, c := range w.records.Calls {
 		if c.Status == 200 {
-			report.Answered++
+			report.Succeeded++
 		}
 	}
 	return report, err
@@ -57,7 +57,7 @@
 func (w *world) keep(findings []Finding) error {
 	text := w.records.faultLines()
 	for _, f := range findings {
-		text += fmt.Sprintf("%s: %s\n", f.Promise, f.Detail)
+		text += fmt.Sprintf("%s: %s\n", f.Guarantee, f.Detail)
 	}
 	if err := os.WriteFile(filepath.Join(w.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
 		return fmt.Errorf("the findings: %w", err)
@@ -90,7 +90,7 @@
 		failures <- err
 	}
 	w.records.calm()
-	time.Sleep(CalmTime)
+	time.Sleep(RecoveryTime)
 	cancel()
 	callers.Wait()
 	w.awaitMemory()
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -24,13 +24,13 @@
 
 // The same seed strikes the same things at the same moments.
 func TestAPlanRepeats(t *testing.T) {
-	o := Options{Seed: 7, Length: 20 * time.Second, Entries: 5, Workers: 9}
+	o := Options{Seed: 7, FaultDuration: 20 * time.Second, Entries: 5, Servers: 9}
 	require.Equal(t, Plan(o), Plan(o))
 	require.Greater(t, len(Plan(o)), 10)
 	o.Seed = 8
-	require.NotEqual(t, Plan(Options{Seed: 7, Length: o.Length, Entries: 5, Workers: 9}), Plan(o))
+	require.NotEqual(t, Plan(Options{Seed: 7, FaultDuration: o.FaultDuration, Entries: 5, Servers: 9}), Plan(o))
 	for _, step := range Plan(o) {
-		require.LessOrEqual(t, step.At+step.For, o.Length)
+		require.LessOrEqual(t, step.At+step.For, o.FaultDuration)
 	}
 }
 
@@ -49,12 +49,12 @@
 		var o Options
 		var seconds int
 		var bound, hold string
-		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Workers, &seconds, &bound, &o.Fatal, &hold, &o.Long, &o.Zones)
+		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Servers, &seconds, &bound, &o.PoisonRequests, &hold, &o.LongStreamCallers, &o.MultiZone)
 		require.NoError(t, err, lines.Text())
-		o.FatalHold, err = time.ParseDuration(hold)
+		o.MaxCrashDelay, err = time.ParseDuration(hold)
 		require.NoError(t, err, lines.Text())
-		o.Length = time.Duration(seconds) * time.Second
-		o.ChangeBound, err = time.ParseDuration(bound)
+		o.FaultDuration = time.Duration(seconds) * time.Second
+		o.MaxPropagationDelay, err = time.ParseDuration(bound)
 		require.NoError(t, err, lines.Text())
 		found = append(found, o)
 	}
@@ -70,21 +70,21 @@
 	runs := kept(t)
 	// The same faults where two entries read the store for all.
 	shared := runs[0]
-	shared.ChangeBound, shared.Entries = 4*time.Second, 5
+	shared.MaxPropagationDelay, shared.Entries = 4*time.Second, 5
 	// The same faults while two requests come again and again that end servers.
 	fatal := runs[0]
-	fatal.Fatal = 2
+	fatal.PoisonRequests = 2
 	// The same, whose servers end a while after they have begun them, and many of whose callers leave.
 	held := fatal
-	held.FatalHold = DefaultFatalHold
+	held.MaxCrashDelay = DefaultMaxCrashDelay
 	// The same, while streams outlast most stops.
 	long := runs[0]
-	long.Long = 1
+	long.LongStreamCallers = 1
 	// The same, while one of two zones is evacuated now and then and servers come back cold.
 	zoned := runs[0]
-	zoned.Zones = true
+	zoned.MultiZone = true
 	for _, o := range append(runs, shared, fatal, held, long, zoned) {
-		t.Run(fmt.Sprint(o.Seed, " ", o.ChangeBound, " ", o.Fatal, " ", o.FatalHold, " ", o.Long, " ", o.Zones), func(t *testing.T) {
+		t.Run(fmt.Sprint(o.Seed, " ", o.MaxPropagationDelay, " ", o.PoisonRequests, " ", o.MaxCrashDelay, " ", o.LongStreamCallers, " ", o.MultiZone), func(t *testing.T) {
 			t.Parallel()
 			keepsEveryPromise(t, o, binary)
 		})
@@ -93,16 +93,16 @@
 
 func keepsEveryPromise(t *testing.T, o Options, binary string) {
 	o.Binary, o.Folder = binary, t.TempDir()
-	report, err := Play(o)
+	report, err := Execute(o)
 	require.NoError(t, err)
 	require.Empty(t, report.Findings)
-	require.Positive(t, report.Answered)
+	require.Positive(t, report.Succeeded)
 }
 
 // Two requests end the same two servers of a service, up to the fifth time, some of it after all other
 // faults. The check of the calm part once took sends that the users allow for too many; and once, beside
 // busy processes, half of the requests were not served after the last fault.
 func TestASeedWhoseServersEndInTheCalmPart(t *testing.T) {
-	o := Options{Seed: 30120415, Entries: 6, Workers: 9, Length: 15 * time.Second, ChangeBound: 4 * time.Second, Fatal: 4, FatalHold: DefaultFatalHold}
+	o := Options{Seed: 30120415, Entries: 6, Servers: 9, FaultDuration: 15 * time.Second, MaxPropagationDelay: 4 * time.Second, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay}
 	keepsEveryPromise(t, o, build(t, ""))
 }
--- a/proof/soak/world.go
+++ b/proof/soak/world.go
@@ -41,15 +41,15 @@
 func markerKey(version int) string    { return fmt.Sprintf("marker-key-%d", version) }
 
 func newWorld(o Options) (*world, error) {
-	if o.ChangeBound == 0 {
-		o.ChangeBound = DefaultChangeBound
+	if o.MaxPropagationDelay == 0 {
+		o.MaxPropagationDelay = DefaultMaxPropagationDelay
 	}
 	w := &world{options: o, records: newRecords(), store: standin.NewStore(), probing: &http.Client{Timeout: time.Second}}
-	w.records.ChangeBound = o.ChangeBound
+	w.records.ChangeBound = o.MaxPropagationDelay
 	for range 3 {
 		w.configure()
 	}
-	for i := range o.Workers {
+	for i := range o.Servers {
 		if err := w.addSlot(i); err != nil {
 			return w, err
 		}
@@ -79,8 +79,8 @@
 	if index%3 == 2 {
 		service = plain
 	}
-	s := &slot{index: index, link: link, store: w.store, records: w.records, fatalHold: w.options.FatalHold, service: service}
-	if w.options.Zones {
+	s := &slot{index: index, link: link, store: w.store, records: w.records, fatalHold: w.options.MaxCrashDelay, service: service}
+	if w.options.MultiZone {
 		s.zone, s.coldFor = zones[index%len(zones)], coldTime
 	}
 	w.slots = append(w.slots, s)
@@ -92,8 +92,8 @@
 	if err != nil {
 		return err
 	}
-	settings := settingsOf(index, host, toStore.Address(), seeds, w.options.ChangeBound)
-	if w.options.Long > 0 && index%2 == 1 {
+	settings := settingsOf(index, host, toStore.Address(), seeds, w.options.MaxPropagationDelay)
+	if w.options.LongStreamCallers > 0 && index%2 == 1 {
 		settings.Processors = 4
 	}
 	front, err := NewLink("127.0.0.1:0", settings.ListenAddress)
@@ -140,7 +140,7 @@
 func (w *world) putConfiguration() {
 	v := w.version
 	configuration := standin.ConfigurationWith(v, []string{markerPrefix(v), markerPrefix(v - 1)}, []string{markerKey(v), markerKey(v - 1)})
-	if w.options.Zones {
+	if w.options.MultiZone {
 		standin.BoundCold(configuration, coldRate)
 	}
 	w.store.Put("op/config", configuration)
@@ -244,7 +244,7 @@
 		return s.crashFor(step.For)
 	case WorkerLeaves:
 		s.leave()
-		time.Sleep(w.options.ChangeBound + time.Second)
+		time.Sleep(w.options.MaxPropagationDelay + time.Second)
 		s.unlist(s.current())
 		s.crash()
 		return s.start()
@@ -334,7 +334,7 @@
 	w.store.Refuse(0)
 	time.Sleep(rowsBack)
 	w.writeConfiguration()
-	if w.options.Zones {
+	if w.options.MultiZone {
 		w.writeEvacuationAgain()
 	}
 	for _, s := range w.slots {
@@ -369,7 +369,7 @@
 
 // call lets the callers of all entries run until the context is over.
 func (w *world) call(ctx context.Context, callers *sync.WaitGroup) {
-	for i := range w.options.Fatal {
+	for i := range w.options.PoisonRequests {
 		callers.Go(func() { w.callFatal(ctx, i+1) })
 	}
 	for entry := range w.daemons {
@@ -377,7 +377,7 @@
 			c := newCaller(fmt.Sprintf("c%d-%d", entry, i), entry, w.fronts[entry].Address(), w.options.Seed+uint64(entry*100+i), w.records, w.newest)
 			callers.Go(func() { c.run(ctx) })
 		}
-		for i := range w.options.Long {
+		for i := range w.options.LongStreamCallers {
 			c := w.newLongCaller(entry, i)
 			callers.Go(func() { c.callLong(ctx) })
 		}
