--- a/proof/soak/check_stop.go
+++ b/proof/soak/check_stop.go
@@ -34,7 +34,7 @@
 // harmed says whether an entry's process or its link from callers was struck, so that it could not answer.
 func (c *checker) harmed(entry int, from, to time.Time) bool {
 	for _, f := range c.Faults {
-		strikes := f.Kind == EntryKilled || f.Kind == EntryPaused || f.Kind == FrontLink
+		strikes := f.Kind == EntryKilled || f.Kind == EntryPaused || f.Kind == CallerLink
 		if strikes && f.Target == entry && f.overlaps(from.Add(-stableWindow), to) {
 			return true
 		}
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -139,7 +139,7 @@
 // An entry was paused when a server left; it can't have heard of it, and the bound
 // does not hold for it. The same goes for one that was cut off from the store.
 func TestBoundsHoldOnlyForEntriesInTouch(t *testing.T) {
-	for _, kind := range []Kind{EntryPaused, StoreLink, StoreRefuses} {
+	for _, kind := range []FaultKind{EntryPaused, StoreLink, StoreRefuses} {
 		r := soundRecords()
 		r.Leaving["w"] = after(5)
 		r.Faults = []Interval{{Kind: kind, From: after(4), To: after(9)}}
@@ -157,7 +157,7 @@
 	r := soundRecords()
 	r.Calls[0].Ended = r.Calls[0].Began.Add(9 * time.Second)
 	silenced := r.Calls[0].Began.Add(-10 * time.Second)
-	r.Faults = append(r.Faults, Interval{Kind: FrontLink, Target: r.Calls[0].Entry, From: silenced, To: silenced.Add(time.Second)})
+	r.Faults = append(r.Faults, Interval{Kind: CallerLink, Target: r.Calls[0].Entry, From: silenced, To: silenced.Add(time.Second)})
 	require.Contains(t, promisesOf(r), promise)
 	r.Calls[0].Idle = 11 * time.Second
 	require.NotContains(t, promisesOf(r), promise)
--- a/proof/soak/check_times.go
+++ b/proof/soak/check_times.go
@@ -44,15 +44,15 @@
 // inTouch says that no fault touched an entry from the stable window before a time
 // on, and none of the planned kinds that end or change processes.
 func (c *checker) inTouch(entry int, from, to time.Time) bool {
-	return !c.struck(entry, from.Add(-stableWindow), to, func(k Kind) bool { return k != ConfigChanges && k != WorkerLeaves && k != ZoneEvacuated })
+	return !c.struck(entry, from.Add(-stableWindow), to, func(k FaultKind) bool { return k != ConfigChanges && k != ServerDrains && k != ZoneEvacuated })
 }
 
 // disturbed says that something other than planned work touched an entry.
 func (c *checker) disturbed(entry int, from, to time.Time) bool {
-	return c.struck(entry, from.Add(-stableWindow), to, func(k Kind) bool { return !k.planned() })
+	return c.struck(entry, from.Add(-stableWindow), to, func(k FaultKind) bool { return !k.planned() })
 }
 
-func (c *checker) struck(entry int, from, to time.Time, counts func(Kind) bool) bool {
+func (c *checker) struck(entry int, from, to time.Time, counts func(FaultKind) bool) bool {
 	for i := range c.Faults {
 		f := &c.Faults[i]
 		if counts(f.Kind) && f.touches(entry) && f.overlaps(from, to) {
--- a/proof/soak/fatal.go
+++ b/proof/soak/fatal.go
@@ -68,7 +68,7 @@
 		return true // it has ended already
 	}
 	s.records.end(End{Fatal: number, Worker: w.ID, At: time.Now()})
-	over := s.records.fault(WorkerCrashed, s.index)
+	over := s.records.fault(ServerCrashed, s.index)
 	s.cutOff()
 	s.ending.Go(func() {
 		defer over()
--- a/proof/soak/link.go
+++ b/proof/soak/link.go
@@ -16,15 +16,15 @@
 // Faults of links. A silent direction swallows what is sent, for good on the
 // connections that were open, until the fault is over on new ones.
 const (
-	LinkFine      LinkFault = ""
+	LinkHealthy      LinkFault = ""
 	LinkDelayed   LinkFault = "delayed"
 	LinkReset     LinkFault = "reset"
-	LinkSilent    LinkFault = "silent"
-	LinkSilentOut LinkFault = "requests swallowed"
-	LinkSilentIn  LinkFault = "answers swallowed"
+	LinkDropsBoth    LinkFault = "silent"
+	LinkDropsRequests LinkFault = "requests swallowed"
+	LinkDropsResponses  LinkFault = "answers swallowed"
 )
 
-var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkSilent, LinkSilentOut, LinkSilentIn}
+var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkDropsBoth, LinkDropsRequests, LinkDropsResponses}
 
 // linkDelay is added to each piece that passes a delayed link.
 const linkDelay = 150 * time.Millisecond
@@ -122,7 +122,7 @@
 }
 
 // Harm begins a fault, also on the open connections.
-func (l *Link) Harm(fault LinkFault) {
+func (l *Link) Inject(fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
@@ -130,17 +130,17 @@
 		switch fault {
 		case LinkReset:
 			c.reset()
-		case LinkSilent, LinkSilentOut, LinkSilentIn:
+		case LinkDropsBoth, LinkDropsRequests, LinkDropsResponses:
 			c.silence(fault)
 		}
 	}
 }
 
 // Heal ends the fault; connections that were silenced stay so.
-func (l *Link) Heal() { l.Harm(LinkFine) }
+func (l *Link) Clear() { l.Inject(LinkHealthy) }
 
 // Cut resets the open connections.
-func (l *Link) Cut() {
+func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
@@ -151,7 +151,7 @@
 // Close ends the link and its connections.
 func (l *Link) Close() error {
 	err := l.Retarget("")
-	l.Cut()
+	l.ResetConnections()
 	return err
 }
 
@@ -186,7 +186,7 @@
 	c := &connection{link: l, near: near, far: far}
 	l.mu.Lock()
 	l.open[c] = true
-	if l.fault == LinkSilent || l.fault == LinkSilentOut || l.fault == LinkSilentIn {
+	if l.fault == LinkDropsBoth || l.fault == LinkDropsRequests || l.fault == LinkDropsResponses {
 		c.silence(l.fault)
 	}
 	l.mu.Unlock()
@@ -239,8 +239,8 @@
 
 // silence swallows what is sent from now on. The link's lock is held.
 func (c *connection) silence(fault LinkFault) {
-	c.silenced[outward] = c.silenced[outward] || fault != LinkSilentIn
-	c.silenced[inward] = c.silenced[inward] || fault != LinkSilentOut
+	c.silenced[outward] = c.silenced[outward] || fault != LinkDropsResponses
+	c.silenced[inward] = c.silenced[inward] || fault != LinkDropsRequests
 }
 
 func (c *connection) reset() {
--- a/proof/soak/link_test.go
+++ b/proof/soak/link_test.go
@@ -69,10 +69,10 @@
 	line, err := say(c, "hello")
 	require.NoError(t, err)
 	require.Equal(t, "hello\n", line)
-	l.Harm(LinkReset)
+	l.Inject(LinkReset)
 	_, err = say(c, "again")
 	require.Error(t, err)
-	l.Heal()
+	l.Clear()
 	line, err = say(dial(t, l), "anew")
 	require.NoError(t, err)
 	require.Equal(t, "anew\n", line)
@@ -80,13 +80,13 @@
 
 // A connection that was silenced stays so for good, while new ones work.
 func TestASilencedConnectionStaysSilent(t *testing.T) {
-	for _, fault := range []LinkFault{LinkSilent, LinkSilentIn, LinkSilentOut} {
+	for _, fault := range []LinkFault{LinkDropsBoth, LinkDropsResponses, LinkDropsRequests} {
 		l := linkTo(t, echo(t).Addr().String())
 		old := dial(t, l)
 		_, err := say(old, "hello")
 		require.NoError(t, err)
-		l.Harm(fault)
-		l.Heal()
+		l.Inject(fault)
+		l.Clear()
 		heard := make(chan struct{})
 		go func() {
 			if _, err := say(old, "lost"); err == nil {
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -72,7 +72,7 @@
 
 // Interval is a time in which a fault struck.
 type Interval struct {
-	Kind     Kind
+	Kind     FaultKind
 	Target   int
 	From, To time.Time
 }
@@ -252,7 +252,7 @@
 }
 
 // fault notes a fault's beginning and returns what notes its end.
-func (r *Records) fault(kind Kind, target int) func() {
+func (r *Records) fault(kind FaultKind, target int) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.Faults)
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -15,7 +15,7 @@
 // Report is the outcome of a run.
 type Report struct {
 	Seed     uint64
-	Faults    []Step
+	Faults    []ScheduledFault
 	Calls    int
 	Succeeded int
 	Runs     int
@@ -66,7 +66,7 @@
 }
 
 // play lets callers come, faults strike and the system recover, and ends all.
-func (w *world) play(steps []Step) error {
+func (w *world) play(steps []ScheduledFault) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers, faults sync.WaitGroup
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -30,7 +30,7 @@
 	o.Seed = 8
 	require.NotEqual(t, Plan(Options{Seed: 7, FaultDuration: o.FaultDuration, Entries: 5, Servers: 9}), Plan(o))
 	for _, step := range Plan(o) {
-		require.LessOrEqual(t, step.At+step.For, o.FaultDuration)
+		require.LessOrEqual(t, step.At+step.Duration, o.FaultDuration)
 	}
 }
 
--- a/proof/soak/worker.go
+++ b/proof/soak/worker.go
@@ -13,22 +13,22 @@
 )
 
 // Habit is how a backend server misbehaves towards a request.
-type Habit string
+type Misbehavior string
 
 // Habits.
 const (
-	Sound          Habit = ""
-	LosesAnswers   Habit = "loses answers"
-	BreaksOff      Habit = "breaks off"
-	AnswersTwice   Habit = "answers twice"
-	CrossesAnswers Habit = "crosses answers"
-	Forges         Habit = "forges answers"
-	Fails          Habit = "fails"
-	Refuses        Habit = "refuses"
-	Hesitates      Habit = "hesitates"
+	NoMisbehavior          Misbehavior = ""
+	DropsResponse   Misbehavior = "loses answers"
+	TruncatesResponse      Misbehavior = "breaks off"
+	DuplicatesResponse   Misbehavior = "answers twice"
+	SwapsResponse Misbehavior = "crosses answers"
+	ForgesResponse         Misbehavior = "forges answers"
+	ReturnsError          Misbehavior = "fails"
+	RefusesRequest        Misbehavior = "refuses"
+	DelaysResponse      Misbehavior = "hesitates"
 )
 
-var habits = []Habit{LosesAnswers, BreaksOff, AnswersTwice, CrossesAnswers, Forges, Fails, Refuses, Hesitates}
+var habits = []Misbehavior{DropsResponse, TruncatesResponse, DuplicatesResponse, SwapsResponse, ForgesResponse, ReturnsError, RefusesRequest, DelaysResponse}
 
 // habitShare is the share of requests that meet a server's habit, in hundredths.
 const habitShare = 40
@@ -121,7 +121,7 @@
 	s.records.gone(s.current().ID)
 	// The listener may be closed already, which is what is asked for.
 	_ = s.link.Retarget("")
-	s.link.Cut()
+	s.link.ResetConnections()
 }
 
 // crashFor ends the server for a while, and starts the next one. The slot is busy.
@@ -194,11 +194,11 @@
 }
 
 // habit is what a request meets here now.
-func (s *slot) habit(id string) Habit {
+func (s *slot) habit(id string) Misbehavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.misbehaves || pick(id, "habit", 100) >= habitShare {
-		return Sound
+		return NoMisbehavior
 	}
 	return habits[pick(id, "which", len(habits))]
 }
@@ -219,7 +219,7 @@
 func (s *slot) serve(w *standin.Worker, out http.ResponseWriter, r *http.Request) {
 	told := standin.RunOf(r)
 	habit := s.habit(told.ID)
-	if habit == Refuses {
+	if habit == RefusesRequest {
 		standin.NotRun(out, r)
 		return
 	}
@@ -229,7 +229,7 @@
 	s.records.run(run)
 	status := 0
 	defer func() { s.records.ended(run, status) }()
-	if habit != Sound && habit != Hesitates {
+	if habit != NoMisbehavior && habit != DelaysResponse {
 		s.records.spoiled(run)
 	}
 	if !work(r, habit, run.ID) {
@@ -255,9 +255,9 @@
 )
 
 // work takes the time of a run; it returns false if the caller has left.
-func work(r *http.Request, habit Habit, id string) bool {
+func work(r *http.Request, habit Misbehavior, id string) bool {
 	d := workTime + time.Duration(pick(id, "work", workSpread))*time.Millisecond + lateOf(id)
-	if habit == Hesitates {
+	if habit == DelaysResponse {
 		d += hesitation
 	}
 	return pause(r, d)
@@ -296,22 +296,22 @@
 // eventOf is the data of one event: whose it is, which, and of how many.
 func eventOf(id string, number int) string { return fmt.Sprintf("%s %d %d", id, number, eventsOf(id)) }
 
-func writePlain(out http.ResponseWriter, r *http.Request, habit Habit, id string) int {
+func writePlain(out http.ResponseWriter, r *http.Request, habit Misbehavior, id string) int {
 	body := answerOf(id)
 	switch {
-	case habit == LosesAnswers:
+	case habit == DropsResponse:
 		panic(http.ErrAbortHandler)
-	case habit == Fails:
+	case habit == ReturnsError:
 		out.WriteHeader(http.StatusInternalServerError)
 		_, _ = fmt.Fprintf(out, "failure of %s", id)
 		return http.StatusInternalServerError
-	case habit == CrossesAnswers:
+	case habit == SwapsResponse:
 		standin.Crossed(out, r)
 		return http.StatusOK
-	case habit == Forges:
+	case habit == ForgesResponse:
 		standin.Unsigned(out, r)
 		return http.StatusOK
-	case habit == BreaksOff, habit == AnswersTwice, pick(id, "framing", 100) < unframedShare:
+	case habit == TruncatesResponse, habit == DuplicatesResponse, pick(id, "framing", 100) < unframedShare:
 		writeRaw(out, habit, body)
 		return http.StatusOK
 	}
@@ -321,7 +321,7 @@
 
 // writeRaw writes an answer by hand: one that breaks off, one with a second answer
 // behind it, or one that has no length and ends with its connection.
-func writeRaw(out http.ResponseWriter, habit Habit, body string) {
+func writeRaw(out http.ResponseWriter, habit Misbehavior, body string) {
 	head := "HTTP/1.1 200 OK\r\n"
 	for name := range out.Header() {
 		head += name + ": " + out.Header().Get(name) + "\r\n"
@@ -332,16 +332,16 @@
 	}
 	framed := fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, len(body))
 	switch habit {
-	case BreaksOff:
+	case TruncatesResponse:
 		_, _ = buffered.WriteString(framed + body[:len(body)/2])
-	case AnswersTwice:
+	case DuplicatesResponse:
 		_, _ = buffered.WriteString(framed + body + framed + body)
 	default:
 		_, _ = buffered.WriteString(head + "Connection: close\r\n\r\n" + body)
 	}
 	// A caller that has left gets nothing; the run is over either way.
 	_ = buffered.Flush()
-	if habit == BreaksOff {
+	if habit == TruncatesResponse {
 		resetConnection(connection)
 		return
 	}
@@ -349,23 +349,23 @@
 }
 
 // writeStream writes the events after the last one that the request names.
-func writeStream(out http.ResponseWriter, r *http.Request, habit Habit, run *Run) int {
+func writeStream(out http.ResponseWriter, r *http.Request, habit Misbehavior, run *Run) int {
 	switch habit {
-	case LosesAnswers:
+	case DropsResponse:
 		panic(http.ErrAbortHandler)
-	case Fails:
+	case ReturnsError:
 		out.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError
-	case CrossesAnswers:
+	case SwapsResponse:
 		standin.NameAnother(out)
-	case Forges:
+	case ForgesResponse:
 		standin.Unsign(out)
 	}
 	from, _ := strconv.Atoi(run.LastEvent)
 	out.Header().Set("Content-Type", "text/event-stream")
 	last := eventsOf(run.ID)
 	for i := from + 1; i <= last; i++ {
-		if habit == BreaksOff && i > from+last/2 {
+		if habit == TruncatesResponse && i > from+last/2 {
 			_, _ = fmt.Fprintf(out, "id: %d\ndata: %s", i, run.ID)
 			_ = http.NewResponseController(out).Flush()
 			panic(http.ErrAbortHandler)
--- a/proof/soak/world.go
+++ b/proof/soak/world.go
@@ -170,7 +170,7 @@
 }
 
 // strike carries out one step and returns when its fault is over.
-func (w *world) strike(step Step) error {
+func (w *world) strike(step ScheduledFault) error {
 	over := w.records.fault(step.Kind, step.Target)
 	defer over()
 	switch {
@@ -184,18 +184,18 @@
 	return nil
 }
 
-func (w *world) strikeEntry(step Step) error {
+func (w *world) strikeEntry(step ScheduledFault) error {
 	d := w.daemons[step.Target]
 	switch step.Kind {
 	case EntryKilled:
 		d.kill()
 	case EntryPaused:
-		d.pause(step.For)
+		d.pause(step.Duration)
 	case EntryStopped:
 		d.stop()
 	case SettingsChanged:
 		return d.reload()
-	case FrontLink:
+	case CallerLink:
 		harm(w.fronts[step.Target], step)
 	case StoreLink:
 		harm(w.stores[step.Target], step)
@@ -203,10 +203,10 @@
 	return nil
 }
 
-func harm(link *Link, step Step) {
-	link.Harm(step.Link)
-	time.Sleep(step.For)
-	link.Heal()
+func harm(link *Link, step ScheduledFault) {
+	link.Inject(step.LinkFault)
+	time.Sleep(step.Duration)
+	link.Clear()
 }
 
 // Times of the platform.
@@ -217,15 +217,15 @@
 	reuseAfter = 2 * time.Second
 )
 
-func (w *world) strikeWorker(step Step, s *slot) error {
+func (w *world) strikeWorker(step ScheduledFault, s *slot) error {
 	switch step.Kind {
-	case WorkerLink:
+	case ServerLink:
 		harm(s.link, step)
 		// What was silenced stays so for good; the fault is over with it.
-		s.link.Cut()
-	case WorkerMisbehaves:
+		s.link.ResetConnections()
+	case ServerMisbehaves:
 		s.misbehave(true)
-		time.Sleep(step.For)
+		time.Sleep(step.Duration)
 		s.misbehave(false)
 	default:
 		if !s.busy.TryLock() {
@@ -238,11 +238,11 @@
 }
 
 // replaceWorker ends a server in one of three ways and starts the next one.
-func (w *world) replaceWorker(step Step, s *slot) error {
+func (w *world) replaceWorker(step ScheduledFault, s *slot) error {
 	switch step.Kind {
-	case WorkerCrashed:
-		return s.crashFor(step.For)
-	case WorkerLeaves:
+	case ServerCrashed:
+		return s.crashFor(step.Duration)
+	case ServerDrains:
 		s.leave()
 		time.Sleep(w.options.MaxPropagationDelay + time.Second)
 		s.unlist(s.current())
@@ -280,22 +280,22 @@
 	}
 }
 
-func (w *world) strikeStore(step Step) {
+func (w *world) strikeStore(step ScheduledFault) {
 	switch step.Kind {
 	case StoreRefuses:
 		w.store.Refuse(http.StatusServiceUnavailable)
-		time.Sleep(step.For)
+		time.Sleep(step.Duration)
 		w.store.Refuse(0)
-	case StoreForgets:
+	case StoreHistoryLost:
 		w.store.Forget()
 	case ConfigChanges:
 		w.configure()
-	case RowsLapse:
-		w.lapse(step.For)
+	case RowsExpire:
+		w.lapse(step.Duration)
 	case StoreRestored:
-		w.restore(step.For)
+		w.restore(step.Duration)
 	case ZoneEvacuated:
-		w.evacuate(step.For)
+		w.evacuate(step.Duration)
 	}
 }
 
