--- a/proof/soak/caller.go
+++ b/proof/soak/caller.go
@@ -57,7 +57,7 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.one([]CallKind{Order, Order, Read, Read, Stream, Stream, Once}[c.random.IntN(7)])
+		c.one([]CallKind{AtMostOnce, AtMostOnce, Retryable, Retryable, ResumableStream, ResumableStream, AtMostOnceStream}[c.random.IntN(7)])
 		sleep(ctx, time.Duration(c.random.IntN(thinkTime))*time.Millisecond)
 	}
 }
@@ -66,8 +66,8 @@
 func (c *caller) probe(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.one(Probe)
-		c.one(OldKey)
+		c.one(ConfigProbe)
+		c.one(RevokedKeyProbe)
 		sleep(ctx, probeGap)
 	}
 }
@@ -84,25 +84,25 @@
 func (c *caller) one(kind CallKind) {
 	c.serial++
 	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: kind, Entry: c.entry, Key: lastingKey,
-		Wait: waitLeast + time.Duration(c.random.IntN(waitSpread))*time.Millisecond}
+		Timeout: waitLeast + time.Duration(c.random.IntN(waitSpread))*time.Millisecond}
 	method, tokens := http.MethodPost, 0
 	switch kind {
-	case Order:
+	case AtMostOnce:
 		call.Path = "/order/x"
-	case Read:
+	case Retryable:
 		method, call.Path = http.MethodGet, "/read/x"
-	case Stream:
+	case ResumableStream:
 		call.Path, tokens = "/stream/x", promptTokens[c.random.IntN(len(promptTokens))]
-	case Once:
+	case AtMostOnceStream:
 		call.Path, tokens = "/once/x", promptTokens[c.random.IntN(3)]
-	case Probe:
-		call.Marker = c.version()
-		method, call.Path = http.MethodGet, markerPrefix(call.Marker)
-	case OldKey:
-		call.Marker = c.version()
-		method, call.Path, call.Key = http.MethodGet, "/read/x", markerKey(call.Marker-2)
+	case ConfigProbe:
+		call.ConfigVersion = c.version()
+		method, call.Path = http.MethodGet, markerPrefix(call.ConfigVersion)
+	case RevokedKeyProbe:
+		call.ConfigVersion = c.version()
+		method, call.Path, call.Key = http.MethodGet, "/read/x", markerKey(call.ConfigVersion-2)
 	}
-	request := standin.WithKey(standin.Within(standin.Call(c.address, method, call.Path, call.ID, tokens, ""), call.Wait), call.Key)
+	request := standin.WithKey(standin.Within(standin.Call(c.address, method, call.Path, call.ID, tokens, ""), call.Timeout), call.Key)
 	c.do(&call, request)
 	c.records.call(call)
 }
@@ -122,34 +122,34 @@
 	if leave > 0 {
 		time.AfterFunc(leave, cancel)
 	}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { call.Idle = got.IdleTime }})
-	call.Began = time.Now()
-	defer func() { call.Ended = time.Now() }()
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { call.ConnIdleTime = got.IdleTime }})
+	call.StartedAt = time.Now()
+	defer func() { call.EndedAt = time.Now() }()
 	response, err := c.client.Do(request.WithContext(ctx))
 	if err != nil {
-		call.Err, call.Left = err, leave > 0 && errors.Is(err, context.Canceled)
+		call.Err, call.Disconnected = err, leave > 0 && errors.Is(err, context.Canceled)
 		return
 	}
 	defer response.Body.Close()
 	call.Status, call.Signature = response.StatusCode, standin.Signature(response)
 	if id := standin.AnswerID(response); id != call.ID {
-		call.Spoiled = fmt.Sprintf("the answer names request %q", id)
+		call.Corruption = fmt.Sprintf("the answer names request %q", id)
 	}
 	if call.Kind.streams() && call.Status == http.StatusOK {
 		call.readStream(response.Body)
 	} else {
 		call.readPlain(response.Body)
 	}
-	call.Left = leave > 0 && errors.Is(call.Err, context.Canceled)
+	call.Disconnected = leave > 0 && errors.Is(call.Err, context.Canceled)
 }
 
-func kindLeaves(kind CallKind) bool { return kind != Probe && kind != OldKey }
+func kindLeaves(kind CallKind) bool { return kind != ConfigProbe && kind != RevokedKeyProbe }
 
 func (call *Call) readPlain(body io.Reader) {
 	content, err := io.ReadAll(body)
-	call.Body, call.Err, call.Whole = string(content), err, err == nil
-	if call.Whole && call.Status == http.StatusOK && call.Body != answerOf(call.ID) {
-		call.Spoiled = fmt.Sprintf("the answer is %.60q", call.Body)
+	call.Body, call.Err, call.Complete = string(content), err, err == nil
+	if call.Complete && call.Status == http.StatusOK && call.Body != answerOf(call.ID) {
+		call.Corruption = fmt.Sprintf("the answer is %.60q", call.Body)
 	}
 }
 
@@ -161,11 +161,11 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			call.Whole = errors.Is(err, io.EOF)
-			if !call.Whole {
+			call.Complete = errors.Is(err, io.EOF)
+			if !call.Complete {
 				call.Err = err
 			} else if line != "" || seen != eventsOf(call.ID) {
-				call.Spoiled = fmt.Sprintf("the stream ends as whole after event %d of %d and %q", seen, eventsOf(call.ID), line)
+				call.Corruption = fmt.Sprintf("the stream ends as whole after event %d of %d and %q", seen, eventsOf(call.ID), line)
 			}
 			return
 		}
@@ -175,7 +175,7 @@
 		}
 		seen++
 		if data != eventOf(call.ID, seen) {
-			call.Spoiled = fmt.Sprintf("event %d is %.60q", seen, data)
+			call.Corruption = fmt.Sprintf("event %d is %.60q", seen, data)
 		}
 	}
 }
--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -67,13 +67,13 @@
 func (c *checker) checkCall(call *Call) {
 	runs := c.runs[call.ID]
 	if call.Kind.atMostOnce() && len(runs) > 1 {
-		c.found("at most once", "%s ran %d times, at %s and %s", call.ID, len(runs), runs[0].Worker, runs[1].Worker)
+		c.found("at most once", "%s ran %d times, at %s and %s", call.ID, len(runs), runs[0].Server, runs[1].Server)
 	}
 	if call.Kind.atMostOnce() && slices.Contains(notRunStatuses, call.Status) && len(runs) > 0 {
-		c.found("not run is true", "%s was answered %d and ran at %s", call.ID, call.Status, runs[0].Worker)
+		c.found("not run is true", "%s was answered %d and ran at %s", call.ID, call.Status, runs[0].Server)
 	}
-	if call.Spoiled != "" {
-		c.found("the whole answer to its own request", "%s: %s", call.ID, call.Spoiled)
+	if call.Corruption != "" {
+		c.found("the whole answer to its own request", "%s: %s", call.ID, call.Corruption)
 	}
 	if call.Status == 200 && call.Signature == "" {
 		c.found("the whole answer to its own request", "%s: 200 without a server's signature", call.ID)
@@ -81,7 +81,7 @@
 	if call.Status >= 400 && call.Signature != "" && !slices.ContainsFunc(runs, func(r *Run) bool { return r.Status == call.Status }) {
 		c.found("the whole answer to its own request", "%s: signed status %d that no server gave", call.ID, call.Status)
 	}
-	if call.Kind != Probe && call.Kind != OldKey && (call.Status == 404 || call.Status == 401) {
+	if call.Kind != ConfigProbe && call.Kind != RevokedKeyProbe && (call.Status == 404 || call.Status == 401) {
 		c.found("no proper request is denied", "%s %s was answered %d", call.ID, call.Path, call.Status)
 	}
 }
@@ -89,7 +89,7 @@
 func (c *checker) checkRun(run *Run) {
 	call := c.calls[run.ID]
 	if call == nil {
-		c.found("only callers' requests run", "%s ran at %s", run.ID, run.Worker)
+		c.found("only callers' requests run", "%s ran at %s", run.ID, run.Server)
 		return
 	}
 	service := plain
@@ -97,13 +97,13 @@
 		service = engines
 	}
 	if run.Service != service {
-		c.found("the right service", "%s %s ran at %s of %s", run.ID, call.Path, run.Worker, run.Service)
+		c.found("the right service", "%s %s ran at %s of %s", run.ID, call.Path, run.Server, run.Service)
 	}
 	if run.Workspace != "press" || run.Key != "" {
 		c.found("the workspace of the key", "%s ran for %q with key %q", run.ID, run.Workspace, run.Key)
 	}
-	if run.Remaining <= 0 || run.Remaining > call.Wait {
-		c.found("no more time than is left", "%s was given %s of %s", run.ID, run.Remaining, call.Wait)
+	if run.Remaining <= 0 || run.Remaining > call.Timeout {
+		c.found("no more time than is left", "%s was given %s of %s", run.ID, run.Remaining, call.Timeout)
 	}
 }
 
@@ -114,17 +114,17 @@
 		shown, since := 0, time.Time{}
 		for i := range c.Calls {
 			call := &c.Calls[i]
-			if call.Kind != Probe || call.Entry != entry {
+			if call.Kind != ConfigProbe || call.Entry != entry {
 				continue
 			}
-			if c.startedBetween(entry, since, call.Ended) {
+			if c.startedBetween(entry, since, call.EndedAt) {
 				shown = 0
 			}
 			switch {
 			case call.Status == 200:
-				shown, since = max(shown, call.Marker), call.Ended
-			case call.Status == 404 && call.Marker <= shown && !c.dropped(call.Marker, call.Ended):
-				c.found("a configuration never reverts", "entry %d showed version %d and not %d after it (%s)", entry, shown, call.Marker, call.ID)
+				shown, since = max(shown, call.ConfigVersion), call.EndedAt
+			case call.Status == 404 && call.ConfigVersion <= shown && !c.dropped(call.ConfigVersion, call.EndedAt):
+				c.found("a configuration never reverts", "entry %d showed version %d and not %d after it (%s)", entry, shown, call.ConfigVersion, call.ID)
 			}
 		}
 	}
@@ -174,12 +174,12 @@
 
 // checkEnd looks at what is left: memory, exits, and whether callers are served again.
 func (c *checker) checkEnd() {
-	for worker, count := range c.Reserved {
+	for worker, count := range c.LeftoverReservations {
 		c.found("memory comes back", "%d reservations stand at %s", count, worker)
 	}
-	for _, span := range c.Held {
+	for _, span := range c.ReservationSpans {
 		until := span.To
-		if used, ok := c.Used[span.ID]; ok && used.Before(until) {
+		if used, ok := c.FirstUsedAt[span.ID]; ok && used.Before(until) {
 			until = used
 		}
 		if idle := until.Sub(span.From); idle > reservationIdle+slack {
@@ -188,17 +188,17 @@
 	}
 	for _, e := range c.Exits {
 		switch {
-		case e.ByItself:
+		case e.Unrequested:
 			c.found("no process ends by itself", "entry %d exited with %d", e.Entry, e.Code)
 		case e.Code == exits.ExitCut && c.mayCut(e):
-		case e.Code != 0 && !c.disturbed(e.Entry, e.Began, e.Began.Add(e.Took)):
+		case e.Code != 0 && !c.disturbed(e.Entry, e.StopRequestedAt, e.StopRequestedAt.Add(e.Took)):
 			c.found("a planned stop cuts nothing", "entry %d exited with %d after %s", e.Entry, e.Code, e.Took.Round(time.Millisecond))
 		}
 	}
 	asked, served := 0, 0
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		if call.Began.Before(c.Calm.Add(RecoveryTime/2)) || call.Kind == OldKey || call.Left || c.withoutServers(call) {
+		if call.StartedAt.Before(c.FaultsEndedAt.Add(RecoveryTime/2)) || call.Kind == RevokedKeyProbe || call.Disconnected || c.withoutServers(call) {
 			continue
 		}
 		asked++
@@ -219,9 +219,9 @@
 	if call.Kind.streams() {
 		service = engines
 	}
-	moments := []time.Time{call.Began}
-	for _, life := range c.Lives {
-		if life.Service == service && life.To.After(call.Began) && life.To.Before(call.Ended) {
+	moments := []time.Time{call.StartedAt}
+	for _, life := range c.Servers {
+		if life.Service == service && life.To.After(call.StartedAt) && life.To.Before(call.EndedAt) {
 			moments = append(moments, life.To)
 		}
 	}
@@ -230,7 +230,7 @@
 
 // isServed says whether a server of a service could be reached at a time.
 func (c *checker) isServed(service string, at time.Time) bool {
-	for _, life := range c.Lives {
+	for _, life := range c.Servers {
 		if life.Service == service && life.covers(at) {
 			return true
 		}
--- a/proof/soak/check_stop.go
+++ b/proof/soak/check_stop.go
@@ -19,16 +19,16 @@
 // checkRead finds requests whose connection ends without a status line around a planned stop, though the
 // entry had time to read them.
 func (c *checker) checkRead(call *Call) {
-	if call.Status != 0 || call.Left || call.Ended.Sub(call.Began) < lossSlack+slack {
+	if call.Status != 0 || call.Disconnected || call.EndedAt.Sub(call.StartedAt) < lossSlack+slack {
 		return
 	}
 	// A connection that lay idle while its link was silenced brings the entry nothing any more.
-	sound := call.Began.Add(-call.Idle)
-	if c.harmed(call.Entry, sound, call.Ended) || len(c.stops(call.Entry, call.Began, call.Ended)) == 0 {
+	sound := call.StartedAt.Add(-call.ConnIdleTime)
+	if c.harmed(call.Entry, sound, call.EndedAt) || len(c.stops(call.Entry, call.StartedAt, call.EndedAt)) == 0 {
 		return
 	}
 	c.found(answeredRead, "%s got no answer of entry %d after %s: %v", call.ID, call.Entry,
-		call.Ended.Sub(call.Began).Round(time.Millisecond), call.Err)
+		call.EndedAt.Sub(call.StartedAt).Round(time.Millisecond), call.Err)
 }
 
 // harmed says whether an entry's process or its link from callers was struck, so that it could not answer.
@@ -55,13 +55,13 @@
 
 // outlastsStop says whether a call's answer was still being written when a stop of its entry neared its limit.
 func (c *checker) outlastsStop(call *Call) bool {
-	for _, stop := range c.stops(call.Entry, call.Began, call.Ended) {
+	for _, stop := range c.stops(call.Entry, call.StartedAt, call.EndedAt) {
 		late := stop.From.Add(lateStop)
-		if call.Status == 0 || call.Began.After(stop.From.Add(afterStop)) || call.Ended.Before(late) {
+		if call.Status == 0 || call.StartedAt.After(stop.From.Add(afterStop)) || call.EndedAt.Before(late) {
 			continue
 		}
 		for _, run := range c.runs[call.ID] {
-			if run.Ended.IsZero() || run.Ended.After(late) {
+			if run.EndedAt.IsZero() || run.EndedAt.After(late) {
 				return true
 			}
 		}
@@ -71,9 +71,9 @@
 
 // mayCut says whether the stop that ended in an exit came to its limit with a call open.
 func (c *checker) mayCut(e Exit) bool {
-	late := e.Began.Add(lateStop)
+	late := e.StopRequestedAt.Add(lateStop)
 	for i := range c.Calls {
-		if call := &c.Calls[i]; call.Entry == e.Entry && call.Began.Before(late) && call.Ended.After(late) {
+		if call := &c.Calls[i]; call.Entry == e.Entry && call.StartedAt.Before(late) && call.EndedAt.After(late) {
 			return true
 		}
 	}
--- a/proof/soak/check_times.go
+++ b/proof/soak/check_times.go
@@ -19,7 +19,7 @@
 	}
 	c.checkCold()
 	for _, e := range c.Exits {
-		if e.ByItself || c.disturbed(e.Entry, e.Began, e.Began.Add(e.Took)) {
+		if e.Unrequested || c.disturbed(e.Entry, e.StopRequestedAt, e.StopRequestedAt.Add(e.Took)) {
 			continue
 		}
 		if e.Took > stopLimit+slack {
@@ -74,71 +74,71 @@
 }
 
 func (c *checker) checkAnswered(call *Call) {
-	took := call.Ended.Sub(call.Began)
+	took := call.EndedAt.Sub(call.StartedAt)
 	// A connection that lay idle while its link was silenced brings the entry nothing any more.
-	sound := call.Began.Add(-call.Idle)
-	if took > call.Wait+slack && c.inTouch(call.Entry, sound, call.Ended) {
-		c.found("an answer or a failure in time", "%s took %s of %s (status %d, %v)", call.ID, took.Round(time.Millisecond), call.Wait, call.Status, call.Err)
+	sound := call.StartedAt.Add(-call.ConnIdleTime)
+	if took > call.Timeout+slack && c.inTouch(call.Entry, sound, call.EndedAt) {
+		c.found("an answer or a failure in time", "%s took %s of %s (status %d, %v)", call.ID, took.Round(time.Millisecond), call.Timeout, call.Status, call.Err)
 	}
 }
 
 // checkCut finds requests that a sound server ran and whose connection ended without
 // an answer. Planned stops, changed settings and configurations are no reason.
 func (c *checker) checkCut(call *Call) {
-	if call.Whole || call.Left || call.Ended.Sub(call.Began) > call.Wait {
+	if call.Complete || call.Disconnected || call.EndedAt.Sub(call.StartedAt) > call.Timeout {
 		return
 	}
 	runs := c.runs[call.ID]
-	if len(runs) == 0 || c.disturbed(call.Entry, call.Began, call.Ended) || c.outlastsStop(call) {
+	if len(runs) == 0 || c.disturbed(call.Entry, call.StartedAt, call.EndedAt) || c.outlastsStop(call) {
 		return
 	}
 	for _, run := range runs {
-		if run.Spoiled || !c.sound(run.Slot, call.Began, call.Ended) {
+		if run.Faulty || !c.sound(run.Slot, call.StartedAt, call.EndedAt) {
 			return
 		}
 	}
-	c.found("nothing is cut", "%s ran at %s and got no whole answer: %v", call.ID, runs[0].Worker, call.Err)
+	c.found("nothing is cut", "%s ran at %s and got no whole answer: %v", call.ID, runs[0].Server, call.Err)
 }
 
 // checkGone finds work that goes on after its caller has left, and requests that are
 // sent on then.
 func (c *checker) checkGone(call *Call) {
-	late := call.Ended.Add(goneBound + slack)
-	if !call.Left || !c.inTouch(call.Entry, call.Began, late) {
+	late := call.EndedAt.Add(goneBound + slack)
+	if !call.Disconnected || !c.inTouch(call.Entry, call.StartedAt, late) {
 		return
 	}
 	for _, run := range c.runs[call.ID] {
-		if !c.sound(run.Slot, call.Began, late) {
+		if !c.sound(run.Slot, call.StartedAt, late) {
 			continue
 		}
-		if run.Began.After(late) || run.Ended.IsZero() || run.Ended.After(late) {
-			c.found("a caller that leaves ends the work", "%s was left and its run at %s went on", call.ID, run.Worker)
+		if run.StartedAt.After(late) || run.EndedAt.IsZero() || run.EndedAt.After(late) {
+			c.found("a caller that leaves ends the work", "%s was left and its run at %s went on", call.ID, run.Server)
 		}
 	}
 }
 
 // checkConfiguration finds entries that handle a request by an older configuration.
 func (c *checker) checkConfiguration(call *Call) {
-	stale := call.Kind == Probe && call.Status == 404 && !c.dropped(call.Marker, call.Ended) || call.Kind == OldKey && call.Status == 200
-	if !stale || !c.inTouch(call.Entry, call.Began, call.Ended) {
+	stale := call.Kind == ConfigProbe && call.Status == 404 && !c.dropped(call.ConfigVersion, call.EndedAt) || call.Kind == RevokedKeyProbe && call.Status == 200
+	if !stale || !c.inTouch(call.Entry, call.StartedAt, call.EndedAt) {
 		return
 	}
 	for _, change := range c.Configs {
-		if change.Version == call.Marker && call.Began.Sub(change.At) > c.ChangeBound+slack {
+		if change.Version == call.ConfigVersion && call.StartedAt.Sub(change.At) > c.MaxPropagationDelay+slack {
 			c.found("a configuration is in force in time", "entry %d: %s was answered %d %s after version %d", call.Entry, call.ID, call.Status,
-				call.Began.Sub(change.At).Round(time.Millisecond), call.Marker)
+				call.StartedAt.Sub(change.At).Round(time.Millisecond), call.ConfigVersion)
 		}
 	}
 }
 
 // checkLeaving finds requests that reach a server long after it has left.
 func (c *checker) checkLeaving(a Arrival) {
-	left, ok := c.Leaving[a.Worker]
+	left, ok := c.DrainingSince[a.Server]
 	call := c.calls[a.ID]
-	if !ok || call == nil || a.At.Sub(left) <= c.ChangeBound+slack {
+	if !ok || call == nil || a.At.Sub(left) <= c.MaxPropagationDelay+slack {
 		return
 	}
-	if c.inTouch(call.Entry, call.Began, a.At) {
-		c.found("a leaving server gets nothing new", "%s reached %s %s after it left", a.ID, a.Worker, a.At.Sub(left).Round(time.Millisecond))
+	if c.inTouch(call.Entry, call.StartedAt, a.At) {
+		c.found("a leaving server gets nothing new", "%s reached %s %s after it left", a.ID, a.Server, a.At.Sub(left).Round(time.Millisecond))
 	}
 }
--- a/proof/soak/check_zones.go
+++ b/proof/soak/check_zones.go
@@ -8,16 +8,16 @@
 // checkEvacuated finds requests that reach a server of a zone long after the zone was evacuated, and before it is taken
 // back.
 func (c *checker) checkEvacuated(a Arrival) {
-	life, call := c.Lives[a.Worker], c.calls[a.ID]
+	life, call := c.Servers[a.Server], c.calls[a.ID]
 	if life == nil || call == nil || life.Zone != zones[1] {
 		return
 	}
 	for _, e := range c.Evacuations {
-		if a.At.Before(e.From.Add(c.ChangeBound+slack)) || !e.To.IsZero() && a.At.After(e.To) {
+		if a.At.Before(e.From.Add(c.MaxPropagationDelay+slack)) || !e.To.IsZero() && a.At.After(e.To) {
 			continue
 		}
-		if c.inTouch(call.Entry, call.Began, a.At) {
-			c.found("an evacuated zone gets nothing new", "%s reached %s %s after its zone was evacuated", a.ID, a.Worker, a.At.Sub(e.From).Round(time.Millisecond))
+		if c.inTouch(call.Entry, call.StartedAt, a.At) {
+			c.found("an evacuated zone gets nothing new", "%s reached %s %s after its zone was evacuated", a.ID, a.Server, a.At.Sub(e.From).Round(time.Millisecond))
 		}
 	}
 }
@@ -29,8 +29,8 @@
 func (c *checker) checkCold() {
 	began := map[string][]time.Time{}
 	for _, run := range c.Runs {
-		if life := c.Lives[run.Worker]; life != nil && run.Began.Before(life.Cold) {
-			began[run.Worker] = append(began[run.Worker], run.Began)
+		if life := c.Servers[run.Server]; life != nil && run.StartedAt.Before(life.ColdUntil) {
+			began[run.Server] = append(began[run.Server], run.StartedAt)
 		}
 	}
 	for worker, times := range began {
--- a/proof/soak/daemon.go
+++ b/proof/soak/daemon.go
@@ -101,7 +101,7 @@
 	asked, closing := p.asked, d.closing
 	d.mu.Unlock()
 	if !asked {
-		d.records.exited(Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), ByItself: true})
+		d.records.exited(Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), Unrequested: true})
 	}
 	if closing {
 		return
@@ -151,7 +151,7 @@
 func (d *daemon) exit(p *process) Exit {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), Began: p.stopping, Took: time.Since(p.stopping)}
+	return Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), StopRequestedAt: p.stopping, Took: time.Since(p.stopping)}
 }
 
 // reload changes the settings and tells the process by a signal every other time;
--- a/proof/soak/daemon_test.go
+++ b/proof/soak/daemon_test.go
@@ -30,7 +30,7 @@
 	require.Eventually(t, func() bool { records.mu.Lock(); defer records.mu.Unlock(); return len(records.Exits) == 2 }, time.Second, 10*time.Millisecond)
 	for _, exit := range records.Exits {
 		require.Equal(t, 4, exit.Code)
-		require.WithinDuration(t, first, exit.Began, 200*time.Millisecond)
+		require.WithinDuration(t, first, exit.StopRequestedAt, 200*time.Millisecond)
 		require.Greater(t, exit.Took, 900*time.Millisecond)
 	}
 }
--- a/proof/soak/fatal.go
+++ b/proof/soak/fatal.go
@@ -37,8 +37,8 @@
 	kind         CallKind
 	method, path string
 	tokens       int
-}{{Stream, http.MethodPost, "/stream/fatal", fatalTokens}, {Read, http.MethodGet, "/read/fatal", 0}, {Order, http.MethodPost, "/order/fatal", 0},
-	{Once, http.MethodPost, "/once/fatal", fatalTokens}}
+}{{ResumableStream, http.MethodPost, "/stream/fatal", fatalTokens}, {Retryable, http.MethodGet, "/read/fatal", 0}, {AtMostOnce, http.MethodPost, "/order/fatal", 0},
+	{AtMostOnceStream, http.MethodPost, "/once/fatal", fatalTokens}}
 
 // fatalBody is the body of a fatal request; 0 is that of a sound one to the same path.
 func fatalBody(number int) string {
@@ -49,10 +49,10 @@
 }
 
 // End is the end of a server under a fatal request.
-type End struct {
+type Crash struct {
 	// Fatal is the request's number, from 1.
-	Fatal  int
-	Worker string
+	PoisonNumber  int
+	Server string
 	At     time.Time
 }
 
@@ -67,7 +67,7 @@
 	if !s.ends(w) {
 		return true // it has ended already
 	}
-	s.records.end(End{Fatal: number, Worker: w.ID, At: time.Now()})
+	s.records.end(Crash{PoisonNumber: number, Server: w.ID, At: time.Now()})
 	over := s.records.fault(ServerCrashed, s.index)
 	s.cutOff()
 	s.ending.Go(func() {
@@ -138,8 +138,8 @@
 func (c *caller) oneFatal(number, body int, leave time.Duration) {
 	c.serial++
 	route := fatalRoutes[(number-1)%len(fatalRoutes)]
-	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: route.kind, Path: route.path, Entry: c.entry, Key: lastingKey, Fatal: body, Wait: waitLeast}
-	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, fatalBody(body)), call.Wait)
+	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: route.kind, Path: route.path, Entry: c.entry, Key: lastingKey, PoisonNumber: body, Timeout: waitLeast}
+	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, fatalBody(body)), call.Timeout)
 	if leave > 0 {
 		c.send(&call, request, leave)
 	} else {
@@ -166,13 +166,13 @@
 func (c *checker) checkFatal(timed bool) {
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		if call.Fatal == 0 && strings.Contains(call.Body, quarantinedCode) {
+		if call.PoisonNumber == 0 && strings.Contains(call.Body, quarantinedCode) {
 			c.found("only a request that ends servers is refused for it", "%s %s was", call.ID, call.Path)
 		}
 	}
 	ends := map[int][]time.Time{}
-	for _, end := range c.Ends {
-		ends[end.Fatal] = append(ends[end.Fatal], end.At)
+	for _, end := range c.Crashes {
+		ends[end.PoisonNumber] = append(ends[end.PoisonNumber], end.At)
 	}
 	for number, at := range ends {
 		if len(at) < fatalEnds {
@@ -191,7 +191,7 @@
 	more := 0
 	for _, a := range c.Arrivals {
 		call := c.calls[a.ID]
-		if call == nil || call.Fatal != number || !a.At.After(known.Add(stableWindow+slack)) || !c.inTouch(call.Entry, call.Began, a.At) {
+		if call == nil || call.PoisonNumber != number || !a.At.After(known.Add(stableWindow+slack)) || !c.inTouch(call.Entry, call.StartedAt, a.At) {
 			continue
 		}
 		more++
@@ -205,18 +205,18 @@
 // entry has lived since and so can tell all others. Where two requests have ended servers under which
 // both ran, either may be at fault: each has the three sends more that the users allow.
 func (c *checker) checkCalm(number int, known time.Time) {
-	from := c.Calm.Add(RecoveryTime / 2)
+	from := c.FaultsEndedAt.Add(RecoveryTime / 2)
 	if told := known.Add(slack); told.After(from) {
 		from = told
 	}
 	lives := false
 	for entry := range c.Starts {
-		lives = lives || !c.startedBetween(entry, known.Add(-stableWindow), c.Calm)
+		lives = lives || !c.startedBetween(entry, known.Add(-stableWindow), c.FaultsEndedAt)
 	}
 	var late []Arrival
 	for _, a := range c.Arrivals {
 		call := c.calls[a.ID]
-		if lives && call != nil && call.Fatal == number && call.Began.After(from) {
+		if lives && call != nil && call.PoisonNumber == number && call.StartedAt.After(from) {
 			late = append(late, a)
 		}
 	}
@@ -228,7 +228,7 @@
 		return
 	}
 	for _, a := range late {
-		c.found(sentOn, "fatal request %d reached %s (%s) long after it had ended %d servers", number, a.Worker, a.ID, fatalEnds)
+		c.found(sentOn, "fatal request %d reached %s (%s) long after it had ended %d servers", number, a.Server, a.ID, fatalEnds)
 	}
 }
 
@@ -237,13 +237,13 @@
 	ran := map[string]map[int]bool{} // the fatal requests that ran at a server
 	for _, run := range c.Runs {
 		call := c.calls[run.ID]
-		if call == nil || call.Fatal == 0 {
+		if call == nil || call.PoisonNumber == 0 {
 			continue
 		}
-		if ran[run.Worker] == nil {
-			ran[run.Worker] = map[int]bool{}
+		if ran[run.Server] == nil {
+			ran[run.Server] = map[int]bool{}
 		}
-		ran[run.Worker][call.Fatal] = true
+		ran[run.Server][call.PoisonNumber] = true
 	}
 	for _, at := range ran {
 		if at[number] && len(at) > 1 {
--- a/proof/soak/long.go
+++ b/proof/soak/long.go
@@ -73,8 +73,8 @@
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		c.serial++
-		call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: Stream, Path: "/stream/x", Entry: c.entry, Key: lastingKey, Wait: longWait}
-		request := standin.Within(standin.Call(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Wait)
+		call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: ResumableStream, Path: "/stream/x", Entry: c.entry, Key: lastingKey, Timeout: longWait}
+		request := standin.Within(standin.Call(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Timeout)
 		prompt := longPrompts[c.random.IntN(len(longPrompts))]
 		c.sendUntil(ctx, &call, standin.Asking(request, prompt, answerTokensOf(call.ID)))
 		c.records.call(call)
@@ -88,7 +88,7 @@
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
 	c.send(call, request.WithContext(leaving), 0)
-	call.Left = ctx.Err() != nil
+	call.Disconnected = ctx.Err() != nil
 }
 
 // newLongCaller returns a caller of long streams at an entry.
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -13,27 +13,27 @@
 	ID, Path, Key string
 	Kind          CallKind
 	Entry         int
-	Began, Ended  time.Time
+	StartedAt, EndedAt  time.Time
 	// Wait is how long the caller said that it waits.
-	Wait time.Duration
+	Timeout time.Duration
 	// Status is 0 if no answer came.
 	Status    int
 	Signature string
 	Body      string
 	// Whole says that the answer came to its orderly end; Err why it did not.
-	Whole bool
+	Complete bool
 	Err   error
 	// Left says that the caller gave up early, at Ended.
-	Left bool
+	Disconnected bool
 	// Spoiled says what of the answer can't be this request's own; empty if
 	// nothing.
-	Spoiled string
+	Corruption string
 	// Marker is the configuration that a probe asked for, 0 for none.
-	Marker int
+	ConfigVersion int
 	// Idle is for how long its connection had lain idle; 0 for a new one.
-	Idle time.Duration
+	ConnIdleTime time.Duration
 	// Fatal is the number of a request that ends servers, 0 for a sound one.
-	Fatal int
+	PoisonNumber int
 }
 
 // CallKind is what may be done with a request.
@@ -41,32 +41,32 @@
 
 // Kinds of calls.
 const (
-	Order  CallKind = iota // at most once
-	Read                   // any number of times
-	Stream                 // may be resumed elsewhere
-	Once                   // a stream, at most once
-	Probe                  // shows the configuration in force
-	OldKey                 // carries a key that was taken away
+	AtMostOnce  CallKind = iota // at most once
+	Retryable                   // any number of times
+	ResumableStream                 // may be resumed elsewhere
+	AtMostOnceStream                   // a stream, at most once
+	ConfigProbe                  // shows the configuration in force
+	RevokedKeyProbe                 // carries a key that was taken away
 )
 
-func (k CallKind) atMostOnce() bool { return k == Order || k == Once }
-func (k CallKind) streams() bool    { return k == Stream || k == Once }
+func (k CallKind) atMostOnce() bool { return k == AtMostOnce || k == AtMostOnceStream }
+func (k CallKind) streams() bool    { return k == ResumableStream || k == AtMostOnceStream }
 
 // Run is one run of a request at a backend server.
 type Run struct {
-	ID, Worker, Service, Workspace, Key string
+	ID, Server, Service, Workspace, Key string
 	Slot                                int
-	Began, Ended                        time.Time
+	StartedAt, EndedAt                        time.Time
 	Status                              int
 	LastEvent                           string
 	Remaining                           time.Duration
 	// Spoiled says that the server broke or forged its answer.
-	Spoiled bool
+	Faulty bool
 }
 
 // Arrival is a request that reached a backend server, run or not.
 type Arrival struct {
-	ID, Worker, Service string
+	ID, Server, Service string
 	At                  time.Time
 }
 
@@ -87,7 +87,7 @@
 type Records struct {
 	mu sync.Mutex
 	// ChangeBound is that of the run's options.
-	ChangeBound time.Duration
+	MaxPropagationDelay time.Duration
 
 	Calls    []Call
 	Runs     []*Run
@@ -95,39 +95,39 @@
 	Faults   []Interval
 	Configs  []ConfigChange
 	// Leaving is when the store acknowledged that a server leaves.
-	Leaving map[string]time.Time
+	DrainingSince map[string]time.Time
 	// Starts are when each entry's processes were started.
 	Starts map[int][]time.Time
 	// Ends are the ends of servers under fatal requests, in the order of time.
-	Ends []End
+	Crashes []Crash
 	// Lives are the lives of backend servers, by their names.
-	Lives map[string]*Life
+	Servers map[string]*ServerLifetime
 	// Exits are the ends that were asked for by a planned stop or by nothing.
 	Exits []Exit
 	// Evacuations are the spans from the store's acknowledgement that the second zone is evacuated until it is taken back.
 	Evacuations []Interval
 	// Calm is when the last fault was over.
-	Calm time.Time
+	FaultsEndedAt time.Time
 	// Reserved are the reservations that stand at the end, by server.
-	Reserved map[string]int
+	LeftoverReservations map[string]int
 	// Failure is why the run itself could not go on, if it couldn't.
-	Failure error
+	Err error
 	// Held are the spans in which servers set memory aside, Used the first uses by id.
-	Held []standin.Held
-	Used map[string]time.Time
+	ReservationSpans []standin.Held
+	FirstUsedAt map[string]time.Time
 }
 
 // Life is how long a backend server could be reached; To is zero while it can.
-type Life struct {
+type ServerLifetime struct {
 	Service  string
 	From, To time.Time
 	// Zone is the server's, Cold until when it is cold.
 	Zone string
-	Cold time.Time
+	ColdUntil time.Time
 }
 
 // covers says whether the server could be reached at a time.
-func (l *Life) covers(at time.Time) bool {
+func (l *ServerLifetime) covers(at time.Time) bool {
 	return !l.From.After(at) && (l.To.IsZero() || l.To.After(at))
 }
 
@@ -135,7 +135,7 @@
 func (r *Records) isAlive(worker string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	life := r.Lives[worker]
+	life := r.Servers[worker]
 	return life != nil && life.To.IsZero()
 }
 
@@ -144,7 +144,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for id, life := range r.Lives {
+	for id, life := range r.Servers {
 		if !life.To.IsZero() {
 			ids = append(ids, id)
 		}
@@ -156,28 +156,28 @@
 type Exit struct {
 	Entry int
 	Code  int
-	Began time.Time
+	StopRequestedAt time.Time
 	Took  time.Duration
 	// ByItself says that nothing asked for it.
-	ByItself bool
+	Unrequested bool
 }
 
 func newRecords() *Records {
-	return &Records{Leaving: map[string]time.Time{}, Starts: map[int][]time.Time{}, Reserved: map[string]int{}, Used: map[string]time.Time{}, Lives: map[string]*Life{}}
+	return &Records{DrainingSince: map[string]time.Time{}, Starts: map[int][]time.Time{}, LeftoverReservations: map[string]int{}, FirstUsedAt: map[string]time.Time{}, Servers: map[string]*ServerLifetime{}}
 }
 
 // lives notes that a backend server can be reached, gone that it can't any more.
 func (r *Records) lives(worker, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Lives[worker] = &Life{Service: service, From: time.Now()}
+	r.Servers[worker] = &ServerLifetime{Service: service, From: time.Now()}
 }
 
 // located notes where a backend server is and for how long it is cold.
 func (r *Records) located(worker, zone string, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Lives[worker].Zone, r.Lives[worker].Cold = zone, r.Lives[worker].From.Add(cold)
+	r.Servers[worker].Zone, r.Servers[worker].ColdUntil = zone, r.Servers[worker].From.Add(cold)
 }
 
 // evacuated notes that the second zone is evacuated and returns what notes that it is about to be taken back.
@@ -196,7 +196,7 @@
 func (r *Records) gone(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if life := r.Lives[worker]; life != nil && life.To.IsZero() {
+	if life := r.Servers[worker]; life != nil && life.To.IsZero() {
 		life.To = time.Now()
 	}
 }
@@ -222,33 +222,33 @@
 // ranFatal notes a run under which its server ends.
 func (r *Records) ranFatal(id string, slot int, w *standin.Worker) {
 	now := time.Now()
-	r.run(&Run{ID: id, Worker: w.ID, Service: w.Service, Workspace: "press", Slot: slot, Began: now, Ended: now, Remaining: time.Nanosecond, Spoiled: true})
+	r.run(&Run{ID: id, Server: w.ID, Service: w.Service, Workspace: "press", Slot: slot, StartedAt: now, EndedAt: now, Remaining: time.Nanosecond, Faulty: true})
 }
 
-func (r *Records) end(e End) {
+func (r *Records) end(e Crash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ends = append(r.Ends, e)
+	r.Crashes = append(r.Crashes, e)
 }
 
 func (r *Records) failure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Failure = errors.Join(r.Failure, err)
+	r.Err = errors.Join(r.Err, err)
 }
 
 // ended notes how a run ended.
 func (r *Records) ended(run *Run, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Ended, run.Status = time.Now(), status
+	run.EndedAt, run.Status = time.Now(), status
 }
 
 // spoiled notes that a run's answer is broken or forged.
 func (r *Records) spoiled(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Spoiled = true
+	run.Faulty = true
 }
 
 // fault notes a fault's beginning and returns what notes its end.
@@ -273,8 +273,8 @@
 func (r *Records) leaves(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.Leaving[worker]; !ok {
-		r.Leaving[worker] = time.Now()
+	if _, ok := r.DrainingSince[worker]; !ok {
+		r.DrainingSince[worker] = time.Now()
 	}
 }
 
@@ -300,14 +300,14 @@
 func (r *Records) calm() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Calm = time.Now()
+	r.FaultsEndedAt = time.Now()
 }
 
 // reserved notes what is left of reservations at the end, and those that there were.
 func (r *Records) reserved(left map[string]int, held []standin.Held) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Reserved, r.Held = left, held
+	r.LeftoverReservations, r.ReservationSpans = left, held
 }
 
 // used notes the first use of reservations.
@@ -315,8 +315,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		if r.Used[id].IsZero() {
-			r.Used[id] = time.Now()
+		if r.FirstUsedAt[id].IsZero() {
+			r.FirstUsedAt[id] = time.Now()
 		}
 	}
 }
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -38,13 +38,13 @@
 		w.close()
 		return report, err
 	}
-	err = errors.Join(w.play(report.Faults), w.records.Failure)
+	err = errors.Join(w.play(report.Faults), w.records.Err)
 	report.Findings = Check(w.records, o.CheckTiming)
 	if report.Failed() {
 		err = errors.Join(err, w.keep(report.Findings))
 	}
 	report.Calls, report.Runs = w.records.counts()
-	report.Crashes = len(w.records.Ends)
+	report.Crashes = len(w.records.Crashes)
 	for _, c := range w.records.Calls {
 		if c.Status == 200 {
 			report.Succeeded++
--- a/proof/soak/worker.go
+++ b/proof/soak/worker.go
@@ -75,7 +75,7 @@
 	w := standin.NewWorker(fmt.Sprintf("w%d-%d", s.index, s.serial), s.service)
 	w.PublicAddress = s.link.Address()
 	w.Arrived = func(run standin.Run) {
-		s.records.arrival(Arrival{ID: run.ID, Worker: w.ID, Service: w.Service, At: time.Now()})
+		s.records.arrival(Arrival{ID: run.ID, Server: w.ID, Service: w.Service, At: time.Now()})
 	}
 	w.Used = s.records.used
 	w.EndsUnder = func(run standin.Run) bool { return s.endUnder(w, run) }
@@ -224,7 +224,7 @@
 		return
 	}
 	wait, _ := strconv.Atoi(told.Remaining)
-	run := &Run{ID: told.ID, Worker: w.ID, Service: w.Service, Workspace: told.Workspace, Slot: s.index, Key: told.Header.Get("Authorization"), Began: time.Now(),
+	run := &Run{ID: told.ID, Server: w.ID, Service: w.Service, Workspace: told.Workspace, Slot: s.index, Key: told.Header.Get("Authorization"), StartedAt: time.Now(),
 		LastEvent: told.LastEventID, Remaining: time.Duration(wait) * time.Millisecond}
 	s.records.run(run)
 	status := 0
--- a/proof/soak/world.go
+++ b/proof/soak/world.go
@@ -45,7 +45,7 @@
 		o.MaxPropagationDelay = DefaultMaxPropagationDelay
 	}
 	w := &world{options: o, records: newRecords(), store: standin.NewStore(), probing: &http.Client{Timeout: time.Second}}
-	w.records.ChangeBound = o.MaxPropagationDelay
+	w.records.MaxPropagationDelay = o.MaxPropagationDelay
 	for range 3 {
 		w.configure()
 	}
