--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -12,7 +12,7 @@
 // Finding is a promise that was broken.
 type Finding struct {
 	Guarantee string
-	Detail  string
+	Detail    string
 }
 
 // findingsOfPromise bounds what is told of one promise; one cause breaks many calls.
--- a/proof/soak/fatal.go
+++ b/proof/soak/fatal.go
@@ -51,9 +51,9 @@
 // End is the end of a server under a fatal request.
 type Crash struct {
 	// Fatal is the request's number, from 1.
-	PoisonNumber  int
-	Server string
-	At     time.Time
+	PoisonNumber int
+	Server       string
+	At           time.Time
 }
 
 // endUnder ends a server if a request is fatal, and starts the next one later.
--- a/proof/soak/link.go
+++ b/proof/soak/link.go
@@ -16,12 +16,12 @@
 // Faults of links. A silent direction swallows what is sent, for good on the
 // connections that were open, until the fault is over on new ones.
 const (
-	LinkHealthy      LinkFault = ""
-	LinkDelayed   LinkFault = "delayed"
-	LinkReset     LinkFault = "reset"
-	LinkDropsBoth    LinkFault = "silent"
-	LinkDropsRequests LinkFault = "requests swallowed"
-	LinkDropsResponses  LinkFault = "answers swallowed"
+	LinkHealthy        LinkFault = ""
+	LinkDelayed        LinkFault = "delayed"
+	LinkReset          LinkFault = "reset"
+	LinkDropsBoth      LinkFault = "silent"
+	LinkDropsRequests  LinkFault = "requests swallowed"
+	LinkDropsResponses LinkFault = "answers swallowed"
 )
 
 var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkDropsBoth, LinkDropsRequests, LinkDropsResponses}
--- a/proof/soak/plan.go
+++ b/proof/soak/plan.go
@@ -17,7 +17,7 @@
 	EntryPaused     FaultKind = "entry paused"
 	EntryStopped    FaultKind = "entry stopped"
 	SettingsChanged FaultKind = "settings changed"
-	CallerLink       FaultKind = "link from callers"
+	CallerLink      FaultKind = "link from callers"
 	StoreLink       FaultKind = "link to the store"
 
 	ServerCrashed    FaultKind = "worker crashed"
@@ -26,10 +26,10 @@
 	ServerMisbehaves FaultKind = "worker misbehaves"
 	ServerLink       FaultKind = "link to a worker"
 
-	StoreRefuses  FaultKind = "store refuses"
-	StoreHistoryLost  FaultKind = "store forgets its history"
-	RowsExpire     FaultKind = "rows lapse"
-	ConfigChanges FaultKind = "configuration changes"
+	StoreRefuses     FaultKind = "store refuses"
+	StoreHistoryLost FaultKind = "store forgets its history"
+	RowsExpire       FaultKind = "rows lapse"
+	ConfigChanges    FaultKind = "configuration changes"
 	// StoreRestored: it comes back from a copy as old as the fault is long.
 	StoreRestored FaultKind = "store restored"
 	// ZoneEvacuated: the second zone is to get nothing new for as long.
@@ -52,10 +52,10 @@
 
 // Step is one fault.
 type ScheduledFault struct {
-	At     time.Duration
-	Duration    time.Duration
-	Kind   FaultKind
-	Target int
+	At       time.Duration
+	Duration time.Duration
+	Kind     FaultKind
+	Target   int
 	// Link is what happens on a link.
 	LinkFault LinkFault
 }
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -10,10 +10,10 @@
 
 // Call is one request as its caller saw it.
 type Call struct {
-	ID, Path, Key string
-	Kind          CallKind
-	Entry         int
-	StartedAt, EndedAt  time.Time
+	ID, Path, Key      string
+	Kind               CallKind
+	Entry              int
+	StartedAt, EndedAt time.Time
 	// Wait is how long the caller said that it waits.
 	Timeout time.Duration
 	// Status is 0 if no answer came.
@@ -22,7 +22,7 @@
 	Body      string
 	// Whole says that the answer came to its orderly end; Err why it did not.
 	Complete bool
-	Err   error
+	Err      error
 	// Left says that the caller gave up early, at Ended.
 	Disconnected bool
 	// Spoiled says what of the answer can't be this request's own; empty if
@@ -41,12 +41,12 @@
 
 // Kinds of calls.
 const (
-	AtMostOnce  CallKind = iota // at most once
-	Retryable                   // any number of times
-	ResumableStream                 // may be resumed elsewhere
-	AtMostOnceStream                   // a stream, at most once
-	ConfigProbe                  // shows the configuration in force
-	RevokedKeyProbe                 // carries a key that was taken away
+	AtMostOnce       CallKind = iota // at most once
+	Retryable                        // any number of times
+	ResumableStream                  // may be resumed elsewhere
+	AtMostOnceStream                 // a stream, at most once
+	ConfigProbe                      // shows the configuration in force
+	RevokedKeyProbe                  // carries a key that was taken away
 )
 
 func (k CallKind) atMostOnce() bool { return k == AtMostOnce || k == AtMostOnceStream }
@@ -56,7 +56,7 @@
 type Run struct {
 	ID, Server, Service, Workspace, Key string
 	Slot                                int
-	StartedAt, EndedAt                        time.Time
+	StartedAt, EndedAt                  time.Time
 	Status                              int
 	LastEvent                           string
 	Remaining                           time.Duration
@@ -114,7 +114,7 @@
 	Err error
 	// Held are the spans in which servers set memory aside, Used the first uses by id.
 	ReservationSpans []standin.Held
-	FirstUsedAt map[string]time.Time
+	FirstUsedAt      map[string]time.Time
 }
 
 // Life is how long a backend server could be reached; To is zero while it can.
@@ -122,7 +122,7 @@
 	Service  string
 	From, To time.Time
 	// Zone is the server's, Cold until when it is cold.
-	Zone string
+	Zone      string
 	ColdUntil time.Time
 }
 
@@ -154,10 +154,10 @@
 
 // Exit is the end of a process that was asked to stop.
 type Exit struct {
-	Entry int
-	Code  int
+	Entry           int
+	Code            int
 	StopRequestedAt time.Time
-	Took  time.Duration
+	Took            time.Duration
 	// ByItself says that nothing asked for it.
 	Unrequested bool
 }
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -14,13 +14,13 @@
 
 // Report is the outcome of a run.
 type Report struct {
-	Seed     uint64
+	Seed      uint64
 	Faults    []ScheduledFault
-	Calls    int
+	Calls     int
 	Succeeded int
-	Runs     int
+	Runs      int
 	// Ended is how many servers have ended under fatal requests.
-	Crashes    int
+	Crashes  int
 	Findings []Finding
 }
 
--- a/proof/soak/worker.go
+++ b/proof/soak/worker.go
@@ -17,15 +17,15 @@
 
 // Habits.
 const (
-	NoMisbehavior          Misbehavior = ""
-	DropsResponse   Misbehavior = "loses answers"
-	TruncatesResponse      Misbehavior = "breaks off"
-	DuplicatesResponse   Misbehavior = "answers twice"
-	SwapsResponse Misbehavior = "crosses answers"
-	ForgesResponse         Misbehavior = "forges answers"
-	ReturnsError          Misbehavior = "fails"
-	RefusesRequest        Misbehavior = "refuses"
-	DelaysResponse      Misbehavior = "hesitates"
+	NoMisbehavior      Misbehavior = ""
+	DropsResponse      Misbehavior = "loses answers"
+	TruncatesResponse  Misbehavior = "breaks off"
+	DuplicatesResponse Misbehavior = "answers twice"
+	SwapsResponse      Misbehavior = "crosses answers"
+	ForgesResponse     Misbehavior = "forges answers"
+	ReturnsError       Misbehavior = "fails"
+	RefusesRequest     Misbehavior = "refuses"
+	DelaysResponse     Misbehavior = "hesitates"
 )
 
 var habits = []Misbehavior{DropsResponse, TruncatesResponse, DuplicatesResponse, SwapsResponse, ForgesResponse, ReturnsError, RefusesRequest, DelaysResponse}
