--- a/proof/soak/caller.go
+++ b/proof/soak/caller.go
@@ -19,27 +19,27 @@
 // caller sends one request after the other to an entry, on a connection that it
 // keeps as long as the entry does.
 type caller struct {
-	name    string
-	entry   int
-	address string
-	random  *rand.Rand
-	client  *http.Client
-	records *Records
-	version func() int
-	serial  int
+	name          string
+	entry         int
+	address       string
+	random        *rand.Rand
+	client        *http.Client
+	records       *Records
+	newestVersion func() int
+	callCount     int
 }
 
 // Habits of callers.
 const (
-	thinkTime   = 60 // ms, at the most between two requests
-	waitLeast   = 1500 * time.Millisecond
-	waitSpread  = 2500 // ms
-	leaveShare  = 0.06
-	leaveSpread = 250 // ms
+	maxThinkTimeMs       = 60 // ms, at the most between two requests
+	minTimeout           = 1500 * time.Millisecond
+	timeoutSpreadMs      = 2500 // ms
+	disconnectShare      = 0.06
+	maxDisconnectDelayMs = 250 // ms
 	// connectTime is how long a caller waits for a new connection.
-	connectTime = time.Second
+	connectTimeout = time.Second
 	// noAnswer ends a call that nothing else ends, as a finding.
-	noAnswer = 30 * time.Second
+	callTimeout = 30 * time.Second
 )
 
 // promptTokens of streams: mostly short, some long enough to be divided, and some
@@ -47,18 +47,18 @@
 var promptTokens = []int{1500, 1500, 1500, 6000, 6000, 90_000, 180_000, 420_000}
 
 func newCaller(name string, entry int, address string, seed uint64, records *Records, version func() int) *caller {
-	dialer := &net.Dialer{Timeout: connectTime}
-	transport := &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: noAnswer}
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	transport := &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: callTimeout}
 	return &caller{name: name, entry: entry, address: address, random: rand.New(rand.NewPCG(seed, 2)), records: records,
-		client: &http.Client{Transport: transport}, version: version}
+		client: &http.Client{Transport: transport}, newestVersion: version}
 }
 
 // run calls until the context is over.
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.one([]CallKind{AtMostOnce, AtMostOnce, Retryable, Retryable, ResumableStream, ResumableStream, AtMostOnceStream}[c.random.IntN(7)])
-		sleep(ctx, time.Duration(c.random.IntN(thinkTime))*time.Millisecond)
+		c.call([]CallKind{AtMostOnce, AtMostOnce, Retryable, Retryable, ResumableStream, ResumableStream, AtMostOnceStream}[c.random.IntN(7)])
+		sleep(ctx, time.Duration(c.random.IntN(maxThinkTimeMs))*time.Millisecond)
 	}
 }
 
@@ -66,13 +66,13 @@
 func (c *caller) probe(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.one(ConfigProbe)
-		c.one(RevokedKeyProbe)
-		sleep(ctx, probeGap)
+		c.call(ConfigProbe)
+		c.call(RevokedKeyProbe)
+		sleep(ctx, probeInterval)
 	}
 }
 
-const probeGap = 150 * time.Millisecond
+const probeInterval = 150 * time.Millisecond
 
 func sleep(ctx context.Context, d time.Duration) {
 	select {
@@ -81,10 +81,10 @@
 	}
 }
 
-func (c *caller) one(kind CallKind) {
-	c.serial++
-	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: kind, Entry: c.entry, Key: lastingKey,
-		Timeout: waitLeast + time.Duration(c.random.IntN(waitSpread))*time.Millisecond}
+func (c *caller) call(kind CallKind) {
+	c.callCount++
+	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.callCount), Kind: kind, Entry: c.entry, Key: permanentKey,
+		Timeout: minTimeout + time.Duration(c.random.IntN(timeoutSpreadMs))*time.Millisecond}
 	method, tokens := http.MethodPost, 0
 	switch kind {
 	case AtMostOnce:
@@ -96,38 +96,38 @@
 	case AtMostOnceStream:
 		call.Path, tokens = "/once/x", promptTokens[c.random.IntN(3)]
 	case ConfigProbe:
-		call.ConfigVersion = c.version()
-		method, call.Path = http.MethodGet, markerPrefix(call.ConfigVersion)
+		call.ConfigVersion = c.newestVersion()
+		method, call.Path = http.MethodGet, versionPrefix(call.ConfigVersion)
 	case RevokedKeyProbe:
-		call.ConfigVersion = c.version()
-		method, call.Path, call.Key = http.MethodGet, "/read/x", markerKey(call.ConfigVersion-2)
+		call.ConfigVersion = c.newestVersion()
+		method, call.Path, call.Key = http.MethodGet, "/read/x", versionKey(call.ConfigVersion-2)
 	}
 	request := standin.WithKey(standin.Within(standin.Call(c.address, method, call.Path, call.ID, tokens, ""), call.Timeout), call.Key)
-	c.do(&call, request)
-	c.records.call(call)
+	c.sendWithRandomDisconnect(&call, request)
+	c.records.recordCall(call)
 }
 
-func (c *caller) do(call *Call, request *http.Request) {
-	leave := time.Duration(0)
-	if kindLeaves(call.Kind) && c.random.Float64() < leaveShare {
-		leave = max(time.Duration(c.random.IntN(leaveSpread))*time.Millisecond, 1)
+func (c *caller) sendWithRandomDisconnect(call *Call, request *http.Request) {
+	disconnectAfter := time.Duration(0)
+	if mayDisconnect(call.Kind) && c.random.Float64() < disconnectShare {
+		disconnectAfter = max(time.Duration(c.random.IntN(maxDisconnectDelayMs))*time.Millisecond, 1)
 	}
-	c.send(call, request, leave)
+	c.send(call, request, disconnectAfter)
 }
 
 // send sends a request and leaves after a time, or stays if that is 0.
-func (c *caller) send(call *Call, request *http.Request, leave time.Duration) {
-	ctx, cancel := context.WithTimeout(request.Context(), noAnswer)
+func (c *caller) send(call *Call, request *http.Request, disconnectAfter time.Duration) {
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
-	if leave > 0 {
-		time.AfterFunc(leave, cancel)
+	if disconnectAfter > 0 {
+		time.AfterFunc(disconnectAfter, cancel)
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { call.ConnIdleTime = got.IdleTime }})
 	call.StartedAt = time.Now()
 	defer func() { call.EndedAt = time.Now() }()
 	response, err := c.client.Do(request.WithContext(ctx))
 	if err != nil {
-		call.Err, call.Disconnected = err, leave > 0 && errors.Is(err, context.Canceled)
+		call.Err, call.Disconnected = err, disconnectAfter > 0 && errors.Is(err, context.Canceled)
 		return
 	}
 	defer response.Body.Close()
@@ -140,15 +140,15 @@
 	} else {
 		call.readPlain(response.Body)
 	}
-	call.Disconnected = leave > 0 && errors.Is(call.Err, context.Canceled)
+	call.Disconnected = disconnectAfter > 0 && errors.Is(call.Err, context.Canceled)
 }
 
-func kindLeaves(kind CallKind) bool { return kind != ConfigProbe && kind != RevokedKeyProbe }
+func mayDisconnect(kind CallKind) bool { return kind != ConfigProbe && kind != RevokedKeyProbe }
 
 func (call *Call) readPlain(body io.Reader) {
 	content, err := io.ReadAll(body)
 	call.Body, call.Err, call.Complete = string(content), err, err == nil
-	if call.Complete && call.Status == http.StatusOK && call.Body != answerOf(call.ID) {
+	if call.Complete && call.Status == http.StatusOK && call.Body != responseBody(call.ID) {
 		call.Corruption = fmt.Sprintf("the answer is %.60q", call.Body)
 	}
 }
@@ -164,8 +164,8 @@
 			call.Complete = errors.Is(err, io.EOF)
 			if !call.Complete {
 				call.Err = err
-			} else if line != "" || seen != eventsOf(call.ID) {
-				call.Corruption = fmt.Sprintf("the stream ends as whole after event %d of %d and %q", seen, eventsOf(call.ID), line)
+			} else if line != "" || seen != eventCount(call.ID) {
+				call.Corruption = fmt.Sprintf("the stream ends as whole after event %d of %d and %q", seen, eventCount(call.ID), line)
 			}
 			return
 		}
@@ -174,7 +174,7 @@
 			continue
 		}
 		seen++
-		if data != eventOf(call.ID, seen) {
+		if data != eventData(call.ID, seen) {
 			call.Corruption = fmt.Sprintf("event %d is %.60q", seen, data)
 		}
 	}
--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -16,21 +16,21 @@
 }
 
 // findingsOfPromise bounds what is told of one promise; one cause breaks many calls.
-const findingsOfPromise = 5
+const maxFindingsPerGuarantee = 5
 
 // checker reads the records of a run that has ended.
 type checker struct {
 	*Records
-	runs     map[string][]*Run
-	calls    map[string]*Call
-	findings []Finding
-	told     map[string]int
+	runs          map[string][]*Run
+	calls         map[string]*Call
+	findings      []Finding
+	findingCounts map[string]int
 }
 
 // Check returns the promises that were broken. Those that bound times are checked
 // only if timed is set.
 func Check(r *Records, timed bool) []Finding {
-	c := &checker{Records: r, runs: map[string][]*Run{}, calls: map[string]*Call{}, told: map[string]int{}}
+	c := &checker{Records: r, runs: map[string][]*Run{}, calls: map[string]*Call{}, findingCounts: map[string]int{}}
 	for _, run := range r.Runs {
 		c.runs[run.ID] = append(c.runs[run.ID], run)
 	}
@@ -39,25 +39,25 @@
 	}
 	for i := range r.Calls {
 		c.checkCall(&r.Calls[i])
-		c.checkRead(&r.Calls[i])
+		c.checkAnsweredOnStop(&r.Calls[i])
 	}
 	for _, run := range r.Runs {
 		c.checkRun(run)
 	}
-	c.checkVersions()
+	c.checkConfigOrder()
 	c.checkRetries()
-	c.checkFatal(timed)
-	c.checkEnd()
+	c.checkPoison(timed)
+	c.checkFinalState()
 	if timed {
-		c.checkTimes()
+		c.checkTiming()
 	}
 	return c.findings
 }
 
-func (c *checker) found(promise, format string, arguments ...any) {
-	c.told[promise]++
-	if c.told[promise] <= findingsOfPromise {
-		c.findings = append(c.findings, Finding{promise, fmt.Sprintf(format, arguments...)})
+func (c *checker) report(guarantee, format string, arguments ...any) {
+	c.findingCounts[guarantee]++
+	if c.findingCounts[guarantee] <= maxFindingsPerGuarantee {
+		c.findings = append(c.findings, Finding{guarantee, fmt.Sprintf(format, arguments...)})
 	}
 }
 
@@ -67,29 +67,29 @@
 func (c *checker) checkCall(call *Call) {
 	runs := c.runs[call.ID]
 	if call.Kind.atMostOnce() && len(runs) > 1 {
-		c.found("at most once", "%s ran %d times, at %s and %s", call.ID, len(runs), runs[0].Server, runs[1].Server)
+		c.report("at most once", "%s ran %d times, at %s and %s", call.ID, len(runs), runs[0].Server, runs[1].Server)
 	}
 	if call.Kind.atMostOnce() && slices.Contains(notRunStatuses, call.Status) && len(runs) > 0 {
-		c.found("not run is true", "%s was answered %d and ran at %s", call.ID, call.Status, runs[0].Server)
+		c.report("not run is true", "%s was answered %d and ran at %s", call.ID, call.Status, runs[0].Server)
 	}
 	if call.Corruption != "" {
-		c.found("the whole answer to its own request", "%s: %s", call.ID, call.Corruption)
+		c.report("the whole answer to its own request", "%s: %s", call.ID, call.Corruption)
 	}
 	if call.Status == 200 && call.Signature == "" {
-		c.found("the whole answer to its own request", "%s: 200 without a server's signature", call.ID)
+		c.report("the whole answer to its own request", "%s: 200 without a server's signature", call.ID)
 	}
 	if call.Status >= 400 && call.Signature != "" && !slices.ContainsFunc(runs, func(r *Run) bool { return r.Status == call.Status }) {
-		c.found("the whole answer to its own request", "%s: signed status %d that no server gave", call.ID, call.Status)
+		c.report("the whole answer to its own request", "%s: signed status %d that no server gave", call.ID, call.Status)
 	}
 	if call.Kind != ConfigProbe && call.Kind != RevokedKeyProbe && (call.Status == 404 || call.Status == 401) {
-		c.found("no proper request is denied", "%s %s was answered %d", call.ID, call.Path, call.Status)
+		c.report("no proper request is denied", "%s %s was answered %d", call.ID, call.Path, call.Status)
 	}
 }
 
 func (c *checker) checkRun(run *Run) {
 	call := c.calls[run.ID]
 	if call == nil {
-		c.found("only callers' requests run", "%s ran at %s", run.ID, run.Server)
+		c.report("only callers' requests run", "%s ran at %s", run.ID, run.Server)
 		return
 	}
 	service := plain
@@ -97,19 +97,19 @@
 		service = engines
 	}
 	if run.Service != service {
-		c.found("the right service", "%s %s ran at %s of %s", run.ID, call.Path, run.Server, run.Service)
+		c.report("the right service", "%s %s ran at %s of %s", run.ID, call.Path, run.Server, run.Service)
 	}
 	if run.Workspace != "press" || run.Key != "" {
-		c.found("the workspace of the key", "%s ran for %q with key %q", run.ID, run.Workspace, run.Key)
+		c.report("the workspace of the key", "%s ran for %q with key %q", run.ID, run.Workspace, run.Key)
 	}
 	if run.Remaining <= 0 || run.Remaining > call.Timeout {
-		c.found("no more time than is left", "%s was given %s of %s", run.ID, run.Remaining, call.Timeout)
+		c.report("no more time than is left", "%s was given %s of %s", run.ID, run.Remaining, call.Timeout)
 	}
 }
 
 // checkVersions finds an entry that has shown a configuration and later an older one
 // within one start. Probes of an entry come one after the other.
-func (c *checker) checkVersions() {
+func (c *checker) checkConfigOrder() {
 	for entry := range c.Starts {
 		shown, since := 0, time.Time{}
 		for i := range c.Calls {
@@ -123,8 +123,8 @@
 			switch {
 			case call.Status == 200:
 				shown, since = max(shown, call.ConfigVersion), call.EndedAt
-			case call.Status == 404 && call.ConfigVersion <= shown && !c.dropped(call.ConfigVersion, call.EndedAt):
-				c.found("a configuration never reverts", "entry %d showed version %d and not %d after it (%s)", entry, shown, call.ConfigVersion, call.ID)
+			case call.Status == 404 && call.ConfigVersion <= shown && !c.versionRemoved(call.ConfigVersion, call.EndedAt):
+				c.report("a configuration never reverts", "entry %d showed version %d and not %d after it (%s)", entry, shown, call.ConfigVersion, call.ID)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // dropped says that a version's route may have been taken away by a time.
-func (c *checker) dropped(version int, by time.Time) bool {
+func (c *checker) versionRemoved(version int, by time.Time) bool {
 	return slices.ContainsFunc(c.Configs, func(change ConfigChange) bool { return change.Version >= version+2 && change.At.Before(by) })
 }
 
@@ -158,63 +158,63 @@
 			}
 		}
 		for _, from := range again {
-			repeats, limit := countIn(again, from), retryExtra+retryRatio*float64(countIn(first, from.Add(-retryWindow))+countIn(first, from))
+			repeats, limit := countInWindow(again, from), retryExtra+retryRatio*float64(countInWindow(first, from.Add(-retryWindow))+countInWindow(first, from))
 			if float64(repeats) > limit {
-				c.found("retries keep to their budget", "%d within %s at %s, %.0f allowed", repeats, retryWindow, service, limit)
+				c.report("retries keep to their budget", "%d within %s at %s, %.0f allowed", repeats, retryWindow, service, limit)
 			}
 		}
 	}
 }
 
-func countIn(times []time.Time, from time.Time) int {
+func countInWindow(times []time.Time, from time.Time) int {
 	low, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	high, _ := slices.BinarySearchFunc(times, from.Add(retryWindow), time.Time.Compare)
 	return high - low
 }
 
 // checkEnd looks at what is left: memory, exits, and whether callers are served again.
-func (c *checker) checkEnd() {
+func (c *checker) checkFinalState() {
 	for worker, count := range c.LeftoverReservations {
-		c.found("memory comes back", "%d reservations stand at %s", count, worker)
+		c.report("memory comes back", "%d reservations stand at %s", count, worker)
 	}
 	for _, span := range c.ReservationSpans {
 		until := span.To
 		if used, ok := c.FirstUsedAt[span.ID]; ok && used.Before(until) {
 			until = used
 		}
-		if idle := until.Sub(span.From); idle > reservationIdle+slack {
-			c.found("memory is used or given back", "reservation %s was not used for %s", span.ID, idle.Round(time.Millisecond))
+		if idle := until.Sub(span.From); idle > reservationIdle+schedulingSlack {
+			c.report("memory is used or given back", "reservation %s was not used for %s", span.ID, idle.Round(time.Millisecond))
 		}
 	}
 	for _, e := range c.Exits {
 		switch {
 		case e.Unrequested:
-			c.found("no process ends by itself", "entry %d exited with %d", e.Entry, e.Code)
-		case e.Code == exits.ExitCut && c.mayCut(e):
-		case e.Code != 0 && !c.disturbed(e.Entry, e.StopRequestedAt, e.StopRequestedAt.Add(e.Took)):
-			c.found("a planned stop cuts nothing", "entry %d exited with %d after %s", e.Entry, e.Code, e.Took.Round(time.Millisecond))
+			c.report("no process ends by itself", "entry %d exited with %d", e.Entry, e.Code)
+		case e.Code == exits.ExitCut && c.mayAbort(e):
+		case e.Code != 0 && !c.hadUnplannedFault(e.Entry, e.StopRequestedAt, e.StopRequestedAt.Add(e.Took)):
+			c.report("a planned stop cuts nothing", "entry %d exited with %d after %s", e.Entry, e.Code, e.Took.Round(time.Millisecond))
 		}
 	}
-	asked, served := 0, 0
+	requested, served := 0, 0
 	for i := range c.Calls {
 		call := &c.Calls[i]
-		if call.StartedAt.Before(c.FaultsEndedAt.Add(RecoveryTime/2)) || call.Kind == RevokedKeyProbe || call.Disconnected || c.withoutServers(call) {
+		if call.StartedAt.Before(c.FaultsEndedAt.Add(RecoveryTime/2)) || call.Kind == RevokedKeyProbe || call.Disconnected || c.hadNoServer(call) {
 			continue
 		}
-		asked++
+		requested++
 		if call.Status == 200 {
 			served++
 		}
 	}
-	if float64(served) < recoveredShare*float64(asked) {
-		c.found("recovery", "%d of %d requests are served after the last fault", served, asked)
+	if float64(served) < minRecoveredShare*float64(requested) {
+		c.report("recovery", "%d of %d requests are served after the last fault", served, requested)
 	}
 }
 
 // withoutServers says whether all servers of a call's service were gone at some moment of it. Two
 // requests that end servers may hide each other up to the fifth end, which can come after the last
 // fault; where their service has two servers, both are away for seconds then.
-func (c *checker) withoutServers(call *Call) bool {
+func (c *checker) hadNoServer(call *Call) bool {
 	service := plain
 	if call.Kind.streams() {
 		service = engines
@@ -225,13 +225,13 @@
 			moments = append(moments, life.To)
 		}
 	}
-	return slices.ContainsFunc(moments, func(at time.Time) bool { return !c.isServed(service, at) })
+	return slices.ContainsFunc(moments, func(at time.Time) bool { return !c.hasServer(service, at) })
 }
 
 // isServed says whether a server of a service could be reached at a time.
-func (c *checker) isServed(service string, at time.Time) bool {
+func (c *checker) hasServer(service string, at time.Time) bool {
 	for _, life := range c.Servers {
-		if life.Service == service && life.covers(at) {
+		if life.Service == service && life.wasReachable(at) {
 			return true
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 // faultLines tells what struck, one line each, counted from the first one.
-func (r *Records) faultLines() string {
+func (r *Records) describeFaults() string {
 	var text strings.Builder
 	for _, f := range r.Faults {
 		_, _ = fmt.Fprintf(&text, "%8.3f to %8.3f s  %s %d\n", f.From.Sub(r.Faults[0].From).Seconds(), f.To.Sub(r.Faults[0].From).Seconds(), f.Kind, f.Target)
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -11,20 +11,20 @@
 	"arbutusdeck/platform/standin"
 )
 
-var began = time.Unix(1_000_000, 0)
+var runStart = time.Unix(1_000_000, 0)
 
 func after(seconds float64) time.Time {
-	return began.Add(time.Duration(seconds * float64(time.Second)))
+	return runStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
 // soundRecords are of a run in which one order is served and nothing is broken.
-func soundRecords() *Records {
+func validRecords() *Records {
 	r := newRecords()
 	r.MaxPropagationDelay = DefaultMaxPropagationDelay
-	r.Starts[0] = []time.Time{began}
-	r.Configs = []ConfigChange{{1, began}, {2, began}, {3, began}}
+	r.Starts[0] = []time.Time{runStart}
+	r.Configs = []ConfigChange{{1, runStart}, {2, runStart}, {3, runStart}}
 	r.FaultsEndedAt = after(100)
-	r.Servers["w"] = &ServerLifetime{Service: plain, From: began}
+	r.Servers["w"] = &ServerLifetime{Service: plain, From: runStart}
 	r.Calls = []Call{{ID: "a", Kind: AtMostOnce, Path: "/order/x", StartedAt: after(10), EndedAt: after(10.1), Timeout: 2 * time.Second, Status: 200, Signature: "s", Complete: true}}
 	r.Runs = []*Run{{ID: "a", Server: "w", Service: plain, Workspace: "press", StartedAt: after(10.01), EndedAt: after(10.09), Status: 200, Remaining: time.Second}}
 	r.Arrivals = []Arrival{{ID: "a", Server: "w", Service: plain, At: after(10.01)}}
@@ -32,7 +32,7 @@
 }
 
 func TestASoundRunHasNoFindings(t *testing.T) {
-	require.Empty(t, Check(soundRecords(), true))
+	require.Empty(t, Check(validRecords(), true))
 }
 
 // Each promise in turn is broken in the records; the checker must name it.
@@ -74,7 +74,7 @@
 			r.Runs = nil
 		},
 		"no process ends by itself":      func(r *Records) { r.Exits = []Exit{{Unrequested: true}} },
-		"recovery":                       func(r *Records) { r.Calls = append(r.Calls, refusedLate()...) },
+		"recovery":                       func(r *Records) { r.Calls = append(r.Calls, callsRefusedInRecovery()...) },
 		"a planned stop cuts nothing":    func(r *Records) { r.Exits = []Exit{{StopRequestedAt: after(20), Took: time.Second, Code: 4}} },
 		"a planned stop ends in time":    func(r *Records) { r.Exits = []Exit{{StopRequestedAt: after(20), Took: 12 * time.Second}} },
 		"an answer or a failure in time": func(r *Records) { r.Calls[0].EndedAt = after(14) },
@@ -89,7 +89,7 @@
 			probe(r, "p1", 24, 404, 4)
 		},
 		sentOn: func(r *Records) {
-			for i := range fatalEnds + fatalMore + 1 {
+			for i := range crashLimit + maxExtraSends + 1 {
 				id := fmt.Sprint("f", i)
 				at := after(20 + 5*float64(i))
 				r.Crashes = append(r.Crashes, Crash{PoisonNumber: 1, Server: id, At: at})
@@ -102,21 +102,21 @@
 		},
 		"a leaving server gets nothing new": func(r *Records) { r.DrainingSince["w"] = after(5) },
 		"an evacuated zone gets nothing new": func(r *Records) {
-			r.Servers["w"].Zone = zones[1]
+			r.Servers["w"].Zone = zoneNames[1]
 			r.Evacuations = []Interval{{Kind: ZoneEvacuated, From: after(1), To: after(30)}}
 		},
 		"a cold server gets what it bears": func(r *Records) {
 			r.Servers["w"].ColdUntil = after(30)
-			for range coldRate {
+			for range maxColdRate {
 				again(r, func(*Run) {})
 			}
 		},
 	}
 	for promise, breaks := range cases {
 		t.Run(promise, func(t *testing.T) {
-			r := soundRecords()
+			r := validRecords()
 			breaks(r)
-			require.Contains(t, promisesOf(r), promise)
+			require.Contains(t, brokenGuarantees(r), promise)
 		})
 	}
 }
@@ -128,7 +128,7 @@
 	return ""
 }
 
-func refusedLate() []Call {
+func callsRefusedInRecovery() []Call {
 	var calls []Call
 	for _, id := range []string{"x", "y", "z"} {
 		calls = append(calls, Call{ID: id, Kind: Retryable, Path: "/read/x", StartedAt: after(104), EndedAt: after(104.1), Timeout: time.Second, Status: 503, Complete: true})
@@ -140,7 +140,7 @@
 // does not hold for it. The same goes for one that was cut off from the store.
 func TestBoundsHoldOnlyForEntriesInTouch(t *testing.T) {
 	for _, kind := range []FaultKind{EntryPaused, StoreLink, StoreRefuses} {
-		r := soundRecords()
+		r := validRecords()
 		r.DrainingSince["w"] = after(5)
 		r.Faults = []Interval{{Kind: kind, From: after(4), To: after(9)}}
 		require.Empty(t, Check(r, true), kind)
@@ -154,98 +154,98 @@
 // was not there yet the bound holds.
 func TestASilencedConnectionExcusesWhoUsesItLater(t *testing.T) {
 	const promise = "an answer or a failure in time"
-	r := soundRecords()
+	r := validRecords()
 	r.Calls[0].EndedAt = r.Calls[0].StartedAt.Add(9 * time.Second)
 	silenced := r.Calls[0].StartedAt.Add(-10 * time.Second)
 	r.Faults = append(r.Faults, Interval{Kind: CallerLink, Target: r.Calls[0].Entry, From: silenced, To: silenced.Add(time.Second)})
-	require.Contains(t, promisesOf(r), promise)
+	require.Contains(t, brokenGuarantees(r), promise)
 	r.Calls[0].ConnIdleTime = 11 * time.Second
-	require.NotContains(t, promisesOf(r), promise)
+	require.NotContains(t, brokenGuarantees(r), promise)
 }
 
 // A request that ends servers comes seldom. Its third end lies in the calm part, and is no send
 // too many; the next one is.
 func TestTheThirdEndMayComeLate(t *testing.T) {
-	r := soundRecords()
-	for i := range fatalEnds {
+	r := validRecords()
+	for i := range crashLimit {
 		id, at := fmt.Sprint("f", i), after(102+float64(i))
 		r.Crashes = append(r.Crashes, Crash{PoisonNumber: 1, Server: id, At: at})
 		r.Calls = append(r.Calls, Call{ID: id, Kind: AtMostOnce, Path: "/order/fatal", PoisonNumber: 1, StartedAt: at, EndedAt: at, Timeout: time.Second, Status: 502, Complete: true})
 		r.Arrivals = append(r.Arrivals, Arrival{ID: id, Server: id, Service: plain, At: at})
 	}
-	require.NotContains(t, promisesOf(r), sentOn)
-	late := after(102 + fatalEnds + 1)
+	require.NotContains(t, brokenGuarantees(r), sentOn)
+	late := after(102 + crashLimit + 1)
 	r.Calls = append(r.Calls, Call{ID: "late", Kind: AtMostOnce, Path: "/order/fatal", PoisonNumber: 1, StartedAt: late, EndedAt: late, Timeout: time.Second, Status: 502, Complete: true})
 	r.Arrivals = append(r.Arrivals, Arrival{ID: "late", Server: "f9", Service: plain, At: late})
-	require.Contains(t, promisesOf(r), sentOn)
+	require.Contains(t, brokenGuarantees(r), sentOn)
 }
 
 // Two requests ended the same servers, and nobody can tell which of them did. Each may be sent three
 // times more, as the users' rule says, and not a fourth time.
 func TestTwoThatHideEachOtherHaveThreeSendsMore(t *testing.T) {
-	r := soundRecords()
+	r := validRecords()
 	send := func(number int, id string, at time.Time) {
 		r.Calls = append(r.Calls, Call{ID: id, Kind: AtMostOnce, Path: "/order/fatal", PoisonNumber: number, StartedAt: at, EndedAt: at, Timeout: time.Second, Status: 502, Complete: true})
 		r.Arrivals = append(r.Arrivals, Arrival{ID: id, Server: "w-" + id[1:], Service: plain, At: at})
 		r.Runs = append(r.Runs, &Run{ID: id, Server: "w-" + id[1:], Service: plain, Workspace: "press", StartedAt: at, EndedAt: at, Remaining: time.Nanosecond, Faulty: true})
 	}
-	for i := range fatalEnds {
+	for i := range crashLimit {
 		id, at := fmt.Sprint("a", i), after(90+float64(i))
 		send(1, id, at)
 		send(2, fmt.Sprint("b", i), at)
 		r.Crashes = append(r.Crashes, Crash{PoisonNumber: 1, Server: "w-" + id[1:], At: at})
 	}
-	for i := range fatalMore {
+	for i := range maxExtraSends {
 		send(1, fmt.Sprint("c1", i), after(103+0.1*float64(i)))
 	}
-	require.NotContains(t, promisesOf(r), sentOn)
+	require.NotContains(t, brokenGuarantees(r), sentOn)
 	send(1, "c9", after(104))
-	require.Contains(t, promisesOf(r), sentOn)
+	require.Contains(t, brokenGuarantees(r), sentOn)
 }
 
 // Two requests that hide each other end both servers of a service, the last time after all faults. Nobody
 // can be served until one is back; from then on callers have to be.
 func TestRecoveryIsNotAskedForWithoutServers(t *testing.T) {
-	r := soundRecords()
-	r.Calls = append(r.Calls, refusedLate()...)
+	r := validRecords()
+	r.Calls = append(r.Calls, callsRefusedInRecovery()...)
 	r.Servers["w"].To = after(103.9)
-	r.Servers["v"] = &ServerLifetime{Service: plain, From: began, To: after(104.05)}
-	r.Servers["u"] = &ServerLifetime{Service: engines, From: began}
-	require.NotContains(t, promisesOf(r), "recovery")
+	r.Servers["v"] = &ServerLifetime{Service: plain, From: runStart, To: after(104.05)}
+	r.Servers["u"] = &ServerLifetime{Service: engines, From: runStart}
+	require.NotContains(t, brokenGuarantees(r), "recovery")
 	r.Servers["w"].To = after(104.2)
-	require.Contains(t, promisesOf(r), "recovery")
+	require.Contains(t, brokenGuarantees(r), "recovery")
 	r.Servers["w"].To = after(103.9)
 	r.Servers["x"] = &ServerLifetime{Service: plain, From: after(104)}
-	require.Contains(t, promisesOf(r), "recovery")
+	require.Contains(t, brokenGuarantees(r), "recovery")
 }
 
 // A stream is still written when the stop of its entry comes to its limit, and is cut off. That is no finding
 // if its server was at work; it is one if the server had ended before, or the request came late.
 func TestAStreamThatOutlastsAStopMayBeCut(t *testing.T) {
 	const promise = "nothing is cut"
-	r := soundRecords()
-	r.Calls[0].Complete, r.Calls[0].Err, r.Calls[0].EndedAt, r.Calls[0].Timeout = false, errors.New("reset"), after(17.4), longWait
+	r := validRecords()
+	r.Calls[0].Complete, r.Calls[0].Err, r.Calls[0].EndedAt, r.Calls[0].Timeout = false, errors.New("reset"), after(17.4), longTimeout
 	r.Calls[0].Kind, r.Runs[0].Service, r.Runs[0].EndedAt = ResumableStream, engines, after(17.4)
 	r.Faults = []Interval{{Kind: EntryStopped, From: after(10.05), To: after(17.5)}}
 	r.Exits = []Exit{{Code: 4, StopRequestedAt: after(10.05), Took: 7450 * time.Millisecond}}
 	require.Empty(t, Check(r, true))
 	r.Runs[0].EndedAt = after(16)
-	require.Contains(t, promisesOf(r), promise, "the server had ended it")
+	require.Contains(t, brokenGuarantees(r), promise, "the server had ended it")
 	r.Runs[0].EndedAt = after(17.4)
 	r.Faults[0].From = after(6.9)
-	require.Contains(t, promisesOf(r), promise, "it came more than three seconds after SIGTERM")
+	require.Contains(t, brokenGuarantees(r), promise, "it came more than three seconds after SIGTERM")
 	r.Calls[0].EndedAt = after(10.4)
 	r.Faults[0].From = after(10.05)
-	require.Contains(t, promisesOf(r), "a planned stop cuts nothing", "nothing was open at the limit")
+	require.Contains(t, brokenGuarantees(r), "a planned stop cuts nothing", "nothing was open at the limit")
 }
 
 // Requests reach a zone shortly after it was evacuated, and as soon as it is taken back; a server gets as many in a second
 // as it bears while it is cold, and more once it is not.
 func TestEvacuatedZonesAndColdServersMayServe(t *testing.T) {
-	r := soundRecords()
-	r.Servers["w"].Zone, r.Servers["w"].ColdUntil = zones[1], after(10)
+	r := validRecords()
+	r.Servers["w"].Zone, r.Servers["w"].ColdUntil = zoneNames[1], after(10)
 	r.Evacuations = []Interval{{Kind: ZoneEvacuated, From: after(9)}, {Kind: ZoneEvacuated, From: after(1), To: after(10)}}
-	for i := range 2 * coldRate {
+	for i := range 2 * maxColdRate {
 		run := *r.Runs[0]
 		run.ID, run.StartedAt, run.EndedAt = fmt.Sprint("w", i), after(10.02), after(10.03)
 		r.Runs = append(r.Runs, &run)
@@ -257,17 +257,17 @@
 }
 
 // promisesOf are the promises that the records of a run show broken.
-func promisesOf(r *Records) []string {
-	var promises []string
+func brokenGuarantees(r *Records) []string {
+	var guarantees []string
 	for _, f := range Check(r, true) {
-		promises = append(promises, f.Guarantee)
+		guarantees = append(guarantees, f.Guarantee)
 	}
-	return promises
+	return guarantees
 }
 
 // A planned stop is no reason to cut a request, a kill is.
 func TestOnlyUnplannedFaultsExcuseACut(t *testing.T) {
-	r := soundRecords()
+	r := validRecords()
 	r.Calls[0].Status, r.Calls[0].Signature, r.Calls[0].Complete, r.Calls[0].Err = 0, "", false, errors.New("reset")
 	r.Faults = []Interval{{Kind: EntryStopped, From: after(9), To: after(11)}}
 	require.NotEmpty(t, Check(r, true))
--- a/proof/soak/check_zones.go
+++ b/proof/soak/check_zones.go
@@ -9,15 +9,15 @@
 // back.
 func (c *checker) checkEvacuated(a Arrival) {
 	life, call := c.Servers[a.Server], c.calls[a.ID]
-	if life == nil || call == nil || life.Zone != zones[1] {
+	if life == nil || call == nil || life.Zone != zoneNames[1] {
 		return
 	}
 	for _, e := range c.Evacuations {
-		if a.At.Before(e.From.Add(c.MaxPropagationDelay+slack)) || !e.To.IsZero() && a.At.After(e.To) {
+		if a.At.Before(e.From.Add(c.MaxPropagationDelay+schedulingSlack)) || !e.To.IsZero() && a.At.After(e.To) {
 			continue
 		}
-		if c.inTouch(call.Entry, call.StartedAt, a.At) {
-			c.found("an evacuated zone gets nothing new", "%s reached %s %s after its zone was evacuated", a.ID, a.Server, a.At.Sub(e.From).Round(time.Millisecond))
+		if c.isStable(call.Entry, call.StartedAt, a.At) {
+			c.report("an evacuated zone gets nothing new", "%s reached %s %s after its zone was evacuated", a.ID, a.Server, a.At.Sub(e.From).Round(time.Millisecond))
 		}
 	}
 }
@@ -26,19 +26,19 @@
 const coldWindow = time.Second
 
 // checkCold finds cold servers that ran more requests in a second than they bear.
-func (c *checker) checkCold() {
-	began := map[string][]time.Time{}
+func (c *checker) checkColdRate() {
+	starts := map[string][]time.Time{}
 	for _, run := range c.Runs {
 		if life := c.Servers[run.Server]; life != nil && run.StartedAt.Before(life.ColdUntil) {
-			began[run.Server] = append(began[run.Server], run.StartedAt)
+			starts[run.Server] = append(starts[run.Server], run.StartedAt)
 		}
 	}
-	for worker, times := range began {
+	for worker, times := range starts {
 		slices.SortFunc(times, time.Time.Compare)
 		for i, from := range times {
 			within, _ := slices.BinarySearchFunc(times, from.Add(coldWindow), time.Time.Compare)
-			if within-i > coldRate {
-				c.found("a cold server gets what it bears", "%s began %d runs in a second while it was cold", worker, within-i)
+			if within-i > maxColdRate {
+				c.report("a cold server gets what it bears", "%s began %d runs in a second while it was cold", worker, within-i)
 				break
 			}
 		}
--- a/proof/soak/daemon.go
+++ b/proof/soak/daemon.go
@@ -30,20 +30,20 @@
 	records  *Records
 	log      *os.File
 
-	mu      sync.Mutex
-	process *process
-	changes int
-	closing bool
-	over    sync.WaitGroup
+	mu              sync.Mutex
+	process         *process
+	settingsChanges int
+	closing         bool
+	watchers        sync.WaitGroup
 }
 
 // process is one start of a daemon.
 type process struct {
-	cmd   *exec.Cmd
-	asked bool // it was told to end
+	cmd           *exec.Cmd
+	stopRequested bool // it was told to end
 	// stopping is when the first SIGTERM was sent; later ones don't prolong the stop.
-	stopping time.Time
-	gone     chan struct{}
+	stopRequestedAt time.Time
+	exited          chan struct{}
 }
 
 func newDaemon(index int, binary, folder string, settings gateway.Settings, records *Records) (*daemon, error) {
@@ -78,7 +78,7 @@
 	if d.closing {
 		return nil
 	}
-	p := &process{cmd: exec.Command(d.binary, "forward", "--settings", d.path()), gone: make(chan struct{})}
+	p := &process{cmd: exec.Command(d.binary, "forward", "--settings", d.path()), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = d.log, d.log
 	// A soak that is killed leaves no daemons behind: they would go on calling its
 	// addresses, which the next run's stand-ins may have.
@@ -87,21 +87,21 @@
 		return fmt.Errorf("starting %s: %w", d.settings.Name, err)
 	}
 	d.process = p
-	d.records.started(d.index)
-	d.over.Go(func() { d.watch(p) })
+	d.records.recordStart(d.index)
+	d.watchers.Go(func() { d.supervise(p) })
 	return nil
 }
 
 // watch starts the daemon again when its process has ended.
-func (d *daemon) watch(p *process) {
+func (d *daemon) supervise(p *process) {
 	// The exit code is read from the process's state.
 	_ = p.cmd.Wait()
-	close(p.gone)
+	close(p.exited)
 	d.mu.Lock()
-	asked, closing := p.asked, d.closing
+	stopRequested, closing := p.stopRequested, d.closing
 	d.mu.Unlock()
-	if !asked {
-		d.records.exited(Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), Unrequested: true})
+	if !stopRequested {
+		d.records.recordExit(Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), Unrequested: true})
 	}
 	if closing {
 		return
@@ -114,19 +114,19 @@
 
 // signal sends a signal to the process that runs now. The process may have ended by
 // itself meanwhile; that is noted elsewhere.
-func (d *daemon) signal(s syscall.Signal, ends bool) *process {
+func (d *daemon) signal(s syscall.Signal, stops bool) *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.process
-	p.asked = p.asked || ends
-	if s == syscall.SIGTERM && p.stopping.IsZero() {
-		p.stopping = time.Now()
+	p.stopRequested = p.stopRequested || stops
+	if s == syscall.SIGTERM && p.stopRequestedAt.IsZero() {
+		p.stopRequestedAt = time.Now()
 	}
 	_ = p.cmd.Process.Signal(s)
 	return p
 }
 
-func (d *daemon) kill() { <-d.signal(syscall.SIGKILL, true).gone }
+func (d *daemon) kill() { <-d.signal(syscall.SIGKILL, true).exited }
 
 // pause stands the process still for a while.
 func (d *daemon) pause(length time.Duration) {
@@ -139,29 +139,29 @@
 func (d *daemon) stop() {
 	p := d.signal(syscall.SIGTERM, true)
 	select {
-	case <-p.gone:
-	case <-time.After(exitBound):
+	case <-p.exited:
+	case <-time.After(maxExitTime):
 		_ = p.cmd.Process.Kill()
-		<-p.gone
+		<-p.exited
 	}
-	d.records.exited(d.exit(p))
+	d.records.recordExit(d.exitOf(p))
 }
 
 // exit describes the planned end of a process that is gone.
-func (d *daemon) exit(p *process) Exit {
+func (d *daemon) exitOf(p *process) Exit {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), StopRequestedAt: p.stopping, Took: time.Since(p.stopping)}
+	return Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), StopRequestedAt: p.stopRequestedAt, Took: time.Since(p.stopRequestedAt)}
 }
 
 // reload changes the settings and tells the process by a signal every other time;
 // else it has to find out by itself.
 func (d *daemon) reload() error {
 	d.mu.Lock()
-	d.changes++
+	d.settingsChanges++
 	d.settings.LogRate += 1
 	err := d.writeSettings()
-	signalled := d.changes%2 == 1
+	signalled := d.settingsChanges%2 == 1
 	d.mu.Unlock()
 	if signalled {
 		d.signal(syscall.SIGHUP, false)
@@ -170,7 +170,7 @@
 }
 
 // ready asks as the balancer does.
-func (d *daemon) ready(client *http.Client) bool {
+func (d *daemon) isReady(client *http.Client) bool {
 	response, err := client.Get("http://" + d.settings.ReadyAddress + platform.ReadyPath)
 	if err != nil {
 		return false
@@ -185,7 +185,7 @@
 	d.closing = true
 	d.mu.Unlock()
 	d.stop()
-	d.over.Wait()
+	d.watchers.Wait()
 	_ = d.log.Close()
 }
 
@@ -198,7 +198,7 @@
 	portServer // of backend servers
 )
 
-func settingsOf(index int, host, store string, seeds []string, changeBound time.Duration) gateway.Settings {
+func entrySettings(index int, host, store string, seeds []string, changeBound time.Duration) gateway.Settings {
 	at := func(port int) string { return fmt.Sprintf("%s:%d", host, port) }
 	return gateway.Settings{Name: fmt.Sprintf("entry-%03d", index), Zone: "here", ListenAddress: at(portCallers), ReadyAddress: at(portReady),
 		PeerAddress: at(portPeers), MetricsAddress: at(portMetrics), Store: store, Seeds: seeds, MemoryMB: 200, Processors: 1,
@@ -207,11 +207,11 @@
 }
 
 // hosts counts the loopback hosts that this process has given out.
-var hosts atomic.Int32
+var hostCount atomic.Int32
 
 // newHost returns a loopback host that no other daemon of this process has, nor one
 // of another process that runs beside it.
-func newHost() string {
-	pid, n := os.Getpid(), int(hosts.Add(1))
+func newLoopbackHost() string {
+	pid, n := os.Getpid(), int(hostCount.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 100+pid%100, pid/100%200+n/200, 1+n%200)
 }
--- a/proof/soak/doc.go
+++ b/proof/soak/doc.go
@@ -63,10 +63,10 @@
 	// bounds to hold; the users' figure.
 	stableWindow = 3 * time.Second
 	// goneBound is how long work may go on after its caller has left.
-	goneBound = 500 * time.Millisecond
+	maxCancelDelay = 500 * time.Millisecond
 	// slack is added to every bound: some fifty processes share the machine's
 	// processors, and a timer may fire late.
-	slack = time.Second
+	schedulingSlack = time.Second
 	// retryRatio, retryExtra and retryWindow bound the arrivals at a service
 	// beyond the first of each request.
 	retryRatio  = 0.2
@@ -77,10 +77,10 @@
 	RecoveryTime = 6 * time.Second
 	// recoveredShare is the least share of requests that is served in the second
 	// half of the calm part.
-	recoveredShare = 0.5
+	minRecoveredShare = 0.5
 	// exitBound is how long a stopped daemon may take to exit: its stop limit
 	// and as much again.
-	exitBound = 16 * time.Second
+	maxExitTime = 16 * time.Second
 	// reservationIdle is the daemons' setting of how long reserved memory may stay
 	// without use; the users' figure.
 	reservationIdle = 9 * time.Second
--- a/proof/soak/link.go
+++ b/proof/soak/link.go
@@ -43,16 +43,16 @@
 }
 
 type connection struct {
-	link     *Link
-	near     net.Conn
-	far      net.Conn
-	silenced [2]bool // requests, answers: for good
+	link    *Link
+	client  net.Conn
+	target  net.Conn
+	dropped [2]bool // requests, answers: for good
 }
 
 // Directions of a connection.
 const (
-	outward = iota
-	inward
+	toTarget = iota
+	toClient
 )
 
 // NewLink passes connections to an address on to a target, which may be empty.
@@ -75,15 +75,15 @@
 	l.target = target
 	switch {
 	case target == "":
-		return l.refuse()
+		return l.stopListening()
 	case l.listener == nil:
-		return l.listen()
+		return l.startListening()
 	}
 	return nil
 }
 
 // refuse closes the listener. The lock is held.
-func (l *Link) refuse() error {
+func (l *Link) stopListening() error {
 	if l.listener == nil {
 		return nil
 	}
@@ -93,8 +93,8 @@
 }
 
 // listen takes connections from now on. The lock is held.
-func (l *Link) listen() error {
-	listener, err := listenAgain(l.address)
+func (l *Link) startListening() error {
+	listener, err := listenWithRetry(l.address)
 	if err != nil {
 		return fmt.Errorf("a link on %s: %w", l.address, err)
 	}
@@ -105,16 +105,16 @@
 }
 
 // listenPatience is for how long an address may still be taken that was given up before.
-const listenPatience = 2 * time.Second
+const listenRetryTime = 2 * time.Second
 
 // listenAgain listens on an address on which this process may just have stopped to. A process that
 // is being started holds a copy of the closed listener until its program is loaded, which takes a
 // while where a hundred are started beside each other.
-func listenAgain(address string) (net.Listener, error) {
-	give := time.Now().Add(listenPatience)
+func listenWithRetry(address string) (net.Listener, error) {
+	deadline := time.Now().Add(listenRetryTime)
 	for {
 		listener, err := net.Listen("tcp", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(give) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -131,7 +131,7 @@
 		case LinkReset:
 			c.reset()
 		case LinkDropsBoth, LinkDropsRequests, LinkDropsResponses:
-			c.silence(fault)
+			c.dropTraffic(fault)
 		}
 	}
 }
@@ -157,48 +157,48 @@
 
 func (l *Link) accept(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		go l.pass(near)
+		go l.forward(client)
 	}
 }
 
 // targetTimeout bounds the connection to a target on loopback.
 const targetTimeout = time.Second
 
-func (l *Link) pass(near net.Conn) {
+func (l *Link) forward(client net.Conn) {
 	l.mu.Lock()
 	target, fault := l.target, l.fault
 	l.mu.Unlock()
-	far, err := net.DialTimeout("tcp", target, targetTimeout)
+	targetConn, err := net.DialTimeout("tcp", target, targetTimeout)
 	if err != nil || fault == LinkReset {
-		resetConnection(near)
-		if far != nil {
-			resetConnection(far)
+		resetConnection(client)
+		if targetConn != nil {
+			resetConnection(targetConn)
 		}
 		return
 	}
-	c := &connection{link: l, near: near, far: far}
+	c := &connection{link: l, client: client, target: targetConn}
 	l.mu.Lock()
 	l.open[c] = true
 	if l.fault == LinkDropsBoth || l.fault == LinkDropsRequests || l.fault == LinkDropsResponses {
-		c.silence(l.fault)
+		c.dropTraffic(l.fault)
 	}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { c.copy(outward, far, near) })
-	both.Go(func() { c.copy(inward, near, far) })
+	both.Go(func() { c.copy(toTarget, targetConn, client) })
+	both.Go(func() { c.copy(toClient, client, targetConn) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.open, c)
 	l.mu.Unlock()
 	// Both ends have been read to their ends; a close that fails changes nothing.
-	_, _ = near.Close(), far.Close()
+	_, _ = client.Close(), targetConn.Close()
 }
 
 // copy passes one direction on until it ends. An orderly end is passed on as such,
@@ -207,22 +207,22 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		silenced, delayed := c.state(direction)
+		dropped, delayed := c.state(direction)
 		if delayed {
 			time.Sleep(linkDelay)
 		}
-		if n > 0 && !silenced {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+		if n > 0 && !dropped {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				c.reset()
 				return
 			}
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && silenced:
+		case errors.Is(err, io.EOF) && dropped:
 			return
 		case errors.Is(err, io.EOF):
-			closeWriting(to)
+			closeWrite(to)
 			return
 		default:
 			c.reset()
@@ -231,21 +231,21 @@
 	}
 }
 
-func (c *connection) state(direction int) (silenced, delayed bool) {
+func (c *connection) state(direction int) (dropped, delayed bool) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
-	return c.silenced[direction], c.link.fault == LinkDelayed
+	return c.dropped[direction], c.link.fault == LinkDelayed
 }
 
 // silence swallows what is sent from now on. The link's lock is held.
-func (c *connection) silence(fault LinkFault) {
-	c.silenced[outward] = c.silenced[outward] || fault != LinkDropsResponses
-	c.silenced[inward] = c.silenced[inward] || fault != LinkDropsRequests
+func (c *connection) dropTraffic(fault LinkFault) {
+	c.dropped[toTarget] = c.dropped[toTarget] || fault != LinkDropsResponses
+	c.dropped[toClient] = c.dropped[toClient] || fault != LinkDropsRequests
 }
 
 func (c *connection) reset() {
-	resetConnection(c.near)
-	resetConnection(c.far)
+	resetConnection(c.client)
+	resetConnection(c.target)
 }
 
 func resetConnection(c net.Conn) {
@@ -256,7 +256,7 @@
 	_ = c.Close()
 }
 
-func closeWriting(c net.Conn) {
+func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		// The other end may have gone; its own direction tells.
 		_ = tcp.CloseWrite()
--- a/proof/soak/link_test.go
+++ b/proof/soak/link_test.go
@@ -10,7 +10,7 @@
 )
 
 // echo answers each line with itself.
-func echo(t *testing.T) net.Listener {
+func echoServer(t *testing.T) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -53,7 +53,7 @@
 	return bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriter(c))
 }
 
-func say(c *bufio.ReadWriter, text string) (string, error) {
+func exchange(c *bufio.ReadWriter, text string) (string, error) {
 	if _, err := c.WriteString(text + "\n"); err != nil {
 		return "", err
 	}
@@ -64,16 +64,16 @@
 }
 
 func TestALinkPassesAndResets(t *testing.T) {
-	l := linkTo(t, echo(t).Addr().String())
+	l := linkTo(t, echoServer(t).Addr().String())
 	c := dial(t, l)
-	line, err := say(c, "hello")
+	line, err := exchange(c, "hello")
 	require.NoError(t, err)
 	require.Equal(t, "hello\n", line)
 	l.Inject(LinkReset)
-	_, err = say(c, "again")
+	_, err = exchange(c, "again")
 	require.Error(t, err)
 	l.Clear()
-	line, err = say(dial(t, l), "anew")
+	line, err = exchange(dial(t, l), "anew")
 	require.NoError(t, err)
 	require.Equal(t, "anew\n", line)
 }
@@ -81,23 +81,23 @@
 // A connection that was silenced stays so for good, while new ones work.
 func TestASilencedConnectionStaysSilent(t *testing.T) {
 	for _, fault := range []LinkFault{LinkDropsBoth, LinkDropsResponses, LinkDropsRequests} {
-		l := linkTo(t, echo(t).Addr().String())
+		l := linkTo(t, echoServer(t).Addr().String())
 		old := dial(t, l)
-		_, err := say(old, "hello")
+		_, err := exchange(old, "hello")
 		require.NoError(t, err)
 		l.Inject(fault)
 		l.Clear()
-		heard := make(chan struct{})
+		answered := make(chan struct{})
 		go func() {
-			if _, err := say(old, "lost"); err == nil {
-				close(heard)
+			if _, err := exchange(old, "lost"); err == nil {
+				close(answered)
 			}
 		}()
-		line, err := say(dial(t, l), "anew")
+		line, err := exchange(dial(t, l), "anew")
 		require.NoError(t, err, fault)
 		require.Equal(t, "anew\n", line)
 		select {
-		case <-heard:
+		case <-answered:
 			t.Fatalf("%s: the old connection still speaks", fault)
 		default:
 		}
--- a/proof/soak/plan.go
+++ b/proof/soak/plan.go
@@ -37,7 +37,7 @@
 )
 
 // planned says that a kind is planned work, beside which nothing may be cut.
-func (k FaultKind) planned() bool {
+func (k FaultKind) isPlanned() bool {
 	return k == EntryStopped || k == SettingsChanged || k == ConfigChanges || k == ServerDrains || k == ZoneEvacuated
 }
 
@@ -61,7 +61,7 @@
 }
 
 // weights are how often each kind is drawn.
-var weights = []struct {
+var faultWeights = []struct {
 	kind   FaultKind
 	weight int
 }{
@@ -74,102 +74,102 @@
 	// meanGap is the mean time between two draws in a run of usualTargets entries
 	// and servers; larger runs are struck more often, so that each target is as
 	// often.
-	meanGap      = 500 * time.Millisecond
-	usualTargets = 12
+	meanFaultGap    = 500 * time.Millisecond
+	baselineTargets = 12
 	// seriesShare is how many draws come as a series, of up to seriesMost
 	// strikes on one target after the other, or againShare of them on the same one
 	// again and again.
 	seriesShare = 0.3
-	againShare  = 0.4
-	seriesMost  = 4
+	repeatShare = 0.4
+	maxSeries   = 4
 	seriesGap   = 400 * time.Millisecond
 	// longestFault bounds a fault; the shortest lasts a tenth of it.
-	longestFault = 5 * time.Second
+	maxFaultDuration = 5 * time.Second
 	// firstFault leaves the daemons time to become ready.
-	firstFault = time.Second
+	firstFaultAt = time.Second
 )
 
 // Plan draws the faults of a run, in the order of time.
 func Plan(o Options) []ScheduledFault {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
-	perGap := max(float64(o.Entries+o.Servers)/usualTargets, 1)
-	var steps []ScheduledFault
-	for at := firstFault; at < o.FaultDuration; {
-		steps = append(steps, series(random, o, at)...)
-		at += time.Duration(random.ExpFloat64() * float64(meanGap) / perGap)
+	scale := max(float64(o.Entries+o.Servers)/baselineTargets, 1)
+	var faults []ScheduledFault
+	for at := firstFaultAt; at < o.FaultDuration; {
+		faults = append(faults, drawSeries(random, o, at)...)
+		at += time.Duration(random.ExpFloat64() * float64(meanFaultGap) / scale)
 	}
-	steps = append(steps, longSteps(random, o)...)
-	steps = append(steps, evacuations(o)...)
-	slices.SortStableFunc(steps, func(a, b ScheduledFault) int { return cmp.Compare(a.At, b.At) })
-	return steps
+	faults = append(faults, planLongStreamFaults(random, o)...)
+	faults = append(faults, planEvacuations(o)...)
+	slices.SortStableFunc(faults, func(a, b ScheduledFault) int { return cmp.Compare(a.At, b.At) })
+	return faults
 }
 
 // longSteps draws stops of the entries that nothing else than planned work strikes, each after the one before
 // has come to its end, and one return of the store from an older copy.
-func longSteps(random *rand.Rand, o Options) []ScheduledFault {
+func planLongStreamFaults(random *rand.Rand, o Options) []ScheduledFault {
 	if o.LongStreamCallers == 0 {
 		return nil
 	}
-	age := min(time.Duration(random.Int64N(int64(longestFault))), o.FaultDuration-firstFault)
-	steps := []ScheduledFault{{At: firstFault + time.Duration(random.Int64N(int64(o.FaultDuration-firstFault-age)+1)), Duration: age, Kind: StoreRestored}}
-	for entry := o.targets(EntryKilled); entry < o.Entries; entry++ {
-		at := firstFault + time.Duration(random.Int64N(int64(longestFault)))
-		for ; at < o.FaultDuration; at += stopLimit + time.Duration(random.Int64N(int64(longestFault))) {
-			steps = append(steps, ScheduledFault{At: at, Kind: EntryStopped, Target: entry})
+	age := min(time.Duration(random.Int64N(int64(maxFaultDuration))), o.FaultDuration-firstFaultAt)
+	faults := []ScheduledFault{{At: firstFaultAt + time.Duration(random.Int64N(int64(o.FaultDuration-firstFaultAt-age)+1)), Duration: age, Kind: StoreRestored}}
+	for entry := o.targetCount(EntryKilled); entry < o.Entries; entry++ {
+		at := firstFaultAt + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		for ; at < o.FaultDuration; at += stopLimit + time.Duration(random.Int64N(int64(maxFaultDuration))) {
+			faults = append(faults, ScheduledFault{At: at, Kind: EntryStopped, Target: entry})
 		}
 	}
-	return steps
+	return faults
 }
 
 const (
 	// evacuationGap is the mean time between two evacuations, evacuationBeyond how much longer than changes take to be in
 	// force one lasts at the least.
-	evacuationGap    = 3 * time.Second
-	evacuationBeyond = 2 * time.Second
+	meanEvacuationGap   = 3 * time.Second
+	minEvacuationExcess = 2 * time.Second
 )
 
 // evacuations draws evacuations of the second zone, one after the other. They have random numbers of their own: the faults
 // of a seed stay what they were.
-func evacuations(o Options) []ScheduledFault {
+func planEvacuations(o Options) []ScheduledFault {
 	if !o.MultiZone {
 		return nil
 	}
 	random := rand.New(rand.NewPCG(o.Seed, 2))
-	var steps []ScheduledFault
-	for at := firstFault; at < o.FaultDuration; {
-		length := o.MaxPropagationDelay + slack + evacuationBeyond + time.Duration(random.Int64N(int64(longestFault)))
-		steps = append(steps, ScheduledFault{At: at, Duration: length, Kind: ZoneEvacuated})
-		at += length + time.Duration(random.ExpFloat64()*float64(evacuationGap))
+	var faults []ScheduledFault
+	for at := firstFaultAt; at < o.FaultDuration; {
+		length := o.MaxPropagationDelay + schedulingSlack + minEvacuationExcess + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		faults = append(faults, ScheduledFault{At: at, Duration: length, Kind: ZoneEvacuated})
+		at += length + time.Duration(random.ExpFloat64()*float64(meanEvacuationGap))
 	}
-	return steps
+	return faults
 }
 
-func series(random *rand.Rand, o Options, at time.Duration) []ScheduledFault {
+func drawSeries(random *rand.Rand, o Options, at time.Duration) []ScheduledFault {
 	count := 1
 	if random.Float64() < seriesShare {
-		count = 2 + random.IntN(seriesMost-1)
+		count = 2 + random.IntN(maxSeries-1)
 	}
-	first := draw(random, o)
-	again := random.Float64() < againShare
-	var steps []ScheduledFault
+	first := drawFault(random, o)
+	repeat := random.Float64() < repeatShare
+	var faults []ScheduledFault
 	for i := range count {
-		step := first
-		step.At = at + time.Duration(i)*seriesGap
-		if !again {
-			step.Target = (first.Target + i) % o.targets(first.Kind)
+		fault := first
+		fault.At = at + time.Duration(i)*seriesGap
+		if !repeat {
+			fault.Target = (first.Target + i) % o.targetCount(first.Kind)
 		}
-		if step.At < o.FaultDuration {
-			step.Duration = min(step.Duration, o.FaultDuration-step.At)
-			steps = append(steps, step)
+		if fault.At < o.FaultDuration {
+			fault.Duration = min(fault.Duration, o.FaultDuration-fault.At)
+			faults = append(faults, fault)
 		}
 	}
-	return steps
+	return faults
 }
 
 // targets is how many things a kind may strike.
-func (o Options) targets(kind FaultKind) int {
+func (o Options) targetCount(kind FaultKind) int {
 	switch {
-	case o.LongStreamCallers > 0 && kind.onEntry() && !kind.planned():
+	case o.LongStreamCallers > 0 && kind.onEntry() && !kind.isPlanned():
 		// The others' stops come to their ends undisturbed: a stop lasts for longer than faults lie apart.
 		return (o.Entries + 1) / 2
 	case kind.onEntry():
@@ -180,19 +180,19 @@
 	return 1
 }
 
-func draw(random *rand.Rand, o Options) ScheduledFault {
-	sum := 0
-	for _, w := range weights {
-		sum += w.weight
+func drawFault(random *rand.Rand, o Options) ScheduledFault {
+	total := 0
+	for _, w := range faultWeights {
+		total += w.weight
 	}
-	kind, left := weights[0].kind, random.IntN(sum)
-	for _, w := range weights {
-		if left < w.weight {
+	kind, rest := faultWeights[0].kind, random.IntN(total)
+	for _, w := range faultWeights {
+		if rest < w.weight {
 			kind = w.kind
 			break
 		}
-		left -= w.weight
+		rest -= w.weight
 	}
-	return ScheduledFault{Kind: kind, Target: random.IntN(o.targets(kind)), Duration: time.Duration((0.1 + 0.9*random.Float64()) * float64(longestFault)),
+	return ScheduledFault{Kind: kind, Target: random.IntN(o.targetCount(kind)), Duration: time.Duration((0.1 + 0.9*random.Float64()) * float64(maxFaultDuration)),
 		LinkFault: linkFaults[random.IntN(len(linkFaults))]}
 }
--- a/proof/soak/fatal.go
+++ b/proof/soak/poison.go
@@ -17,31 +17,31 @@
 
 const (
 	// fatalFirst and fatalGap are when the first and each further fatal request begins to come.
-	fatalFirst = 1500 * time.Millisecond
-	fatalGap   = 4 * time.Second
+	firstPoisonAt  = 1500 * time.Millisecond
+	poisonInterval = 4 * time.Second
 	// fatalPause and fatalPauseSpread, in ms, lie between two attempts of one.
-	fatalPause       = 100 * time.Millisecond
-	fatalPauseSpread = 500
+	poisonAttemptGap         = 100 * time.Millisecond
+	poisonAttemptGapSpreadMs = 500
 	// fatalDown and fatalDownSpread, in ms, are how long a server is away that has ended.
-	fatalDown       = time.Second
-	fatalDownSpread = 2000
+	crashDowntime         = time.Second
+	crashDowntimeSpreadMs = 2000
 	// fatalShortest is the part of FatalHold that a server runs it at least. All callers of every second
 	// one leave within it, so that none of them waits for the end.
-	fatalShortest = 0.25
+	minCrashDelayShare = 0.25
 	// fatalTokens is short enough that it is not divided.
-	fatalTokens = 1500
+	poisonPromptTokens = 1500
 )
 
 // fatalRoutes are the routes to which fatal requests come, by turns.
-var fatalRoutes = []struct {
+var poisonRoutes = []struct {
 	kind         CallKind
 	method, path string
 	tokens       int
-}{{ResumableStream, http.MethodPost, "/stream/fatal", fatalTokens}, {Retryable, http.MethodGet, "/read/fatal", 0}, {AtMostOnce, http.MethodPost, "/order/fatal", 0},
-	{AtMostOnceStream, http.MethodPost, "/once/fatal", fatalTokens}}
+}{{ResumableStream, http.MethodPost, "/stream/fatal", poisonPromptTokens}, {Retryable, http.MethodGet, "/read/fatal", 0}, {AtMostOnce, http.MethodPost, "/order/fatal", 0},
+	{AtMostOnceStream, http.MethodPost, "/once/fatal", poisonPromptTokens}}
 
 // fatalBody is the body of a fatal request; 0 is that of a sound one to the same path.
-func fatalBody(number int) string {
+func poisonBody(number int) string {
 	if number == 0 {
 		return "sound"
 	}
@@ -57,95 +57,95 @@
 }
 
 // endUnder ends a server if a request is fatal, and starts the next one later.
-func (s *slot) endUnder(w *standin.Worker, run standin.Run) bool {
+func (s *slot) crashIfPoison(w *standin.Worker, run standin.Run) bool {
 	number := 0
 	if _, err := fmt.Sscanf(run.Body, "fatal %d", &number); err != nil {
 		return false
 	}
-	s.records.ranFatal(run.ID, s.index, w)
-	time.Sleep(s.holdOf(run.ID))
-	if !s.ends(w) {
+	s.records.recordPoisonRun(run.ID, s.index, w)
+	time.Sleep(s.crashDelay(run.ID))
+	if !s.markCrashed(w) {
 		return true // it has ended already
 	}
-	s.records.end(Crash{PoisonNumber: number, Server: w.ID, At: time.Now()})
-	over := s.records.fault(ServerCrashed, s.index)
-	s.cutOff()
-	s.ending.Go(func() {
-		defer over()
-		if !s.busy.TryLock() {
+	s.records.recordCrash(Crash{PoisonNumber: number, Server: w.ID, At: time.Now()})
+	endFault := s.records.recordFault(ServerCrashed, s.index)
+	s.disconnect()
+	s.background.Go(func() {
+		defer endFault()
+		if !s.replacing.TryLock() {
 			return // whoever ends it starts the next one
 		}
-		defer s.busy.Unlock()
+		defer s.replacing.Unlock()
 		if s.current() != w {
 			return
 		}
-		down := fatalDown + time.Duration(pick(run.ID, "down", fatalDownSpread))*time.Millisecond
-		if err := s.crashFor(down); err != nil {
-			s.records.failure(err)
+		downtime := crashDowntime + time.Duration(hashPick(run.ID, "down", crashDowntimeSpreadMs))*time.Millisecond
+		if err := s.crashFor(downtime); err != nil {
+			s.records.recordError(err)
 		}
 	})
 	return true
 }
 
 // holdOf is for how long the server runs a fatal request before it ends.
-func (s *slot) holdOf(id string) time.Duration {
-	spread := s.fatalHold - shortestHold(s.fatalHold)
+func (s *slot) crashDelay(id string) time.Duration {
+	spread := s.maxCrashDelay - minCrashDelay(s.maxCrashDelay)
 	if spread == 0 {
 		return 0
 	}
-	return shortestHold(s.fatalHold) + time.Duration(pick(id, "hold", int(spread.Milliseconds())))*time.Millisecond
+	return minCrashDelay(s.maxCrashDelay) + time.Duration(hashPick(id, "hold", int(spread.Milliseconds())))*time.Millisecond
 }
 
-func shortestHold(longest time.Duration) time.Duration {
-	return time.Duration(fatalShortest * float64(longest))
+func minCrashDelay(maxDelay time.Duration) time.Duration {
+	return time.Duration(minCrashDelayShare * float64(maxDelay))
 }
 
 // ends notes that a server ends; it returns false if that is known, or another one runs here by now.
-func (s *slot) ends(w *standin.Worker) bool {
+func (s *slot) markCrashed(w *standin.Worker) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended == w || s.worker != w {
+	if s.crashed == w || s.server != w {
 		return false
 	}
-	s.ended = w
+	s.crashed = w
 	return true
 }
 
 // callFatal sends a fatal request to entries at random, and a sound one beside it now and then,
 // until the context is over.
-func (w *world) callFatal(ctx context.Context, number int) {
-	sleep(ctx, fatalFirst+time.Duration(number-1)*fatalGap)
+func (w *testbed) sendPoison(ctx context.Context, number int) {
+	sleep(ctx, firstPoisonAt+time.Duration(number-1)*poisonInterval)
 	random := rand.New(rand.NewPCG(w.options.Seed, uint64(2+number)))
 	callers := make([]*caller, len(w.daemons))
 	for entry := range w.daemons {
-		callers[entry] = newCaller(fmt.Sprintf("f%d-%d", number, entry), entry, w.fronts[entry].Address(), w.options.Seed, w.records, w.newest)
+		callers[entry] = newCaller(fmt.Sprintf("f%d-%d", number, entry), entry, w.callerLinks[entry].Address(), w.options.Seed, w.records, w.newestVersion)
 		defer callers[entry].client.CloseIdleConnections()
 	}
 	for ctx.Err() == nil {
 		c := callers[random.IntN(len(callers))]
-		leave := time.Duration(0)
+		disconnectAfter := time.Duration(0)
 		if number%2 == 0 {
-			leave = shortestHold(w.options.MaxCrashDelay)
+			disconnectAfter = minCrashDelay(w.options.MaxCrashDelay)
 		}
-		c.oneFatal(number, number, leave)
-		c.oneFatal(number, 0, 0)
-		sleep(ctx, fatalPause+time.Duration(random.IntN(fatalPauseSpread))*time.Millisecond)
+		c.callPoison(number, number, disconnectAfter)
+		c.callPoison(number, 0, 0)
+		sleep(ctx, poisonAttemptGap+time.Duration(random.IntN(poisonAttemptGapSpreadMs))*time.Millisecond)
 	}
 }
 
 // oneFatal sends the fatal request of a number, or a sound one to its path. It leaves after a time, or
 // as usual if that is 0.
-func (c *caller) oneFatal(number, body int, leave time.Duration) {
-	c.serial++
-	route := fatalRoutes[(number-1)%len(fatalRoutes)]
-	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: route.kind, Path: route.path, Entry: c.entry, Key: lastingKey, PoisonNumber: body, Timeout: waitLeast}
-	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, fatalBody(body)), call.Timeout)
-	if leave > 0 {
-		c.send(&call, request, leave)
+func (c *caller) callPoison(number, bodyNumber int, disconnectAfter time.Duration) {
+	c.callCount++
+	route := poisonRoutes[(number-1)%len(poisonRoutes)]
+	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.callCount), Kind: route.kind, Path: route.path, Entry: c.entry, Key: permanentKey, PoisonNumber: bodyNumber, Timeout: minTimeout}
+	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, poisonBody(bodyNumber)), call.Timeout)
+	if disconnectAfter > 0 {
+		c.send(&call, request, disconnectAfter)
 	} else {
-		c.do(&call, request)
+		c.sendWithRandomDisconnect(&call, request)
 	}
-	c.records.call(call)
+	c.records.recordCall(call)
 }
 
 // quarantinedCode is what an entry answers that refuses a request because servers end under it.
@@ -154,8 +154,8 @@
 // fatalEnds is after how many ends a request is known, and fatalMore how many more sends there
 // may be by entries that no fault touched; the users' figures.
 const (
-	fatalEnds = 3
-	fatalMore = 3
+	crashLimit    = 3
+	maxExtraSends = 3
 )
 
 // sentOn is the promise that a request which ends servers is refused once it is known.
@@ -163,90 +163,90 @@
 
 // checkFatal finds requests that end servers and are sent on, and sound ones that are refused
 // for it.
-func (c *checker) checkFatal(timed bool) {
+func (c *checker) checkPoison(timed bool) {
 	for i := range c.Calls {
 		call := &c.Calls[i]
 		if call.PoisonNumber == 0 && strings.Contains(call.Body, quarantinedCode) {
-			c.found("only a request that ends servers is refused for it", "%s %s was", call.ID, call.Path)
+			c.report("only a request that ends servers is refused for it", "%s %s was", call.ID, call.Path)
 		}
 	}
-	ends := map[int][]time.Time{}
-	for _, end := range c.Crashes {
-		ends[end.PoisonNumber] = append(ends[end.PoisonNumber], end.At)
+	crashes := map[int][]time.Time{}
+	for _, crash := range c.Crashes {
+		crashes[crash.PoisonNumber] = append(crashes[crash.PoisonNumber], crash.At)
 	}
-	for number, at := range ends {
-		if len(at) < fatalEnds {
+	for number, crashTimes := range crashes {
+		if len(crashTimes) < crashLimit {
 			continue
 		}
-		known := at[fatalEnds-1]
+		knownAt := crashTimes[crashLimit-1]
 		if timed {
-			c.checkSentOn(number, known)
+			c.checkPoisonSends(number, knownAt)
 		}
-		c.checkCalm(number, known)
+		c.checkPoisonInRecovery(number, knownAt)
 	}
 }
 
 // checkSentOn counts the sends of a fatal request by entries in touch, after it must be known.
-func (c *checker) checkSentOn(number int, known time.Time) {
-	more := 0
+func (c *checker) checkPoisonSends(number int, knownAt time.Time) {
+	sends := 0
 	for _, a := range c.Arrivals {
 		call := c.calls[a.ID]
-		if call == nil || call.PoisonNumber != number || !a.At.After(known.Add(stableWindow+slack)) || !c.inTouch(call.Entry, call.StartedAt, a.At) {
+		if call == nil || call.PoisonNumber != number || !a.At.After(knownAt.Add(stableWindow+schedulingSlack)) || !c.isStable(call.Entry, call.StartedAt, a.At) {
 			continue
 		}
-		more++
+		sends++
 	}
-	if more > fatalMore {
-		c.found(sentOn, "fatal request %d was sent %d times more after it had ended %d servers", number, more, fatalEnds)
+	if sends > maxExtraSends {
+		c.report(sentOn, "fatal request %d was sent %d times more after it had ended %d servers", number, sends, crashLimit)
 	}
 }
 
 // checkCalm finds sends in the part without faults that come after the request was known, if an
 // entry has lived since and so can tell all others. Where two requests have ended servers under which
 // both ran, either may be at fault: each has the three sends more that the users allow.
-func (c *checker) checkCalm(number int, known time.Time) {
+func (c *checker) checkPoisonInRecovery(number int, knownAt time.Time) {
 	from := c.FaultsEndedAt.Add(RecoveryTime / 2)
-	if told := known.Add(slack); told.After(from) {
-		from = told
+	if toldBy := knownAt.Add(schedulingSlack); toldBy.After(from) {
+		from = toldBy
 	}
-	lives := false
+	hasSurvivor := false
 	for entry := range c.Starts {
-		lives = lives || !c.startedBetween(entry, known.Add(-stableWindow), c.FaultsEndedAt)
+		hasSurvivor = hasSurvivor || !c.startedBetween(entry, knownAt.Add(-stableWindow), c.FaultsEndedAt)
 	}
 	var late []Arrival
 	for _, a := range c.Arrivals {
 		call := c.calls[a.ID]
-		if lives && call != nil && call.PoisonNumber == number && call.StartedAt.After(from) {
+		if hasSurvivor && call != nil && call.PoisonNumber == number && call.StartedAt.After(from) {
 			late = append(late, a)
 		}
 	}
 	allowed := 0
-	if c.hidden(number) {
-		allowed = fatalMore
+	if c.isAmbiguous(number) {
+		allowed = maxExtraSends
 	}
 	if len(late) <= allowed {
 		return
 	}
 	for _, a := range late {
-		c.found(sentOn, "fatal request %d reached %s (%s) long after it had ended %d servers", number, a.Server, a.ID, fatalEnds)
+		c.report(sentOn, "fatal request %d reached %s (%s) long after it had ended %d servers", number, a.Server, a.ID, crashLimit)
 	}
 }
 
 // hidden says whether another fatal request ran at a server that ended under one of the two.
-func (c *checker) hidden(number int) bool {
-	ran := map[string]map[int]bool{} // the fatal requests that ran at a server
+func (c *checker) isAmbiguous(number int) bool {
+	poisonAtServer := map[string]map[int]bool{} // the fatal requests that ran at a server
 	for _, run := range c.Runs {
 		call := c.calls[run.ID]
 		if call == nil || call.PoisonNumber == 0 {
 			continue
 		}
-		if ran[run.Server] == nil {
-			ran[run.Server] = map[int]bool{}
+		if poisonAtServer[run.Server] == nil {
+			poisonAtServer[run.Server] = map[int]bool{}
 		}
-		ran[run.Server][call.PoisonNumber] = true
+		poisonAtServer[run.Server][call.PoisonNumber] = true
 	}
-	for _, at := range ran {
-		if at[number] && len(at) > 1 {
+	for _, numbers := range poisonAtServer {
+		if numbers[number] && len(numbers) > 1 {
 			return true
 		}
 	}
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -127,7 +127,7 @@
 }
 
 // covers says whether the server could be reached at a time.
-func (l *ServerLifetime) covers(at time.Time) bool {
+func (l *ServerLifetime) wasReachable(at time.Time) bool {
 	return !l.From.After(at) && (l.To.IsZero() || l.To.After(at))
 }
 
@@ -140,7 +140,7 @@
 }
 
 // endedServers are the backend servers that can't be reached any more.
-func (r *Records) endedServers() []string {
+func (r *Records) stoppedServers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
@@ -167,21 +167,21 @@
 }
 
 // lives notes that a backend server can be reached, gone that it can't any more.
-func (r *Records) lives(worker, service string) {
+func (r *Records) recordServer(worker, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Servers[worker] = &ServerLifetime{Service: service, From: time.Now()}
 }
 
 // located notes where a backend server is and for how long it is cold.
-func (r *Records) located(worker, zone string, cold time.Duration) {
+func (r *Records) recordLocation(worker, zone string, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Servers[worker].Zone, r.Servers[worker].ColdUntil = zone, r.Servers[worker].From.Add(cold)
 }
 
 // evacuated notes that the second zone is evacuated and returns what notes that it is about to be taken back.
-func (r *Records) evacuated() func() {
+func (r *Records) recordEvacuation() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.Evacuations)
@@ -193,7 +193,7 @@
 	}
 }
 
-func (r *Records) gone(worker string) {
+func (r *Records) recordServerGone(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if life := r.Servers[worker]; life != nil && life.To.IsZero() {
@@ -201,58 +201,58 @@
 	}
 }
 
-func (r *Records) call(c Call) {
+func (r *Records) recordCall(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Calls = append(r.Calls, c)
 }
 
-func (r *Records) arrival(a Arrival) {
+func (r *Records) recordArrival(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Arrivals = append(r.Arrivals, a)
 }
 
-func (r *Records) run(run *Run) {
+func (r *Records) recordRun(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Runs = append(r.Runs, run)
 }
 
 // ranFatal notes a run under which its server ends.
-func (r *Records) ranFatal(id string, slot int, w *standin.Worker) {
+func (r *Records) recordPoisonRun(id string, slot int, w *standin.Worker) {
 	now := time.Now()
-	r.run(&Run{ID: id, Server: w.ID, Service: w.Service, Workspace: "press", Slot: slot, StartedAt: now, EndedAt: now, Remaining: time.Nanosecond, Faulty: true})
+	r.recordRun(&Run{ID: id, Server: w.ID, Service: w.Service, Workspace: "press", Slot: slot, StartedAt: now, EndedAt: now, Remaining: time.Nanosecond, Faulty: true})
 }
 
-func (r *Records) end(e Crash) {
+func (r *Records) recordCrash(e Crash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Crashes = append(r.Crashes, e)
 }
 
-func (r *Records) failure(err error) {
+func (r *Records) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Err = errors.Join(r.Err, err)
 }
 
 // ended notes how a run ended.
-func (r *Records) ended(run *Run, status int) {
+func (r *Records) recordRunEnd(run *Run, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.EndedAt, run.Status = time.Now(), status
 }
 
 // spoiled notes that a run's answer is broken or forged.
-func (r *Records) spoiled(run *Run) {
+func (r *Records) recordFaulty(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Faulty = true
 }
 
 // fault notes a fault's beginning and returns what notes its end.
-func (r *Records) fault(kind FaultKind, target int) func() {
+func (r *Records) recordFault(kind FaultKind, target int) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.Faults)
@@ -264,13 +264,13 @@
 	}
 }
 
-func (r *Records) configured(version int) {
+func (r *Records) recordConfig(version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Configs = append(r.Configs, ConfigChange{version, time.Now()})
 }
 
-func (r *Records) leaves(worker string) {
+func (r *Records) recordDraining(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.DrainingSince[worker]; !ok {
@@ -278,13 +278,13 @@
 	}
 }
 
-func (r *Records) started(entry int) {
+func (r *Records) recordStart(entry int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Starts[entry] = append(r.Starts[entry], time.Now())
 }
 
-func (r *Records) exited(e Exit) {
+func (r *Records) recordExit(e Exit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Exits = append(r.Exits, e)
@@ -297,21 +297,21 @@
 }
 
 // calm notes that the last fault is over.
-func (r *Records) calm() {
+func (r *Records) recordFaultsEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.FaultsEndedAt = time.Now()
 }
 
 // reserved notes what is left of reservations at the end, and those that there were.
-func (r *Records) reserved(left map[string]int, held []standin.Held) {
+func (r *Records) recordReservations(left map[string]int, spans []standin.Held) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.LeftoverReservations, r.ReservationSpans = left, held
+	r.LeftoverReservations, r.ReservationSpans = left, spans
 }
 
 // used notes the first use of reservations.
-func (r *Records) used(ids []string) {
+func (r *Records) recordFirstUse(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -15,9 +15,9 @@
 
 // broken is a promise, and the change that takes its safeguard out of the program. The
 // soak must then find that it is broken.
-type broken struct {
-	promise string
-	change  removal.Change
+type safeguardRemoval struct {
+	guarantee string
+	change    removal.Change
 }
 
 func without(file, old, new string) removal.Change {
@@ -26,7 +26,7 @@
 
 // removals cover the promises that a program can be made to break. The remaining ones
 // are shown red on records alone.
-var removals = []broken{
+var removals = []safeguardRemoval{
 	{"at most once", without("core/execution/forward.go", "		return true\n	}\n	return false\n", "		return true\n	}\n	return true\n")},
 	{"not run is true", without("core/execution/forward.go", "	f.maybeRan = true\n	return f.again(now, f.mayRepeat(result)", "	return f.again(now, f.mayRepeat(result)")},
 	{"the whole answer to its own request", without("entry/gateway/try.go", "	if answer.ID != \"\" && answer.ID != e.info.ID {", "	if false {")},
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	for _, r := range removals {
 		_, err := removal.Overlay(top, t.TempDir(), r.change)
-		assert.NoError(t, err, r.promise)
+		assert.NoError(t, err, r.guarantee)
 	}
 }
 
@@ -67,8 +67,8 @@
 	top, err := filepath.Abs("../..")
 	require.NoError(b, err)
 	for _, r := range removals {
-		b.Run(r.promise, func(b *testing.B) {
-			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.promise, r.change.File, r.red(b, top))
+		b.Run(r.guarantee, func(b *testing.B) {
+			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.guarantee, r.change.File, r.findViolation(b, top))
 		})
 	}
 }
@@ -79,7 +79,7 @@
 	removalLength = 20 * time.Second
 )
 
-func (r broken) red(b *testing.B, top string) string {
+func (r safeguardRemoval) findViolation(b *testing.B, top string) string {
 	overlay, err := removal.Overlay(top, b.TempDir(), r.change)
 	require.NoError(b, err)
 	binary := build(b, overlay)
@@ -87,11 +87,11 @@
 		report, err := Execute(Options{Seed: seed, FaultDuration: removalLength, Entries: 5, Servers: 9, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay, LongStreamCallers: 2, Binary: binary, Folder: b.TempDir(), CheckTiming: true})
 		require.NoError(b, err)
 		for _, f := range report.Findings {
-			if f.Guarantee == r.promise {
+			if f.Guarantee == r.guarantee {
 				return fmt.Sprintf("seed %d: %s", seed, f.Detail)
 			}
 		}
 	}
-	b.Errorf("%s: nothing is found without the safeguard in %s", r.promise, r.change.File)
+	b.Errorf("%s: nothing is found without the safeguard in %s", r.guarantee, r.change.File)
 	return "not found"
 }
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -33,15 +33,15 @@
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return report, fmt.Errorf("the folder of a run: %w", err)
 	}
-	w, err := newWorld(o)
+	w, err := newTestbed(o)
 	if err != nil {
 		w.close()
 		return report, err
 	}
-	err = errors.Join(w.play(report.Faults), w.records.Err)
+	err = errors.Join(w.run(report.Faults), w.records.Err)
 	report.Findings = Check(w.records, o.CheckTiming)
 	if report.Failed() {
-		err = errors.Join(err, w.keep(report.Findings))
+		err = errors.Join(err, w.saveFindings(report.Findings))
 	}
 	report.Calls, report.Runs = w.records.counts()
 	report.Crashes = len(w.records.Crashes)
@@ -54,8 +54,8 @@
 }
 
 // keep writes what struck and what was found beside the logs of the processes.
-func (w *world) keep(findings []Finding) error {
-	text := w.records.faultLines()
+func (w *testbed) saveFindings(findings []Finding) error {
+	text := w.records.describeFaults()
 	for _, f := range findings {
 		text += fmt.Sprintf("%s: %s\n", f.Guarantee, f.Detail)
 	}
@@ -66,21 +66,21 @@
 }
 
 // play lets callers come, faults strike and the system recover, and ends all.
-func (w *world) play(steps []ScheduledFault) error {
+func (w *testbed) run(plan []ScheduledFault) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers, faults sync.WaitGroup
-	w.call(ctx, &callers)
-	failures := make(chan error, len(steps)+1)
-	began, next := time.Now(), time.Now().Add(progressGap)
-	for _, step := range steps {
-		time.Sleep(time.Until(began.Add(step.At)))
-		if time.Now().After(next) {
-			w.progress(time.Since(began))
-			next = time.Now().Add(progressGap)
+	w.startCallers(ctx, &callers)
+	failures := make(chan error, len(plan)+1)
+	started, nextProgress := time.Now(), time.Now().Add(progressInterval)
+	for _, fault := range plan {
+		time.Sleep(time.Until(started.Add(fault.At)))
+		if time.Now().After(nextProgress) {
+			w.reportProgress(time.Since(started))
+			nextProgress = time.Now().Add(progressInterval)
 		}
 		faults.Go(func() {
-			if err := w.strike(step); err != nil {
+			if err := w.inject(fault); err != nil {
 				failures <- err
 			}
 		})
@@ -89,20 +89,20 @@
 	if err := w.awaitReady(); err != nil {
 		failures <- err
 	}
-	w.records.calm()
+	w.records.recordFaultsEnded()
 	time.Sleep(RecoveryTime)
 	cancel()
 	callers.Wait()
-	w.awaitMemory()
+	w.awaitRelease()
 	w.close()
 	close(failures)
 	return <-failures
 }
 
 // progressGap is the time between two lines of progress.
-const progressGap = 5 * time.Second
+const progressInterval = 5 * time.Second
 
-func (w *world) progress(since time.Duration) {
+func (w *testbed) reportProgress(since time.Duration) {
 	if w.options.Progress == nil {
 		return
 	}
@@ -112,11 +112,11 @@
 
 // memoryBound is how long reservations may stand after the last request: the longest
 // hold and a few orders.
-const memoryBound = 8 * time.Second
+const maxReleaseTime = 8 * time.Second
 
 // awaitMemory notes the reservations that stay after the last request.
-func (w *world) awaitMemory() {
-	give := time.Now().Add(memoryBound)
+func (w *testbed) awaitRelease() {
+	deadline := time.Now().Add(maxReleaseTime)
 	for {
 		left := map[string]int{}
 		for _, s := range w.slots {
@@ -124,8 +124,8 @@
 				left[s.current().ID] = n
 			}
 		}
-		if len(left) == 0 || time.Now().After(give) {
-			w.records.reserved(left, w.heldSpans())
+		if len(left) == 0 || time.Now().After(deadline) {
+			w.records.recordReservations(left, w.reservationSpans())
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -133,10 +133,10 @@
 }
 
 // heldSpans are the reservations that there were at the servers that run at the end.
-func (w *world) heldSpans() []standin.Held {
-	var held []standin.Held
+func (w *testbed) reservationSpans() []standin.Held {
+	var spans []standin.Held
 	for _, s := range w.slots {
-		held = append(held, s.current().HeldSpans()...)
+		spans = append(spans, s.current().HeldSpans()...)
 	}
-	return held
+	return spans
 }
--- a/proof/soak/worker.go
+++ b/proof/soak/slot.go
@@ -28,10 +28,10 @@
 	DelaysResponse     Misbehavior = "hesitates"
 )
 
-var habits = []Misbehavior{DropsResponse, TruncatesResponse, DuplicatesResponse, SwapsResponse, ForgesResponse, ReturnsError, RefusesRequest, DelaysResponse}
+var misbehaviors = []Misbehavior{DropsResponse, TruncatesResponse, DuplicatesResponse, SwapsResponse, ForgesResponse, ReturnsError, RefusesRequest, DelaysResponse}
 
 // habitShare is the share of requests that meet a server's habit, in hundredths.
-const habitShare = 40
+const misbehaviorPercent = 40
 
 // Services of the run.
 const (
@@ -47,62 +47,62 @@
 	store   *standin.Store
 	records *Records
 	// fatalHold is for how long at the most a fatal request runs before the server ends.
-	fatalHold time.Duration
+	maxCrashDelay time.Duration
 
 	// zone is that of its servers, empty for the usual one; coldFor is for how long those are cold that start during the run.
-	zone    string
-	coldFor time.Duration
-
-	mu      sync.Mutex
-	leaving bool // the server that runs now has reported that it leaves
-	service string
-	serial  int
-	worker  *standin.Worker
+	zone         string
+	coldDuration time.Duration
+
+	mu          sync.Mutex
+	draining    bool // the server that runs now has reported that it leaves
+	service     string
+	serverCount int
+	server      *standin.Worker
 	// misbehaves says that a part of the requests meet some habit.
-	misbehaves bool
+	misbehaving bool
 	// ended is the last server that has ended under a fatal request.
-	ended  *standin.Worker
-	ending sync.WaitGroup
+	crashed    *standin.Worker
+	background sync.WaitGroup
 	// busy is held while the server is on its way out and until the next one runs.
-	busy sync.Mutex
+	replacing sync.Mutex
 }
 
 // start runs a new server and lists it.
 func (s *slot) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serial++
-	w := standin.NewWorker(fmt.Sprintf("w%d-%d", s.index, s.serial), s.service)
+	s.serverCount++
+	w := standin.NewWorker(fmt.Sprintf("w%d-%d", s.index, s.serverCount), s.service)
 	w.PublicAddress = s.link.Address()
 	w.Arrived = func(run standin.Run) {
-		s.records.arrival(Arrival{ID: run.ID, Server: w.ID, Service: w.Service, At: time.Now()})
+		s.records.recordArrival(Arrival{ID: run.ID, Server: w.ID, Service: w.Service, At: time.Now()})
 	}
-	w.Used = s.records.used
-	w.EndsUnder = func(run standin.Run) bool { return s.endUnder(w, run) }
+	w.Used = s.records.recordFirstUse
+	w.EndsUnder = func(run standin.Run) bool { return s.crashIfPoison(w, run) }
 	w.Script = func(out http.ResponseWriter, r *http.Request) { s.serve(w, out, r) }
 	w.Zone = s.zone
-	if s.serial > 1 {
-		w.ColdFor = s.coldFor
+	if s.serverCount > 1 {
+		w.ColdFor = s.coldDuration
 	}
-	s.worker, s.leaving = w, false
+	s.server, s.draining = w, false
 	if err := s.link.Retarget(w.Address()); err != nil {
 		return err
 	}
-	s.records.lives(w.ID, w.Service)
-	s.records.located(w.ID, w.Zone, w.ColdFor)
+	s.records.recordServer(w.ID, w.Service)
+	s.records.recordLocation(w.ID, w.Zone, w.ColdFor)
 	s.store.Put(w.Row("ready"))
 	if w.ColdFor > 0 {
-		s.ending.Go(func() { s.warm(w) })
+		s.background.Go(func() { s.markWarm(w) })
 	}
 	return nil
 }
 
 // warm writes that a server is no longer cold, if it is still the one that runs.
-func (s *slot) warm(w *standin.Worker) {
+func (s *slot) markWarm(w *standin.Worker) {
 	time.Sleep(w.ColdFor)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.worker == w && !s.leaving {
+	if s.server == w && !s.draining {
 		s.store.Put(w.WarmRow())
 	}
 }
@@ -110,15 +110,15 @@
 // crash ends the server with all that it runs; its row stays for the time being.
 func (s *slot) crash() *standin.Worker {
 	w := s.current()
-	s.cutOff()
+	s.disconnect()
 	w.CloseClientConnections()
-	s.ending.Go(w.Close)
+	s.background.Go(w.Close)
 	return w
 }
 
 // cutOff makes the server's host refuse connections to it, and ends those that there are.
-func (s *slot) cutOff() {
-	s.records.gone(s.current().ID)
+func (s *slot) disconnect() {
+	s.records.recordServerGone(s.current().ID)
 	// The listener may be closed already, which is what is asked for.
 	_ = s.link.Retarget("")
 	s.link.ResetConnections()
@@ -126,58 +126,58 @@
 
 // crashFor ends the server for a while, and starts the next one. The slot is busy.
 func (s *slot) crashFor(length time.Duration) error {
-	gone := s.crash()
-	time.Sleep(min(length, rowLapse))
-	s.unlist(gone)
-	time.Sleep(max(length-rowLapse, 0))
+	crashed := s.crash()
+	time.Sleep(min(length, rowTTL))
+	s.removeRow(crashed)
+	time.Sleep(max(length-rowTTL, 0))
 	return s.start()
 }
 
 // unlist removes a server's row.
-func (s *slot) unlist(w *standin.Worker) {
+func (s *slot) removeRow(w *standin.Worker) {
 	key, _ := w.Row("")
 	s.store.Remove(key)
-	s.records.leaves(w.ID)
+	s.records.recordDraining(w.ID)
 }
 
 // leave reports the server as leaving and lets it serve for a while.
-func (s *slot) leave() {
+func (s *slot) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
-	s.store.Put(s.worker.Row("draining"))
-	s.records.leaves(s.worker.ID)
+	s.draining = true
+	s.store.Put(s.server.Row("draining"))
+	s.records.recordDraining(s.server.ID)
 }
 
 // writeAgain writes the row of a server that runs once more.
-func (s *slot) writeAgain() {
+func (s *slot) rewriteRow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.leaving:
-		s.store.Put(s.worker.Row("draining"))
-	case s.records.isAlive(s.worker.ID):
-		s.store.Put(s.worker.Row("ready"))
+	case s.draining:
+		s.store.Put(s.server.Row("draining"))
+	case s.records.isAlive(s.server.ID):
+		s.store.Put(s.server.Row("ready"))
 	}
 }
 
 // relist brings the row of a server back that is alive.
-func (s *slot) relist() {
-	if !s.busy.TryLock() {
+func (s *slot) restoreRow() {
+	if !s.replacing.TryLock() {
 		return // it crashed, or tells of itself later
 	}
-	defer s.busy.Unlock()
+	defer s.replacing.Unlock()
 	s.store.Put(s.current().Row("ready"))
 }
 
-func (s *slot) serves() string {
+func (s *slot) currentService() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.service
 }
 
 // swapService makes the next server here one of the other service.
-func (s *slot) swapService() {
+func (s *slot) switchService() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.service == engines {
@@ -187,83 +187,83 @@
 	}
 }
 
-func (s *slot) misbehave(on bool) {
+func (s *slot) setMisbehaving(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.misbehaves = on
+	s.misbehaving = on
 }
 
 // habit is what a request meets here now.
-func (s *slot) habit(id string) Misbehavior {
+func (s *slot) misbehaviorFor(id string) Misbehavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.misbehaves || pick(id, "habit", 100) >= habitShare {
+	if !s.misbehaving || hashPick(id, "habit", 100) >= misbehaviorPercent {
 		return NoMisbehavior
 	}
-	return habits[pick(id, "which", len(habits))]
+	return misbehaviors[hashPick(id, "which", len(misbehaviors))]
 }
 
 // current is the server that runs now.
 func (s *slot) current() *standin.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.worker
+	return s.server
 }
 
 func (s *slot) close() {
-	s.ending.Wait() // one that ended under a request may be about to start again
+	s.background.Wait() // one that ended under a request may be about to start again
 	s.crash()
-	s.ending.Wait()
+	s.background.Wait()
 }
 
 func (s *slot) serve(w *standin.Worker, out http.ResponseWriter, r *http.Request) {
-	told := standin.RunOf(r)
-	habit := s.habit(told.ID)
-	if habit == RefusesRequest {
+	forwarded := standin.RunOf(r)
+	misbehavior := s.misbehaviorFor(forwarded.ID)
+	if misbehavior == RefusesRequest {
 		standin.NotRun(out, r)
 		return
 	}
-	wait, _ := strconv.Atoi(told.Remaining)
-	run := &Run{ID: told.ID, Server: w.ID, Service: w.Service, Workspace: told.Workspace, Slot: s.index, Key: told.Header.Get("Authorization"), StartedAt: time.Now(),
-		LastEvent: told.LastEventID, Remaining: time.Duration(wait) * time.Millisecond}
-	s.records.run(run)
+	remainingMs, _ := strconv.Atoi(forwarded.Remaining)
+	run := &Run{ID: forwarded.ID, Server: w.ID, Service: w.Service, Workspace: forwarded.Workspace, Slot: s.index, Key: forwarded.Header.Get("Authorization"), StartedAt: time.Now(),
+		LastEvent: forwarded.LastEventID, Remaining: time.Duration(remainingMs) * time.Millisecond}
+	s.records.recordRun(run)
 	status := 0
-	defer func() { s.records.ended(run, status) }()
-	if habit != NoMisbehavior && habit != DelaysResponse {
-		s.records.spoiled(run)
+	defer func() { s.records.recordRunEnd(run, status) }()
+	if misbehavior != NoMisbehavior && misbehavior != DelaysResponse {
+		s.records.recordFaulty(run)
 	}
-	if !work(r, habit, run.ID) {
+	if !simulateWork(r, misbehavior, run.ID) {
 		return
 	}
 	if w.Service == engines {
-		status = writeStream(out, r, habit, run)
+		status = writeStream(out, r, misbehavior, run)
 		return
 	}
-	status = writePlain(out, r, habit, run.ID)
+	status = writePlain(out, r, misbehavior, run.ID)
 }
 
 // Times that a run takes.
 const (
-	workTime      = 5 * time.Millisecond
-	workSpread    = 60 // ms
-	hesitation    = 700 * time.Millisecond
-	eventGap      = 15 * time.Millisecond
-	eventsLeast   = 3
-	eventsSpread  = 9
-	bodySpread    = 6000
-	unframedShare = 15 // of a hundred answers have no length
+	minWorkTime      = 5 * time.Millisecond
+	workTimeSpreadMs = 60 // ms
+	responseDelay    = 700 * time.Millisecond
+	eventGap         = 15 * time.Millisecond
+	minEvents        = 3
+	eventsSpread     = 9
+	maxPadding       = 6000
+	unframedPercent  = 15 // of a hundred answers have no length
 )
 
 // work takes the time of a run; it returns false if the caller has left.
-func work(r *http.Request, habit Misbehavior, id string) bool {
-	d := workTime + time.Duration(pick(id, "work", workSpread))*time.Millisecond + lateOf(id)
-	if habit == DelaysResponse {
-		d += hesitation
+func simulateWork(r *http.Request, misbehavior Misbehavior, id string) bool {
+	d := minWorkTime + time.Duration(hashPick(id, "work", workTimeSpreadMs))*time.Millisecond + startDelay(id)
+	if misbehavior == DelaysResponse {
+		d += responseDelay
 	}
-	return pause(r, d)
+	return sleepUnlessCancelled(r, d)
 }
 
-func pause(r *http.Request, d time.Duration) bool {
+func sleepUnlessCancelled(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -274,7 +274,7 @@
 
 // pick returns a number below limit that depends on the request alone, so that any
 // server gives the same answer and the caller can check it.
-func pick(id, purpose string, limit int) int {
+func hashPick(id, purpose string, limit int) int {
 	h := fnv.New32a()
 	// A hash never fails to take bytes.
 	_, _ = h.Write([]byte(id + purpose))
@@ -282,37 +282,39 @@
 }
 
 // answerOf is the whole body of a plain request's answer.
-func answerOf(id string) string {
-	return "answer to " + id + strings.Repeat(".", pick(id, "body", bodySpread))
+func responseBody(id string) string {
+	return "answer to " + id + strings.Repeat(".", hashPick(id, "body", maxPadding))
 }
 
-func eventsOf(id string) int {
-	if isLong(id) {
-		return longLeast + pick(id, "events", longSpread)
+func eventCount(id string) int {
+	if isLongStream(id) {
+		return minLongEvents + hashPick(id, "events", longEventsSpread)
 	}
-	return eventsLeast + pick(id, "events", eventsSpread)
+	return minEvents + hashPick(id, "events", eventsSpread)
 }
 
 // eventOf is the data of one event: whose it is, which, and of how many.
-func eventOf(id string, number int) string { return fmt.Sprintf("%s %d %d", id, number, eventsOf(id)) }
+func eventData(id string, number int) string {
+	return fmt.Sprintf("%s %d %d", id, number, eventCount(id))
+}
 
-func writePlain(out http.ResponseWriter, r *http.Request, habit Misbehavior, id string) int {
-	body := answerOf(id)
+func writePlain(out http.ResponseWriter, r *http.Request, misbehavior Misbehavior, id string) int {
+	body := responseBody(id)
 	switch {
-	case habit == DropsResponse:
+	case misbehavior == DropsResponse:
 		panic(http.ErrAbortHandler)
-	case habit == ReturnsError:
+	case misbehavior == ReturnsError:
 		out.WriteHeader(http.StatusInternalServerError)
 		_, _ = fmt.Fprintf(out, "failure of %s", id)
 		return http.StatusInternalServerError
-	case habit == SwapsResponse:
+	case misbehavior == SwapsResponse:
 		standin.Crossed(out, r)
 		return http.StatusOK
-	case habit == ForgesResponse:
+	case misbehavior == ForgesResponse:
 		standin.Unsigned(out, r)
 		return http.StatusOK
-	case habit == TruncatesResponse, habit == DuplicatesResponse, pick(id, "framing", 100) < unframedShare:
-		writeRaw(out, habit, body)
+	case misbehavior == TruncatesResponse, misbehavior == DuplicatesResponse, hashPick(id, "framing", 100) < unframedPercent:
+		writeRaw(out, misbehavior, body)
 		return http.StatusOK
 	}
 	_, _ = out.Write([]byte(body))
@@ -321,7 +323,7 @@
 
 // writeRaw writes an answer by hand: one that breaks off, one with a second answer
 // behind it, or one that has no length and ends with its connection.
-func writeRaw(out http.ResponseWriter, habit Misbehavior, body string) {
+func writeRaw(out http.ResponseWriter, misbehavior Misbehavior, body string) {
 	head := "HTTP/1.1 200 OK\r\n"
 	for name := range out.Header() {
 		head += name + ": " + out.Header().Get(name) + "\r\n"
@@ -331,7 +333,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	framed := fmt.Sprintf("%sContent-Length: %d\r\n\r\n", head, len(body))
-	switch habit {
+	switch misbehavior {
 	case TruncatesResponse:
 		_, _ = buffered.WriteString(framed + body[:len(body)/2])
 	case DuplicatesResponse:
@@ -341,7 +343,7 @@
 	}
 	// A caller that has left gets nothing; the run is over either way.
 	_ = buffered.Flush()
-	if habit == TruncatesResponse {
+	if misbehavior == TruncatesResponse {
 		resetConnection(connection)
 		return
 	}
@@ -349,8 +351,8 @@
 }
 
 // writeStream writes the events after the last one that the request names.
-func writeStream(out http.ResponseWriter, r *http.Request, habit Misbehavior, run *Run) int {
-	switch habit {
+func writeStream(out http.ResponseWriter, r *http.Request, misbehavior Misbehavior, run *Run) int {
+	switch misbehavior {
 	case DropsResponse:
 		panic(http.ErrAbortHandler)
 	case ReturnsError:
@@ -363,16 +365,16 @@
 	}
 	from, _ := strconv.Atoi(run.LastEvent)
 	out.Header().Set("Content-Type", "text/event-stream")
-	last := eventsOf(run.ID)
+	last := eventCount(run.ID)
 	for i := from + 1; i <= last; i++ {
-		if habit == TruncatesResponse && i > from+last/2 {
+		if misbehavior == TruncatesResponse && i > from+last/2 {
 			_, _ = fmt.Fprintf(out, "id: %d\ndata: %s", i, run.ID)
 			_ = http.NewResponseController(out).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s\n\n", i, eventOf(run.ID, i))
+		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s\n\n", i, eventData(run.ID, i))
 		_ = http.NewResponseController(out).Flush()
-		if !pause(r, gapOf(run.ID)) {
+		if !sleepUnlessCancelled(r, eventGapOf(run.ID)) {
 			return http.StatusOK
 		}
 	}
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -36,11 +36,11 @@
 
 // kept reads the runs that tests play: one that covers much, and those that once
 // broke a promise.
-func kept(t *testing.T) []Options {
+func savedRuns(t *testing.T) []Options {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, file.Close()) }()
-	var found []Options
+	var runs []Options
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "#") {
@@ -48,18 +48,18 @@
 		}
 		var o Options
 		var seconds int
-		var bound, hold string
-		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Servers, &seconds, &bound, &o.PoisonRequests, &hold, &o.LongStreamCallers, &o.MultiZone)
+		var bound, delay string
+		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Servers, &seconds, &bound, &o.PoisonRequests, &delay, &o.LongStreamCallers, &o.MultiZone)
 		require.NoError(t, err, lines.Text())
-		o.MaxCrashDelay, err = time.ParseDuration(hold)
+		o.MaxCrashDelay, err = time.ParseDuration(delay)
 		require.NoError(t, err, lines.Text())
 		o.FaultDuration = time.Duration(seconds) * time.Second
 		o.MaxPropagationDelay, err = time.ParseDuration(bound)
 		require.NoError(t, err, lines.Text())
-		found = append(found, o)
+		runs = append(runs, o)
 	}
 	require.NoError(t, lines.Err())
-	return found
+	return runs
 }
 
 // Entries, servers, links and the store are struck for some seconds. Callers keep to
@@ -67,7 +67,7 @@
 // promise that rests on no time.
 func TestSeededRunsKeepEveryPromise(t *testing.T) {
 	binary := build(t, "")
-	runs := kept(t)
+	runs := savedRuns(t)
 	// The same faults where two entries read the store for all.
 	shared := runs[0]
 	shared.MaxPropagationDelay, shared.Entries = 4*time.Second, 5
@@ -86,12 +86,12 @@
 	for _, o := range append(runs, shared, fatal, held, long, zoned) {
 		t.Run(fmt.Sprint(o.Seed, " ", o.MaxPropagationDelay, " ", o.PoisonRequests, " ", o.MaxCrashDelay, " ", o.LongStreamCallers, " ", o.MultiZone), func(t *testing.T) {
 			t.Parallel()
-			keepsEveryPromise(t, o, binary)
+			requireNoFindings(t, o, binary)
 		})
 	}
 }
 
-func keepsEveryPromise(t *testing.T, o Options, binary string) {
+func requireNoFindings(t *testing.T, o Options, binary string) {
 	o.Binary, o.Folder = binary, t.TempDir()
 	report, err := Execute(o)
 	require.NoError(t, err)
@@ -104,5 +104,5 @@
 // busy processes, half of the requests were not served after the last fault.
 func TestASeedWhoseServersEndInTheCalmPart(t *testing.T) {
 	o := Options{Seed: 30120415, Entries: 6, Servers: 9, FaultDuration: 15 * time.Second, MaxPropagationDelay: 4 * time.Second, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay}
-	keepsEveryPromise(t, o, build(t, ""))
+	requireNoFindings(t, o, build(t, ""))
 }
