--- a/proof/soak/caller.go
+++ b/proof/soak/caller.go
@@ -16,8 +16,7 @@
 	"arbutusdeck/platform/standin"
 )
 
-// caller sends one request after the other to an entry, on a connection that it
-// keeps as long as the entry does.
+// caller sends sequential requests to one entry, on a keep-alive connection.
 type caller struct {
 	name          string
 	entry         int
@@ -29,21 +28,21 @@
 	callCount     int
 }
 
-// Habits of callers.
+// Behavior of callers.
 const (
-	maxThinkTimeMs       = 60 // ms, at the most between two requests
+	maxThinkTimeMs       = 60 // between two requests
 	minTimeout           = 1500 * time.Millisecond
-	timeoutSpreadMs      = 2500 // ms
+	timeoutSpreadMs      = 2500
 	disconnectShare      = 0.06
-	maxDisconnectDelayMs = 250 // ms
-	// connectTime is how long a caller waits for a new connection.
-	connectTimeout = time.Second
-	// noAnswer ends a call that nothing else ends, as a finding.
+	maxDisconnectDelayMs = 250
+	connectTimeout       = time.Second
+	// callTimeout ends a call that nothing else ends. It exceeds all timeouts that the
+	// callers announce, so the timing checks report such a call.
 	callTimeout = 30 * time.Second
 )
 
-// promptTokens of streams: mostly short, some long enough to be divided, and some
-// larger than a server's memory.
+// promptTokens are the prompt lengths of streams: mostly short, some long enough to be
+// divided among servers, and some larger than one server's memory.
 var promptTokens = []int{1500, 1500, 1500, 6000, 6000, 90_000, 180_000, 420_000}
 
 func newCaller(name string, entry int, address string, seed uint64, records *Records, version func() int) *caller {
@@ -53,7 +52,7 @@
 		client: &http.Client{Transport: transport}, newestVersion: version}
 }
 
-// run calls until the context is over.
+// run sends random requests until the context ends.
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -62,7 +61,7 @@
 	}
 }
 
-// probe asks again and again for the newest configuration and with a taken key.
+// probe repeatedly requests a route of the newest configuration, and one with a revoked key.
 func (c *caller) probe(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -81,6 +80,7 @@
 	}
 }
 
+// call sends one request of a kind and records it.
 func (c *caller) call(kind CallKind) {
 	c.callCount++
 	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.callCount), Kind: kind, Entry: c.entry, Key: permanentKey,
@@ -107,6 +107,7 @@
 	c.records.recordCall(call)
 }
 
+// sendWithRandomDisconnect sends a request and disconnects early in a share of cases.
 func (c *caller) sendWithRandomDisconnect(call *Call, request *http.Request) {
 	disconnectAfter := time.Duration(0)
 	if mayDisconnect(call.Kind) && c.random.Float64() < disconnectShare {
@@ -115,7 +116,7 @@
 	c.send(call, request, disconnectAfter)
 }
 
-// send sends a request and leaves after a time, or stays if that is 0.
+// send sends a request and disconnects after the given time, or not at all if it is 0.
 func (c *caller) send(call *Call, request *http.Request, disconnectAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
@@ -133,7 +134,7 @@
 	defer response.Body.Close()
 	call.Status, call.Signature = response.StatusCode, standin.Signature(response)
 	if id := standin.AnswerID(response); id != call.ID {
-		call.Corruption = fmt.Sprintf("the answer names request %q", id)
+		call.Corruption = fmt.Sprintf("the response is for request %q", id)
 	}
 	if call.Kind.streams() && call.Status == http.StatusOK {
 		call.readStream(response.Body)
@@ -149,12 +150,12 @@
 	content, err := io.ReadAll(body)
 	call.Body, call.Err, call.Complete = string(content), err, err == nil
 	if call.Complete && call.Status == http.StatusOK && call.Body != responseBody(call.ID) {
-		call.Corruption = fmt.Sprintf("the answer is %.60q", call.Body)
+		call.Corruption = fmt.Sprintf("the response body is %.60q", call.Body)
 	}
 }
 
-// readStream checks that events are whole, of this request, and without a gap or a
-// repeat, and that the stream ends with the last one.
+// readStream checks that the events are complete, belong to this request, have no gaps
+// or repetitions, and that the stream ends after the last one.
 func (call *Call) readStream(body io.Reader) {
 	lines := bufio.NewReader(body)
 	seen := 0
@@ -165,7 +166,7 @@
 			if !call.Complete {
 				call.Err = err
 			} else if line != "" || seen != eventCount(call.ID) {
-				call.Corruption = fmt.Sprintf("the stream ends as whole after event %d of %d and %q", seen, eventCount(call.ID), line)
+				call.Corruption = fmt.Sprintf("the stream ends regularly after event %d of %d and %q", seen, eventCount(call.ID), line)
 			}
 			return
 		}
--- a/proof/soak/check_times.go
+++ b/proof/soak/check_times.go
@@ -33,7 +33,7 @@
 	if f.Kind.onEntry() {
 		return f.Target == entry
 	}
-	return !f.Kind.onWorker()
+	return !f.Kind.onServer()
 }
 
 // overlaps counts a fault without an end as lasting.
@@ -66,7 +66,7 @@
 func (c *checker) isServerStable(slot int, from, to time.Time) bool {
 	for i := range c.Faults {
 		f := &c.Faults[i]
-		if f.Kind.onWorker() && f.Target == slot && f.overlaps(from.Add(-stableWindow), to) {
+		if f.Kind.onServer() && f.Target == slot && f.overlaps(from.Add(-stableWindow), to) {
 			return false
 		}
 	}
--- a/proof/soak/daemon.go
+++ b/proof/soak/daemon.go
@@ -18,10 +18,10 @@
 	"arbutusdeck/platform"
 )
 
-// restartDelay is how long the platform takes to start a process again.
+// restartDelay is the time that the platform takes to restart a process.
 const restartDelay = 300 * time.Millisecond
 
-// daemon is one entry: a process that is started again whenever it ends.
+// daemon is one entry, whose process is restarted whenever it exits.
 type daemon struct {
 	index    int
 	binary   string
@@ -37,11 +37,11 @@
 	watchers        sync.WaitGroup
 }
 
-// process is one start of a daemon.
+// process is one process of a daemon.
 type process struct {
 	cmd           *exec.Cmd
-	stopRequested bool // it was told to end
-	// stopping is when the first SIGTERM was sent; later ones don't prolong the stop.
+	stopRequested bool // it got a signal that terminates it
+	// stopRequestedAt is the time of the first SIGTERM; later ones don't extend the shutdown.
 	stopRequestedAt time.Time
 	exited          chan struct{}
 }
@@ -50,7 +50,7 @@
 	d := &daemon{index: index, binary: binary, folder: folder, settings: settings, records: records}
 	log, err := os.Create(filepath.Join(folder, settings.Name+".log"))
 	if err != nil {
-		return nil, fmt.Errorf("the log of %s: %w", settings.Name, err)
+		return nil, fmt.Errorf("creating the log file of %s: %w", settings.Name, err)
 	}
 	d.log = log
 	if err := d.writeSettings(); err != nil {
@@ -64,10 +64,10 @@
 func (d *daemon) writeSettings() error {
 	content, err := yaml.Marshal(d.settings)
 	if err != nil {
-		return fmt.Errorf("the settings of %s: %w", d.settings.Name, err)
+		return fmt.Errorf("encoding the settings of %s: %w", d.settings.Name, err)
 	}
 	if err := os.WriteFile(d.path(), content, 0o600); err != nil {
-		return fmt.Errorf("the settings of %s: %w", d.settings.Name, err)
+		return fmt.Errorf("writing the settings of %s: %w", d.settings.Name, err)
 	}
 	return nil
 }
@@ -80,8 +80,8 @@
 	}
 	p := &process{cmd: exec.Command(d.binary, "forward", "--settings", d.path()), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = d.log, d.log
-	// A soak that is killed leaves no daemons behind: they would go on calling its
-	// addresses, which the next run's stand-ins may have.
+	// Daemons must not outlive a soak that is killed: they would keep calling its
+	// addresses, which stand-ins of the next run may use.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", d.settings.Name, err)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// watch starts the daemon again when its process has ended.
+// supervise waits for a process to exit and restarts the daemon.
 func (d *daemon) supervise(p *process) {
 	// The exit code is read from the process's state.
 	_ = p.cmd.Wait()
@@ -112,8 +112,8 @@
 	}
 }
 
-// signal sends a signal to the process that runs now. The process may have ended by
-// itself meanwhile; that is noted elsewhere.
+// signal sends a signal to the current process; stops tells that the signal terminates
+// it. The process may already have exited by itself, which supervise records.
 func (d *daemon) signal(s syscall.Signal, stops bool) *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,14 +128,14 @@
 
 func (d *daemon) kill() { <-d.signal(syscall.SIGKILL, true).exited }
 
-// pause stands the process still for a while.
+// pause stops the process with SIGSTOP for the given time.
 func (d *daemon) pause(length time.Duration) {
 	p := d.signal(syscall.SIGSTOP, false)
 	time.Sleep(length)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// stop asks for a planned end, and kills a process that doesn't come to it.
+// stop shuts the process down gracefully, and kills it if it does not exit within maxExitTime.
 func (d *daemon) stop() {
 	p := d.signal(syscall.SIGTERM, true)
 	select {
@@ -147,15 +147,15 @@
 	d.records.recordExit(d.exitOf(p))
 }
 
-// exit describes the planned end of a process that is gone.
+// exitOf describes the graceful shutdown of a process that has exited.
 func (d *daemon) exitOf(p *process) Exit {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Exit{Entry: d.index, Code: p.cmd.ProcessState.ExitCode(), StopRequestedAt: p.stopRequestedAt, Took: time.Since(p.stopRequestedAt)}
 }
 
-// reload changes the settings and tells the process by a signal every other time;
-// else it has to find out by itself.
+// reload changes the settings. It sends SIGHUP every other time only; otherwise the
+// process has to detect the change of the file.
 func (d *daemon) reload() error {
 	d.mu.Lock()
 	d.settingsChanges++
@@ -169,7 +169,7 @@
 	return err
 }
 
-// ready asks as the balancer does.
+// isReady queries the readiness endpoint, as the load balancer does.
 func (d *daemon) isReady(client *http.Client) bool {
 	response, err := client.Get("http://" + d.settings.ReadyAddress + platform.ReadyPath)
 	if err != nil {
@@ -189,7 +189,7 @@
 	_ = d.log.Close()
 }
 
-// Ports of the daemons; each has a host of its own.
+// Ports of the daemons; each daemon has its own loopback address.
 const (
 	portCallers = 7801 + iota
 	portReady
@@ -206,11 +206,11 @@
 		ApplyLimit: config.Duration(changeBound), DrainLimit: config.Duration(changeBound), ReservationIdle: config.Duration(reservationIdle), LogRate: gateway.DefaultLogRate}
 }
 
-// hosts counts the loopback hosts that this process has given out.
+// hostCount is the number of loopback addresses that this process has allocated.
 var hostCount atomic.Int32
 
-// newHost returns a loopback host that no other daemon of this process has, nor one
-// of another process that runs beside it.
+// newLoopbackHost returns a loopback address that is used neither by another daemon of
+// this process nor by another soak that runs at the same time.
 func newLoopbackHost() string {
 	pid, n := os.Getpid(), int(hostCount.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 100+pid%100, pid/100%200+n/200, 1+n%200)
--- a/proof/soak/daemon_test.go
+++ b/proof/soak/daemon_test.go
@@ -11,8 +11,9 @@
 	"arbutusdeck/entry/gateway"
 )
 
-// A stop is asked for twice before the process ends. Its limit counts from the first signal: dated from the second, what
-// it cuts at the limit looks cut early, and a stop that takes too long looks short.
+// A process gets SIGTERM twice before it exits. Its stop limit counts from the first signal:
+// if the shutdown were dated from the second, requests aborted at the limit would seem to be
+// aborted early, and a shutdown that takes too long would seem short.
 func TestAStopIsDatedFromItsFirstSignal(t *testing.T) {
 	folder := t.TempDir()
 	binary := filepath.Join(folder, "entry")
--- a/proof/soak/doc.go
+++ b/proof/soak/doc.go
@@ -1,16 +1,17 @@
 // Package soak runs the entry daemon as real processes on loopback, injects faults
-// from outside them, and checks the project's promises from what callers and backend
-// servers see.
+// from outside them, and checks the project's guarantees against what callers and
+// backend servers observe.
 //
-// A run is drawn from a seed: which faults strike what, when and for how long. Between
-// the processes and everything they talk to stand links of this package, which delay,
-// reset, cut one way and silence connections. Processes are killed, paused, stopped
-// as planned and told of changed settings by signals, backend servers crash, leave,
-// give their address to others and spoil answers, and the metadata store refuses,
-// forgets and lapses. Faults come in series and overlap. Requests under which servers end come
-// again and again. A zone is evacuated and taken back, and servers come back cold.
+// A seed determines the run: which faults are injected where, when and for how long.
+// All traffic of the processes passes through links of this package, which delay and
+// reset connections, or drop their traffic in one or both directions. Processes are
+// killed, paused, shut down gracefully and notified of changed settings by signals.
+// Backend servers crash, drain, hand their address on to other servers and corrupt
+// responses. The metadata store refuses calls, loses its history, and loses rows.
+// Faults come in series and overlap. Poison requests are repeated throughout the run.
+// A zone is evacuated and restored, and servers start cold.
 //
-// The daemons' clocks are not stepped: forwarding decides by monotonic time alone.
+// The daemons' clocks are not stepped: forwarding depends on monotonic time alone.
 package soak
 
 import (
@@ -18,72 +19,76 @@
 	"time"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
-	// Seed draws the faults and the callers' requests.
+	// Seed determines the faults and the callers' requests.
 	Seed uint64
-	// Length is how long faults strike; a calm part of CalmTime follows.
+	// FaultDuration is how long faults are injected; a recovery phase of RecoveryTime follows.
 	FaultDuration time.Duration
-	// Entries and Workers are how many daemons and backend servers there are.
+	// Entries and Servers are the numbers of entry daemons and backend servers.
 	Entries, Servers int
-	// Binary is the entry daemon's program.
+	// Binary is the path of the entry daemon's executable.
 	Binary string
-	// Folder gets the settings and logs of the processes.
+	// Folder receives the settings and logs of the processes.
 	Folder string
-	// ChangeBound is how long after the store's acknowledgement an older configuration may
-	// be used and a leaving server may get requests, as the entries are told; 0 is
-	// DefaultChangeBound, below which each entry reads the store itself.
+	// MaxPropagationDelay bounds how long after the store's acknowledgement an older
+	// configuration may be used and a draining server may get requests. It goes into the
+	// settings of the entries. 0 means DefaultMaxPropagationDelay, at which each entry
+	// still reads the store itself.
 	MaxPropagationDelay time.Duration
-	// Fatal is how many requests come again and again that end each server which begins to run
-	// them.
+	// PoisonRequests is the number of requests that crash every server which starts to run
+	// them, and are repeated throughout the run.
 	PoisonRequests int
-	// FatalHold is for how long at the most a server runs such a request before it ends. Where it is
-	// positive all callers of every second one leave before. Some ms at least.
+	// MaxCrashDelay bounds how long a server runs a poison request before it crashes. If
+	// positive, it must be at least a few milliseconds, and all callers of every second
+	// poison request disconnect before the crash.
 	MaxCrashDelay time.Duration
-	// Long is how many callers of streams that outlast most stops each entry has.
+	// LongStreamCallers is the number of callers per entry whose streams outlast most
+	// graceful shutdowns.
 	LongStreamCallers int
-	// Zones spreads the backend servers over two zones, evacuates the second one now and then, and lets servers that
-	// start during the run be cold for a while.
+	// MultiZone spreads the backend servers over two zones, evacuates the second one
+	// repeatedly, and lets servers that start during the run be cold at first.
 	MultiZone bool
-	// Timed also checks the promises that bound times. They hold on a machine
-	// that is not overloaded.
+	// CheckTiming also checks the guarantees that bound times. They hold only on a
+	// machine that is not overloaded.
 	CheckTiming bool
-	// Progress gets a line every few seconds.
+	// Progress receives a line every few seconds; nil discards them.
 	Progress io.Writer
 }
 
-// Bounds of the promises, and what a busy machine adds to them.
+// Bounds of the guarantees, and the tolerance for a busy machine.
 const (
-	// DefaultChangeBound is the ChangeBound of the users' smallest deployments.
+	// DefaultMaxPropagationDelay is the bound of the smallest deployments.
 	DefaultMaxPropagationDelay = 2 * time.Second
-	// DefaultFatalHold is longer than entries wait for an overdue first event of a short prompt before
-	// they go on to another server.
+	// DefaultMaxCrashDelay is longer than entries wait for an overdue first event of a
+	// short prompt before they redispatch the request to another server.
 	DefaultMaxCrashDelay = 400 * time.Millisecond
-	// stableWindow is how long an entry must have been free of faults for these
-	// bounds to hold; the users' figure.
+	// stableWindow is how long an entry must have been free of faults for the bounds to
+	// hold. It is a requirement.
 	stableWindow = 3 * time.Second
-	// goneBound is how long work may go on after its caller has left.
+	// maxCancelDelay bounds how long work may continue after its caller has disconnected.
 	maxCancelDelay = 500 * time.Millisecond
-	// slack is added to every bound: some fifty processes share the machine's
+	// schedulingSlack is added to every bound: some fifty processes share the machine's
 	// processors, and a timer may fire late.
 	schedulingSlack = time.Second
-	// retryRatio, retryExtra and retryWindow bound the arrivals at a service
-	// beyond the first of each request.
+	// retryRatio, retryExtra and retryWindow bound the repeated arrivals of requests at
+	// a service: per window, a share of the first arrivals and a constant.
 	retryRatio  = 0.2
 	retryExtra  = 100
 	retryWindow = 10 * time.Second
-	// CalmTime is the part without faults at the end of a run, in which the
-	// system has to recover. It is longer than rows, pauses and distrust last.
+	// RecoveryTime is the length of the recovery phase at the end of a run, in which no
+	// faults are injected. It is longer than the TTL of rows, the pauses and the backoff
+	// from failed servers.
 	RecoveryTime = 6 * time.Second
-	// recoveredShare is the least share of requests that is served in the second
-	// half of the calm part.
+	// minRecoveredShare is the least share of requests that must succeed in the second
+	// half of the recovery phase.
 	minRecoveredShare = 0.5
-	// exitBound is how long a stopped daemon may take to exit: its stop limit
-	// and as much again.
+	// maxExitTime bounds how long a daemon may take to exit after SIGTERM before it is
+	// killed: twice its stop limit.
 	maxExitTime = 16 * time.Second
-	// reservationIdle is the daemons' setting of how long reserved memory may stay
-	// without use; the users' figure.
+	// reservationIdle is the daemons' setting for how long reserved memory may stay
+	// unused. It is a requirement.
 	reservationIdle = 9 * time.Second
-	// stopLimit is the daemons' setting from SIGTERM to SIGKILL.
+	// stopLimit is the daemons' setting for the time from SIGTERM to SIGKILL.
 	stopLimit = 8 * time.Second
 )
--- a/proof/soak/link.go
+++ b/proof/soak/link.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// LinkFault is what happens to the connections of a link.
+// LinkFault is a fault of the connections of a link.
 type LinkFault string
 
-// Faults of links. A silent direction swallows what is sent, for good on the
-// connections that were open, until the fault is over on new ones.
+// Faults of links. A link that drops traffic keeps its connections open. Connections that
+// exist during the fault lose their traffic for good, later ones work normally.
 const (
 	LinkHealthy        LinkFault = ""
 	LinkDelayed        LinkFault = "delayed"
@@ -26,11 +26,11 @@
 
 var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkDropsBoth, LinkDropsRequests, LinkDropsResponses}
 
-// linkDelay is added to each piece that passes a delayed link.
+// linkDelay is added to each chunk of data on a delayed link.
 const linkDelay = 150 * time.Millisecond
 
-// Link passes connections on to a target and harms them. Without a target it refuses them, as a
-// host does on which nothing listens.
+// Link is a TCP proxy that injects faults into the connections to its target. Without a
+// target it refuses connections, as a machine does on which nothing listens.
 type Link struct {
 	address string
 
@@ -46,29 +46,29 @@
 	link    *Link
 	client  net.Conn
 	target  net.Conn
-	dropped [2]bool // requests, answers: for good
+	dropped [2]bool // by direction; never reset
 }
 
-// Directions of a connection.
+// Directions of the traffic of a connection: requests and responses.
 const (
 	toTarget = iota
 	toClient
 )
 
-// NewLink passes connections to an address on to a target, which may be empty.
+// NewLink listens on an address and forwards connections to a target, which may be empty.
 func NewLink(address, target string) (*Link, error) {
 	l := &Link{address: address, open: map[*connection]bool{}}
 	return l, l.Retarget(target)
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
 }
 
-// Retarget sends new connections elsewhere. An empty target refuses them.
+// Retarget changes the target of new connections; with an empty one they are refused.
 func (l *Link) Retarget(target string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// refuse closes the listener. The lock is held.
+// stopListening closes the listener, if there is one. The caller holds the lock.
 func (l *Link) stopListening() error {
 	if l.listener == nil {
 		return nil
@@ -92,24 +92,24 @@
 	return err
 }
 
-// listen takes connections from now on. The lock is held.
+// startListening opens the listener. The caller holds the lock.
 func (l *Link) startListening() error {
 	listener, err := listenWithRetry(l.address)
 	if err != nil {
-		return fmt.Errorf("a link on %s: %w", l.address, err)
+		return fmt.Errorf("listening for a link on %s: %w", l.address, err)
 	}
-	// A port that the system has drawn stays the link's.
+	// Keeps a port that the operating system has chosen for later listeners.
 	l.listener, l.address = listener, listener.Addr().String()
 	go l.accept(listener)
 	return nil
 }
 
-// listenPatience is for how long an address may still be taken that was given up before.
+// listenRetryTime bounds how long an address may stay in use after its listener was closed.
 const listenRetryTime = 2 * time.Second
 
-// listenAgain listens on an address on which this process may just have stopped to. A process that
-// is being started holds a copy of the closed listener until its program is loaded, which takes a
-// while where a hundred are started beside each other.
+// listenWithRetry listens on an address, and retries while it is still in use by a listener
+// that this process has just closed. A child process that is being started holds a copy of
+// the closed listener until its exec, which takes a while if a hundred start at once.
 func listenWithRetry(address string) (net.Listener, error) {
 	deadline := time.Now().Add(listenRetryTime)
 	for {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Harm begins a fault, also on the open connections.
+// Inject starts a fault, also on open connections.
 func (l *Link) Inject(fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,10 +136,10 @@
 	}
 }
 
-// Heal ends the fault; connections that were silenced stay so.
+// Clear ends the fault; connections whose traffic was dropped stay affected.
 func (l *Link) Clear() { l.Inject(LinkHealthy) }
 
-// Cut resets the open connections.
+// ResetConnections resets the open connections.
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the listener and resets the open connections.
 func (l *Link) Close() error {
 	err := l.Retarget("")
 	l.ResetConnections()
@@ -168,7 +168,7 @@
 	}
 }
 
-// targetTimeout bounds the connection to a target on loopback.
+// targetTimeout bounds the time to connect to a target on loopback.
 const targetTimeout = time.Second
 
 func (l *Link) forward(client net.Conn) {
@@ -197,12 +197,12 @@
 	l.mu.Lock()
 	delete(l.open, c)
 	l.mu.Unlock()
-	// Both ends have been read to their ends; a close that fails changes nothing.
+	// Both directions are done; an error of a close has no effect.
 	_, _ = client.Close(), targetConn.Close()
 }
 
-// copy passes one direction on until it ends. An orderly end is passed on as such,
-// any other one as a reset, so that a broken answer does not look whole.
+// copy forwards one direction until it ends. An end of file is forwarded as such, any error
+// as a reset, so that a truncated response does not look complete.
 func (c *connection) copy(direction int, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -237,7 +237,7 @@
 	return c.dropped[direction], c.link.fault == LinkDelayed
 }
 
-// silence swallows what is sent from now on. The link's lock is held.
+// dropTraffic drops what is sent from now on. The caller holds the link's lock.
 func (c *connection) dropTraffic(fault LinkFault) {
 	c.dropped[toTarget] = c.dropped[toTarget] || fault != LinkDropsResponses
 	c.dropped[toClient] = c.dropped[toClient] || fault != LinkDropsRequests
@@ -250,7 +250,7 @@
 
 func resetConnection(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without lingering the close sends a reset.
+		// With a linger time of 0 the close sends a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
@@ -258,7 +258,7 @@
 
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// The other end may have gone; its own direction tells.
+		// The peer may already be closed; the other direction detects that.
 		_ = tcp.CloseWrite()
 	}
 }
--- a/proof/soak/link_test.go
+++ b/proof/soak/link_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each line with itself.
+// echoServer returns the listener of a server that echoes each line.
 func echoServer(t *testing.T) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,6 +63,7 @@
 	return c.ReadString('\n')
 }
 
+// An open connection is reset by the fault, and a new one works after it.
 func TestALinkPassesAndResets(t *testing.T) {
 	l := linkTo(t, echoServer(t).Addr().String())
 	c := dial(t, l)
@@ -78,7 +79,7 @@
 	require.Equal(t, "anew\n", line)
 }
 
-// A connection that was silenced stays so for good, while new ones work.
+// A connection whose traffic was dropped stays affected after the fault, while new ones work.
 func TestASilencedConnectionStaysSilent(t *testing.T) {
 	for _, fault := range []LinkFault{LinkDropsBoth, LinkDropsResponses, LinkDropsRequests} {
 		l := linkTo(t, echoServer(t).Addr().String())
@@ -98,7 +99,7 @@
 		require.Equal(t, "anew\n", line)
 		select {
 		case <-answered:
-			t.Fatalf("%s: the old connection still speaks", fault)
+			t.Fatalf("%s: the old connection still works", fault)
 		default:
 		}
 	}
--- a/proof/soak/longstreams.go
+++ b/proof/soak/longstreams.go
@@ -11,35 +11,35 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Long streams outlast most stops: some are still written when the stop comes to its limit, and some have
-// not begun by then.
+// Long streams outlast most graceful shutdowns: at the stop limit some are still being
+// written, and some have not started.
 
 const (
-	// longName begins the names of callers of long streams, and so their requests' ids.
-	longPrefix = "long"
-	// longWait is how long these callers wait.
+	// longPrefix is the prefix of the names of callers of long streams, and so of their
+	// request IDs.
+	longPrefix  = "long"
 	longTimeout = 14 * time.Second
-	// longLeast and longSpread are the events of a long stream, longGap and longGapSpread, in ms, the pauses
-	// between them: 3 to 9 s in all.
+	// The number of events and the gaps between them give a long stream 3 to 9 s in all.
 	minLongEvents        = 12
 	longEventsSpread     = 12
 	minLongEventGap      = 250 * time.Millisecond
 	longEventGapSpreadMs = 150
-	// lateShare is the share of long streams, in hundredths, that begin late, by lateLeast and up to
-	// lateSpread, in ms, more.
+	// lateStartPercent of the long streams start late, by minLateStart plus a part of the
+	// spread.
 	lateStartPercent  = 40
 	minLateStart      = 3 * time.Second
 	lateStartSpreadMs = 7000
-	// honestShare is the share, in hundredths, whose caller's estimate of the answer's length is right;
-	// the others' is a seventh of it and less.
+	// accurateEstimatePercent of the callers estimate the length of the response correctly;
+	// the others estimate a seventh of it or less.
 	accurateEstimatePercent = 50
-	// eventTokens is how many tokens an event has, passTime how long the engines take for one by their
-	// configuration.
+	// An event has tokensPerEvent output tokens. decodeStepTime is the time of one step as
+	// the engines are configured.
 	tokensPerEvent = 51
 	decodeStepTime = 43 * time.Millisecond
 )
 
-// longPrompts are their prompts, in tokens; the last one needs the memory of two servers.
+// longPromptTokens are the prompt lengths of long streams; the last one needs the memory of
+// two servers.
 var longPromptTokens = []int64{1500, 1500, 6000, 90_000, 420_000}
 
 func isLongStream(id string) bool { return strings.HasPrefix(id, longPrefix) }
@@ -51,7 +51,7 @@
 	return minLongEventGap + time.Duration(hashPick(id, "gap", longEventGapSpreadMs))*time.Millisecond
 }
 
-// lateOf is how much later than others a stream begins.
+// startDelay returns the additional delay before the first event of a stream.
 func startDelay(id string) time.Duration {
 	if !isLongStream(id) || hashPick(id, "late", 100) >= lateStartPercent {
 		return 0
@@ -59,7 +59,7 @@
 	return minLateStart + time.Duration(hashPick(id, "by", lateStartSpreadMs))*time.Millisecond
 }
 
-// answerTokensOf is the length of the answer as the caller believes.
+// estimatedAnswerTokens returns the caller's estimate of the output tokens of a response.
 func estimatedAnswerTokens(id string) int64 {
 	steps := int64(eventCount(id))
 	if hashPick(id, "honest", 100) < accurateEstimatePercent {
@@ -68,7 +68,7 @@
 	return steps * tokensPerEvent
 }
 
-// callLong sends one long stream after the other, and leaves when the context is over.
+// runLongStreams requests one long stream after the other until the context ends.
 func (c *caller) runLongStreams(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendUntil sends a request and leaves when the context is over.
+// sendUntilDone sends a request and disconnects when the context ends.
 func (c *caller) sendUntilDone(ctx context.Context, call *Call, request *http.Request) {
 	leaving, cancel := context.WithCancel(request.Context())
 	defer cancel()
@@ -91,7 +91,6 @@
 	call.Disconnected = ctx.Err() != nil
 }
 
-// newLongCaller returns a caller of long streams at an entry.
 func (w *testbed) newLongCaller(entry, number int) *caller {
 	seed := rand.New(rand.NewPCG(w.options.Seed, uint64(1000+entry*10+number))).Uint64()
 	return newCaller(fmt.Sprintf("%s%d-%d", longPrefix, entry, number), entry, w.callerLinks[entry].Address(), seed, w.records, w.newestVersion)
--- a/proof/soak/plan.go
+++ b/proof/soak/plan.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
+// FaultKind identifies a fault or a planned operation.
 type FaultKind string
 
-// Kinds of faults. A target is an entry for the first group, a backend server for
-// the second, and nothing for the store's.
+// Kinds of faults. The target is an entry for the first group and a backend server for
+// the second; the last group, of the store and the operators, has none.
 const (
 	EntryKilled     FaultKind = "entry killed"
 	EntryPaused     FaultKind = "entry paused"
@@ -30,37 +30,38 @@
 	StoreHistoryLost FaultKind = "store forgets its history"
 	RowsExpire       FaultKind = "rows lapse"
 	ConfigChanges    FaultKind = "configuration changes"
-	// StoreRestored: it comes back from a copy as old as the fault is long.
+	// StoreRestored restores the store from a copy whose age is the duration of the fault.
 	StoreRestored FaultKind = "store restored"
-	// ZoneEvacuated: the second zone is to get nothing new for as long.
+	// ZoneEvacuated keeps new requests from the second zone for the duration of the fault.
 	ZoneEvacuated FaultKind = "zone evacuated"
 )
 
-// planned says that a kind is planned work, beside which nothing may be cut.
+// isPlanned returns whether a kind is a planned operation, which must not abort requests.
 func (k FaultKind) isPlanned() bool {
 	return k == EntryStopped || k == SettingsChanged || k == ConfigChanges || k == ServerDrains || k == ZoneEvacuated
 }
 
-// onEntry and onWorker say what a kind strikes.
+// onEntry returns whether the target of a kind is an entry.
 func (k FaultKind) onEntry() bool {
 	return slices.Contains([]FaultKind{EntryKilled, EntryPaused, EntryStopped, SettingsChanged, CallerLink, StoreLink}, k)
 }
 
-func (k FaultKind) onWorker() bool {
+// onServer returns whether the target of a kind is a backend server.
+func (k FaultKind) onServer() bool {
 	return slices.Contains([]FaultKind{ServerCrashed, ServerDrains, AddressReused, ServerMisbehaves, ServerLink}, k)
 }
 
-// Step is one fault.
+// ScheduledFault is one fault of a plan; At counts from the start of the run.
 type ScheduledFault struct {
 	At       time.Duration
 	Duration time.Duration
 	Kind     FaultKind
 	Target   int
-	// Link is what happens on a link.
+	// LinkFault applies to the kinds that target a link.
 	LinkFault LinkFault
 }
 
-// weights are how often each kind is drawn.
+// faultWeights are the relative frequencies of the kinds.
 var faultWeights = []struct {
 	kind   FaultKind
 	weight int
@@ -71,25 +72,25 @@
 }
 
 const (
-	// meanGap is the mean time between two draws in a run of usualTargets entries
-	// and servers; larger runs are struck more often, so that each target is as
-	// often.
+	// meanFaultGap is the mean time between two draws in a run of baselineTargets
+	// entries and servers. Larger runs get more faults, so that the rate per target
+	// stays the same.
 	meanFaultGap    = 500 * time.Millisecond
 	baselineTargets = 12
-	// seriesShare is how many draws come as a series, of up to seriesMost
-	// strikes on one target after the other, or againShare of them on the same one
-	// again and again.
+	// seriesShare is the share of draws that yield a series of up to maxSeries faults,
+	// seriesGap apart. In a share of repeatShare they all hit the same target, else one
+	// target after the other.
 	seriesShare = 0.3
 	repeatShare = 0.4
 	maxSeries   = 4
 	seriesGap   = 400 * time.Millisecond
-	// longestFault bounds a fault; the shortest lasts a tenth of it.
+	// maxFaultDuration bounds a fault; the shortest lasts a tenth of it.
 	maxFaultDuration = 5 * time.Second
-	// firstFault leaves the daemons time to become ready.
+	// firstFaultAt leaves the daemons time to become ready.
 	firstFaultAt = time.Second
 )
 
-// Plan draws the faults of a run, in the order of time.
+// Plan draws the faults of a run from its seed, ordered by time.
 func Plan(o Options) []ScheduledFault {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
 	scale := max(float64(o.Entries+o.Servers)/baselineTargets, 1)
@@ -104,8 +105,9 @@
 	return faults
 }
 
-// longSteps draws stops of the entries that nothing else than planned work strikes, each after the one before
-// has come to its end, and one return of the store from an older copy.
+// planLongStreamFaults draws one restore of the store from an older copy, and graceful
+// shutdowns of the entries that only planned operations target. The shutdowns of an entry
+// don't overlap.
 func planLongStreamFaults(random *rand.Rand, o Options) []ScheduledFault {
 	if o.LongStreamCallers == 0 {
 		return nil
@@ -122,14 +124,14 @@
 }
 
 const (
-	// evacuationGap is the mean time between two evacuations, evacuationBeyond how much longer than changes take to be in
-	// force one lasts at the least.
+	// meanEvacuationGap is the mean time between two evacuations, minEvacuationExcess the
+	// least time by which one outlasts the propagation delay of changes.
 	meanEvacuationGap   = 3 * time.Second
 	minEvacuationExcess = 2 * time.Second
 )
 
-// evacuations draws evacuations of the second zone, one after the other. They have random numbers of their own: the faults
-// of a seed stay what they were.
+// planEvacuations draws consecutive evacuations of the second zone. They use a random
+// source of their own, so that they don't alter the other faults of a seed.
 func planEvacuations(o Options) []ScheduledFault {
 	if !o.MultiZone {
 		return nil
@@ -144,6 +146,7 @@
 	return faults
 }
 
+// drawSeries draws a fault and, in a share of cases, repetitions on the same or the next targets.
 func drawSeries(random *rand.Rand, o Options, at time.Duration) []ScheduledFault {
 	count := 1
 	if random.Float64() < seriesShare {
@@ -166,15 +169,16 @@
 	return faults
 }
 
-// targets is how many things a kind may strike.
+// targetCount returns the number of targets that a kind may hit.
 func (o Options) targetCount(kind FaultKind) int {
 	switch {
 	case o.LongStreamCallers > 0 && kind.onEntry() && !kind.isPlanned():
-		// The others' stops come to their ends undisturbed: a stop lasts for longer than faults lie apart.
+		// Unplanned faults spare the other half, so that their shutdowns can complete: a
+		// shutdown lasts longer than the gap between faults.
 		return (o.Entries + 1) / 2
 	case kind.onEntry():
 		return o.Entries
-	case kind.onWorker():
+	case kind.onServer():
 		return o.Servers
 	}
 	return 1
--- a/proof/soak/poison.go
+++ b/proof/soak/poison.go
@@ -11,28 +11,30 @@
 	"arbutusdeck/platform/standin"
 )
 
-// A fatal request ends each server that begins to run it, at once or a while later, whether its
-// caller is still there or not. It comes again and again, at any entry, each time in another
-// attempt, and beside it others of the same caller to the same path.
+// A poison request crashes every server that starts to run it, at once or after a delay,
+// whether its caller is still connected or not. Its caller repeats it at random entries,
+// each time under a new request ID, and sends harmless requests to the same path as well.
 
 const (
-	// fatalFirst and fatalGap are when the first and each further fatal request begins to come.
+	// The callers of the first poison request start at firstPoisonAt, those of each further
+	// one poisonInterval later.
 	firstPoisonAt  = 1500 * time.Millisecond
 	poisonInterval = 4 * time.Second
-	// fatalPause and fatalPauseSpread, in ms, lie between two attempts of one.
+	// poisonAttemptGap, plus a random part of the spread, lies between two repetitions.
 	poisonAttemptGap         = 100 * time.Millisecond
 	poisonAttemptGapSpreadMs = 500
-	// fatalDown and fatalDownSpread, in ms, are how long a server is away that has ended.
+	// crashDowntime, plus a part of the spread, is how long a crashed server is down.
 	crashDowntime         = time.Second
 	crashDowntimeSpreadMs = 2000
-	// fatalShortest is the part of FatalHold that a server runs it at least. All callers of every second
-	// one leave within it, so that none of them waits for the end.
+	// minCrashDelayShare is the share of MaxCrashDelay that a server runs a poison request
+	// at least. All callers of every second one disconnect at the end of that time, so
+	// that none of them is still waiting at the crash.
 	minCrashDelayShare = 0.25
-	// fatalTokens is short enough that it is not divided.
+	// poisonPromptTokens is short enough that the prompt is not divided among servers.
 	poisonPromptTokens = 1500
 )
 
-// fatalRoutes are the routes to which fatal requests come, by turns.
+// poisonRoutes are assigned to the poison requests in turn.
 var poisonRoutes = []struct {
 	kind         CallKind
 	method, path string
@@ -40,7 +42,8 @@
 }{{ResumableStream, http.MethodPost, "/stream/fatal", poisonPromptTokens}, {Retryable, http.MethodGet, "/read/fatal", 0}, {AtMostOnce, http.MethodPost, "/order/fatal", 0},
 	{AtMostOnceStream, http.MethodPost, "/once/fatal", poisonPromptTokens}}
 
-// fatalBody is the body of a fatal request; 0 is that of a sound one to the same path.
+// poisonBody returns the body of a poison request; number 0 stands for a harmless request
+// to the same path.
 func poisonBody(number int) string {
 	if number == 0 {
 		return "sound"
@@ -48,15 +51,16 @@
 	return fmt.Sprintf("fatal %d", number)
 }
 
-// End is the end of a server under a fatal request.
+// Crash is the crash of a server under a poison request.
 type Crash struct {
-	// Fatal is the request's number, from 1.
+	// PoisonNumber identifies the poison request; it counts from 1.
 	PoisonNumber int
 	Server       string
 	At           time.Time
 }
 
-// endUnder ends a server if a request is fatal, and starts the next one later.
+// crashIfPoison crashes the server if the request is a poison request, and starts the next
+// server after a downtime. It returns whether the server has crashed.
 func (s *slot) crashIfPoison(w *standin.Worker, run standin.Run) bool {
 	number := 0
 	if _, err := fmt.Sscanf(run.Body, "fatal %d", &number); err != nil {
@@ -65,7 +69,7 @@
 	s.records.recordPoisonRun(run.ID, s.index, w)
 	time.Sleep(s.crashDelay(run.ID))
 	if !s.markCrashed(w) {
-		return true // it has ended already
+		return true // it has already crashed
 	}
 	s.records.recordCrash(Crash{PoisonNumber: number, Server: w.ID, At: time.Now()})
 	endFault := s.records.recordFault(ServerCrashed, s.index)
@@ -73,7 +77,7 @@
 	s.background.Go(func() {
 		defer endFault()
 		if !s.replacing.TryLock() {
-			return // whoever ends it starts the next one
+			return // a concurrent fault replaces the server
 		}
 		defer s.replacing.Unlock()
 		if s.current() != w {
@@ -87,7 +91,7 @@
 	return true
 }
 
-// holdOf is for how long the server runs a fatal request before it ends.
+// crashDelay returns how long the server runs a poison request before it crashes.
 func (s *slot) crashDelay(id string) time.Duration {
 	spread := s.maxCrashDelay - minCrashDelay(s.maxCrashDelay)
 	if spread == 0 {
@@ -100,7 +104,8 @@
 	return time.Duration(minCrashDelayShare * float64(maxDelay))
 }
 
-// ends notes that a server ends; it returns false if that is known, or another one runs here by now.
+// markCrashed marks a server as crashed. It returns false if it is already marked or has
+// been replaced.
 func (s *slot) markCrashed(w *standin.Worker) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +116,8 @@
 	return true
 }
 
-// callFatal sends a fatal request to entries at random, and a sound one beside it now and then,
-// until the context is over.
+// sendPoison repeats a poison request, each time followed by a harmless one, at random
+// entries until the context ends.
 func (w *testbed) sendPoison(ctx context.Context, number int) {
 	sleep(ctx, firstPoisonAt+time.Duration(number-1)*poisonInterval)
 	random := rand.New(rand.NewPCG(w.options.Seed, uint64(2+number)))
@@ -133,8 +138,9 @@
 	}
 }
 
-// oneFatal sends the fatal request of a number, or a sound one to its path. It leaves after a time, or
-// as usual if that is 0.
+// callPoison sends a request to the path of a poison request: that request itself if
+// bodyNumber is its number, a harmless one if it is 0. The caller disconnects after the given
+// time, or at random as other callers do if that is 0.
 func (c *caller) callPoison(number, bodyNumber int, disconnectAfter time.Duration) {
 	c.callCount++
 	route := poisonRoutes[(number-1)%len(poisonRoutes)]
@@ -148,26 +154,26 @@
 	c.records.recordCall(call)
 }
 
-// quarantinedCode is what an entry answers that refuses a request because servers end under it.
+// quarantinedCode stands in the response of an entry that refuses a quarantined request.
 const quarantinedCode = `"code":"quarantined"`
 
-// fatalEnds is after how many ends a request is known, and fatalMore how many more sends there
-// may be by entries that no fault touched; the users' figures.
+// A request is quarantined after crashLimit crashes; entries that no fault affected may
+// send it maxExtraSends more times. Both figures are requirements.
 const (
 	crashLimit    = 3
 	maxExtraSends = 3
 )
 
-// sentOn is the promise that a request which ends servers is refused once it is known.
+// sentOn is the guarantee that a poison request is refused once it is quarantined.
 const sentOn = "a request that ends servers is not sent on"
 
-// checkFatal finds requests that end servers and are sent on, and sound ones that are refused
-// for it.
+// checkPoison finds poison requests that are still sent to servers after their quarantine,
+// and harmless requests that are refused as quarantined.
 func (c *checker) checkPoison(timed bool) {
 	for i := range c.Calls {
 		call := &c.Calls[i]
 		if call.PoisonNumber == 0 && strings.Contains(call.Body, quarantinedCode) {
-			c.report("only a request that ends servers is refused for it", "%s %s was", call.ID, call.Path)
+			c.report("only a request that ends servers is refused for it", "%s %s was refused as quarantined", call.ID, call.Path)
 		}
 	}
 	crashes := map[int][]time.Time{}
@@ -186,7 +192,8 @@
 	}
 }
 
-// checkSentOn counts the sends of a fatal request by entries in touch, after it must be known.
+// checkPoisonSends counts the sends of a poison request by stable entries after they must
+// know its quarantine.
 func (c *checker) checkPoisonSends(number int, knownAt time.Time) {
 	sends := 0
 	for _, a := range c.Arrivals {
@@ -197,13 +204,14 @@
 		sends++
 	}
 	if sends > maxExtraSends {
-		c.report(sentOn, "fatal request %d was sent %d times more after it had ended %d servers", number, sends, crashLimit)
+		c.report(sentOn, "poison request %d was sent %d more times after it had crashed %d servers", number, sends, crashLimit)
 	}
 }
 
-// checkCalm finds sends in the part without faults that come after the request was known, if an
-// entry has lived since and so can tell all others. Where two requests have ended servers under which
-// both ran, either may be at fault: each has the three sends more that the users allow.
+// checkPoisonInRecovery finds sends in the second half of the recovery phase that come after
+// the quarantine, if an entry has run since then and so can inform all others. If two poison
+// requests ran at the same crashed server, either may be the cause: each is allowed the
+// maxExtraSends further sends of the requirement.
 func (c *checker) checkPoisonInRecovery(number int, knownAt time.Time) {
 	from := c.FaultsEndedAt.Add(RecoveryTime / 2)
 	if toldBy := knownAt.Add(schedulingSlack); toldBy.After(from) {
@@ -228,13 +236,14 @@
 		return
 	}
 	for _, a := range late {
-		c.report(sentOn, "fatal request %d reached %s (%s) long after it had ended %d servers", number, a.Server, a.ID, crashLimit)
+		c.report(sentOn, "poison request %d reached %s (%s) long after it had crashed %d servers", number, a.Server, a.ID, crashLimit)
 	}
 }
 
-// hidden says whether another fatal request ran at a server that ended under one of the two.
+// isAmbiguous returns whether another poison request ran at a server at which this one ran,
+// so that the crash can't be attributed to one of them.
 func (c *checker) isAmbiguous(number int) bool {
-	poisonAtServer := map[string]map[int]bool{} // the fatal requests that ran at a server
+	poisonAtServer := map[string]map[int]bool{} // numbers of poison requests by server
 	for _, run := range c.Runs {
 		call := c.calls[run.ID]
 		if call == nil || call.PoisonNumber == 0 {
--- a/proof/soak/testbed.go
+++ b/proof/soak/testbed.go
@@ -176,7 +176,7 @@
 	switch {
 	case fault.Kind.onEntry():
 		return w.injectEntryFault(fault)
-	case fault.Kind.onWorker():
+	case fault.Kind.onServer():
 		return w.injectServerFault(fault, w.slots[fault.Target])
 	default:
 		w.injectStoreFault(fault)
