--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -8,35 +8,34 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Call is one request as its caller saw it.
+// Call records one request as its caller observed it.
 type Call struct {
 	ID, Path, Key      string
 	Kind               CallKind
 	Entry              int
 	StartedAt, EndedAt time.Time
-	// Wait is how long the caller said that it waits.
+	// Timeout is the time limit that the caller announced in the request.
 	Timeout time.Duration
-	// Status is 0 if no answer came.
+	// Status is 0 if no response came.
 	Status    int
 	Signature string
 	Body      string
-	// Whole says that the answer came to its orderly end; Err why it did not.
+	// Complete tells that the response ended regularly; otherwise Err is the cause.
 	Complete bool
 	Err      error
-	// Left says that the caller gave up early, at Ended.
+	// Disconnected tells that the caller gave up early, at EndedAt.
 	Disconnected bool
-	// Spoiled says what of the answer can't be this request's own; empty if
-	// nothing.
+	// Corruption describes content of the response that can't belong to this request.
 	Corruption string
-	// Marker is the configuration that a probe asked for, 0 for none.
+	// ConfigVersion is the configuration that a probe checks for, 0 for other calls.
 	ConfigVersion int
-	// Idle is for how long its connection had lain idle; 0 for a new one.
+	// ConnIdleTime is how long the connection had been idle; 0 for a new one.
 	ConnIdleTime time.Duration
-	// Fatal is the number of a request that ends servers, 0 for a sound one.
+	// PoisonNumber identifies a poison request; 0 for a harmless one.
 	PoisonNumber int
 }
 
-// CallKind is what may be done with a request.
+// CallKind determines how often a request may run, or what a probe checks.
 type CallKind uint8
 
 // Kinds of calls.
@@ -52,7 +51,7 @@
 func (k CallKind) atMostOnce() bool { return k == AtMostOnce || k == AtMostOnceStream }
 func (k CallKind) streams() bool    { return k == ResumableStream || k == AtMostOnceStream }
 
-// Run is one run of a request at a backend server.
+// Run records one execution of a request at a backend server.
 type Run struct {
 	ID, Server, Service, Workspace, Key string
 	Slot                                int
@@ -60,33 +59,34 @@
 	Status                              int
 	LastEvent                           string
 	Remaining                           time.Duration
-	// Spoiled says that the server broke or forged its answer.
+	// Faulty tells that the server misbehaved, so that its response proves nothing.
 	Faulty bool
 }
 
-// Arrival is a request that reached a backend server, run or not.
+// Arrival records that a request reached a backend server, whether it was run or not.
 type Arrival struct {
 	ID, Server, Service string
 	At                  time.Time
 }
 
-// Interval is a time in which a fault struck.
+// Interval is the time during which a fault was injected; To is zero while it lasts.
 type Interval struct {
 	Kind     FaultKind
 	Target   int
 	From, To time.Time
 }
 
-// ConfigChange is a version that the store has acknowledged.
+// ConfigChange records when the store acknowledged a version of the configuration.
 type ConfigChange struct {
 	Version int
 	At      time.Time
 }
 
-// Records is everything that was seen. The fields may be read once all has ended.
+// Records collects everything that callers and servers observed in a run. Its fields may be
+// read without the lock only after the run.
 type Records struct {
 	mu sync.Mutex
-	// ChangeBound is that of the run's options.
+	// MaxPropagationDelay is copied from the options of the run.
 	MaxPropagationDelay time.Duration
 
 	Calls    []Call
@@ -94,44 +94,46 @@
 	Arrivals []Arrival
 	Faults   []Interval
 	Configs  []ConfigChange
-	// Leaving is when the store acknowledged that a server leaves.
+	// DrainingSince is when the store acknowledged that a server drains, by server ID.
 	DrainingSince map[string]time.Time
-	// Starts are when each entry's processes were started.
+	// Starts are the start times of the processes of each entry.
 	Starts map[int][]time.Time
-	// Ends are the ends of servers under fatal requests, in the order of time.
+	// Crashes are the crashes of servers under poison requests, ordered by time.
 	Crashes []Crash
-	// Lives are the lives of backend servers, by their names.
+	// Servers are the lifetimes of backend servers by ID.
 	Servers map[string]*ServerLifetime
-	// Exits are the ends that were asked for by a planned stop or by nothing.
+	// Exits are exits of daemons after a graceful shutdown, or without a signal from the run.
 	Exits []Exit
-	// Evacuations are the spans from the store's acknowledgement that the second zone is evacuated until it is taken back.
+	// Evacuations last from the store's acknowledgement that the second zone is evacuated
+	// until just before the evacuation is revoked.
 	Evacuations []Interval
-	// Calm is when the last fault was over.
+	// FaultsEndedAt is when the last fault was over; the recovery phase starts then.
 	FaultsEndedAt time.Time
-	// Reserved are the reservations that stand at the end, by server.
+	// LeftoverReservations are the numbers of reservations at the end, by server ID.
 	LeftoverReservations map[string]int
-	// Failure is why the run itself could not go on, if it couldn't.
+	// Err joins the errors that kept the run itself from being carried out.
 	Err error
-	// Held are the spans in which servers set memory aside, Used the first uses by id.
+	// ReservationSpans are the times during which servers reserved memory, FirstUsedAt the
+	// times of the first use by reservation ID.
 	ReservationSpans []standin.Held
 	FirstUsedAt      map[string]time.Time
 }
 
-// Life is how long a backend server could be reached; To is zero while it can.
+// ServerLifetime is the time in which a backend server was reachable; To is zero while it is.
 type ServerLifetime struct {
 	Service  string
 	From, To time.Time
-	// Zone is the server's, Cold until when it is cold.
+	// The server is cold until ColdUntil.
 	Zone      string
 	ColdUntil time.Time
 }
 
-// covers says whether the server could be reached at a time.
+// wasReachable returns whether the server could be reached at a time.
 func (l *ServerLifetime) wasReachable(at time.Time) bool {
 	return !l.From.After(at) && (l.To.IsZero() || l.To.After(at))
 }
 
-// isAlive says whether a backend server can be reached.
+// isAlive returns whether a backend server can be reached now.
 func (r *Records) isAlive(worker string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +141,7 @@
 	return life != nil && life.To.IsZero()
 }
 
-// endedServers are the backend servers that can't be reached any more.
+// stoppedServers returns the IDs of backend servers that are no longer reachable.
 func (r *Records) stoppedServers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,13 +154,13 @@
 	return ids
 }
 
-// Exit is the end of a process that was asked to stop.
+// Exit records the exit of a process after a graceful shutdown, or by itself.
 type Exit struct {
 	Entry           int
 	Code            int
 	StopRequestedAt time.Time
 	Took            time.Duration
-	// ByItself says that nothing asked for it.
+	// Unrequested tells that the run had sent no signal that terminates the process.
 	Unrequested bool
 }
 
@@ -166,21 +168,20 @@
 	return &Records{DrainingSince: map[string]time.Time{}, Starts: map[int][]time.Time{}, LeftoverReservations: map[string]int{}, FirstUsedAt: map[string]time.Time{}, Servers: map[string]*ServerLifetime{}}
 }
 
-// lives notes that a backend server can be reached, gone that it can't any more.
 func (r *Records) recordServer(worker, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Servers[worker] = &ServerLifetime{Service: service, From: time.Now()}
 }
 
-// located notes where a backend server is and for how long it is cold.
 func (r *Records) recordLocation(worker, zone string, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Servers[worker].Zone, r.Servers[worker].ColdUntil = zone, r.Servers[worker].From.Add(cold)
 }
 
-// evacuated notes that the second zone is evacuated and returns what notes that it is about to be taken back.
+// recordEvacuation records the start of an evacuation of the second zone, and returns a
+// function that records its end.
 func (r *Records) recordEvacuation() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -219,7 +220,7 @@
 	r.Runs = append(r.Runs, run)
 }
 
-// ranFatal notes a run under which its server ends.
+// recordPoisonRun records the run of a poison request, under which its server crashes.
 func (r *Records) recordPoisonRun(id string, slot int, w *standin.Worker) {
 	now := time.Now()
 	r.recordRun(&Run{ID: id, Server: w.ID, Service: w.Service, Workspace: "press", Slot: slot, StartedAt: now, EndedAt: now, Remaining: time.Nanosecond, Faulty: true})
@@ -237,21 +238,21 @@
 	r.Err = errors.Join(r.Err, err)
 }
 
-// ended notes how a run ended.
+// recordRunEnd records the end and the status of a run.
 func (r *Records) recordRunEnd(run *Run, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.EndedAt, run.Status = time.Now(), status
 }
 
-// spoiled notes that a run's answer is broken or forged.
+// recordFaulty records that the server misbehaves in a run.
 func (r *Records) recordFaulty(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Faulty = true
 }
 
-// fault notes a fault's beginning and returns what notes its end.
+// recordFault records the start of a fault and returns a function that records its end.
 func (r *Records) recordFault(kind FaultKind, target int) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,21 +297,20 @@
 	return len(r.Calls), len(r.Runs)
 }
 
-// calm notes that the last fault is over.
 func (r *Records) recordFaultsEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.FaultsEndedAt = time.Now()
 }
 
-// reserved notes what is left of reservations at the end, and those that there were.
+// recordReservations records the reservations that are left at the end, and all spans.
 func (r *Records) recordReservations(left map[string]int, spans []standin.Held) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.LeftoverReservations, r.ReservationSpans = left, spans
 }
 
-// used notes the first use of reservations.
+// recordFirstUse records the first use of reservations; later uses are ignored.
 func (r *Records) recordFirstUse(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -12,26 +12,27 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Report is the outcome of a run.
+// Report summarizes a run.
 type Report struct {
 	Seed      uint64
 	Faults    []ScheduledFault
 	Calls     int
 	Succeeded int
 	Runs      int
-	// Ended is how many servers have ended under fatal requests.
+	// Crashes is the number of crashes of servers under poison requests.
 	Crashes  int
 	Findings []Finding
 }
 
-// Failed says that a promise was broken.
+// Failed returns whether a guarantee was violated.
 func (r Report) Failed() bool { return len(r.Findings) > 0 }
 
-// Play plays one seed. An error means that the run itself could not be carried out.
+// Execute runs the plan of one seed and checks its records. An error means that the run
+// itself could not be carried out; violated guarantees are findings of the report.
 func Execute(o Options) (Report, error) {
 	report := Report{Seed: o.Seed, Faults: Plan(o)}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
-		return report, fmt.Errorf("the folder of a run: %w", err)
+		return report, fmt.Errorf("creating the folder of the run: %w", err)
 	}
 	w, err := newTestbed(o)
 	if err != nil {
@@ -53,19 +54,20 @@
 	return report, err
 }
 
-// keep writes what struck and what was found beside the logs of the processes.
+// saveFindings writes the faults and the findings to a file next to the logs of the processes.
 func (w *testbed) saveFindings(findings []Finding) error {
 	text := w.records.describeFaults()
 	for _, f := range findings {
 		text += fmt.Sprintf("%s: %s\n", f.Guarantee, f.Detail)
 	}
 	if err := os.WriteFile(filepath.Join(w.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
-		return fmt.Errorf("the findings: %w", err)
+		return fmt.Errorf("writing the findings: %w", err)
 	}
 	return nil
 }
 
-// play lets callers come, faults strike and the system recover, and ends all.
+// run starts the callers, injects the faults of the plan, lets the system recover and closes
+// the testbed.
 func (w *testbed) run(plan []ScheduledFault) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -99,7 +101,6 @@
 	return <-failures
 }
 
-// progressGap is the time between two lines of progress.
 const progressInterval = 5 * time.Second
 
 func (w *testbed) reportProgress(since time.Duration) {
@@ -110,11 +111,11 @@
 	_, _ = fmt.Fprintf(w.options.Progress, "seed %d: %s, %d calls, %d runs\n", w.options.Seed, since.Round(time.Second), calls, runs)
 }
 
-// memoryBound is how long reservations may stand after the last request: the longest
-// hold and a few orders.
+// maxReleaseTime bounds how long reservations may remain after the last request: the longest
+// reservation timeout and a few orders.
 const maxReleaseTime = 8 * time.Second
 
-// awaitMemory notes the reservations that stay after the last request.
+// awaitRelease waits for the release of all reservations, and records those that remain.
 func (w *testbed) awaitRelease() {
 	deadline := time.Now().Add(maxReleaseTime)
 	for {
@@ -132,7 +133,7 @@
 	}
 }
 
-// heldSpans are the reservations that there were at the servers that run at the end.
+// reservationSpans returns the reservations that were made at the servers that run at the end.
 func (w *testbed) reservationSpans() []standin.Held {
 	var spans []standin.Held
 	for _, s := range w.slots {
--- a/proof/soak/slot.go
+++ b/proof/soak/slot.go
@@ -12,10 +12,10 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Habit is how a backend server misbehaves towards a request.
+// Misbehavior is a way in which a backend server mishandles a request.
 type Misbehavior string
 
-// Habits.
+// Ways to misbehave.
 const (
 	NoMisbehavior      Misbehavior = ""
 	DropsResponse      Misbehavior = "loses answers"
@@ -30,44 +30,44 @@
 
 var misbehaviors = []Misbehavior{DropsResponse, TruncatesResponse, DuplicatesResponse, SwapsResponse, ForgesResponse, ReturnsError, RefusesRequest, DelaysResponse}
 
-// habitShare is the share of requests that meet a server's habit, in hundredths.
+// misbehaviorPercent of the requests are mishandled while a server misbehaves.
 const misbehaviorPercent = 40
 
-// Services of the run.
+// Services of the backend servers.
 const (
 	engines = "engines"
 	plain   = "plain"
 )
 
-// slot is an address at which one backend server after the other runs, behind a
-// link.
+// slot is an address behind a link, at which backend servers run one after the other.
 type slot struct {
 	index   int
 	link    *Link
 	store   *standin.Store
 	records *Records
-	// fatalHold is for how long at the most a fatal request runs before the server ends.
+	// maxCrashDelay bounds how long a poison request runs before the server crashes.
 	maxCrashDelay time.Duration
 
-	// zone is that of its servers, empty for the usual one; coldFor is for how long those are cold that start during the run.
+	// zone is the zone of the servers, empty for the default one. Servers that start during
+	// the run are cold for coldDuration.
 	zone         string
 	coldDuration time.Duration
 
 	mu          sync.Mutex
-	draining    bool // the server that runs now has reported that it leaves
+	draining    bool // the current server has reported that it drains
 	service     string
 	serverCount int
 	server      *standin.Worker
-	// misbehaves says that a part of the requests meet some habit.
+	// misbehaving tells that a share of the requests are mishandled.
 	misbehaving bool
-	// ended is the last server that has ended under a fatal request.
+	// crashed is the last server that crashed under a poison request.
 	crashed    *standin.Worker
 	background sync.WaitGroup
-	// busy is held while the server is on its way out and until the next one runs.
+	// replacing is held from the time the server is shut down or crashes until the next one runs.
 	replacing sync.Mutex
 }
 
-// start runs a new server and lists it.
+// start starts a new server and writes its row to the store.
 func (s *slot) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// warm writes that a server is no longer cold, if it is still the one that runs.
+// markWarm writes that a server is no longer cold, if it is still the current one and not draining.
 func (s *slot) markWarm(w *standin.Worker) {
 	time.Sleep(w.ColdFor)
 	s.mu.Lock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// crash ends the server with all that it runs; its row stays for the time being.
+// crash stops the server and aborts its requests, and returns it. Its row stays in the store.
 func (s *slot) crash() *standin.Worker {
 	w := s.current()
 	s.disconnect()
@@ -116,15 +116,16 @@
 	return w
 }
 
-// cutOff makes the server's host refuse connections to it, and ends those that there are.
+// disconnect refuses new connections to the server and resets the open ones.
 func (s *slot) disconnect() {
 	s.records.recordServerGone(s.current().ID)
-	// The listener may be closed already, which is what is asked for.
+	// Closing the listener fails only if it is already closed.
 	_ = s.link.Retarget("")
 	s.link.ResetConnections()
 }
 
-// crashFor ends the server for a while, and starts the next one. The slot is busy.
+// crashFor crashes the server, and starts the next one after a downtime. The caller holds
+// replacing.
 func (s *slot) crashFor(length time.Duration) error {
 	crashed := s.crash()
 	time.Sleep(min(length, rowTTL))
@@ -133,14 +134,14 @@
 	return s.start()
 }
 
-// unlist removes a server's row.
+// removeRow removes the row of a server from the store.
 func (s *slot) removeRow(w *standin.Worker) {
 	key, _ := w.Row("")
 	s.store.Remove(key)
 	s.records.recordDraining(w.ID)
 }
 
-// leave reports the server as leaving and lets it serve for a while.
+// drain reports the server as draining; it goes on serving.
 func (s *slot) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +150,7 @@
 	s.records.recordDraining(s.server.ID)
 }
 
-// writeAgain writes the row of a server that runs once more.
+// rewriteRow writes the current state of the server again, if it still runs.
 func (s *slot) rewriteRow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,10 +162,10 @@
 	}
 }
 
-// relist brings the row of a server back that is alive.
+// restoreRow writes the row of a running server again.
 func (s *slot) restoreRow() {
 	if !s.replacing.TryLock() {
-		return // it crashed, or tells of itself later
+		return // it crashed, or its replacement writes a row
 	}
 	defer s.replacing.Unlock()
 	s.store.Put(s.current().Row("ready"))
@@ -176,7 +177,7 @@
 	return s.service
 }
 
-// swapService makes the next server here one of the other service.
+// switchService assigns the next server of the slot to the other service.
 func (s *slot) switchService() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +194,7 @@
 	s.misbehaving = on
 }
 
-// habit is what a request meets here now.
+// misbehaviorFor returns how the server mishandles a request, or NoMisbehavior.
 func (s *slot) misbehaviorFor(id string) Misbehavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +204,7 @@
 	return misbehaviors[hashPick(id, "which", len(misbehaviors))]
 }
 
-// current is the server that runs now.
+// current returns the server that was started last.
 func (s *slot) current() *standin.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +212,7 @@
 }
 
 func (s *slot) close() {
-	s.background.Wait() // one that ended under a request may be about to start again
+	s.background.Wait() // a crash under a poison request may be about to start the next server
 	s.crash()
 	s.background.Wait()
 }
@@ -242,19 +243,19 @@
 	status = writePlain(out, r, misbehavior, run.ID)
 }
 
-// Times that a run takes.
+// Durations and sizes of runs.
 const (
 	minWorkTime      = 5 * time.Millisecond
-	workTimeSpreadMs = 60 // ms
+	workTimeSpreadMs = 60
 	responseDelay    = 700 * time.Millisecond
 	eventGap         = 15 * time.Millisecond
 	minEvents        = 3
 	eventsSpread     = 9
 	maxPadding       = 6000
-	unframedPercent  = 15 // of a hundred answers have no length
+	unframedPercent  = 15 // responses without a Content-Length
 )
 
-// work takes the time of a run; it returns false if the caller has left.
+// simulateWork waits for the processing time of a run; it returns false if the caller disconnects.
 func simulateWork(r *http.Request, misbehavior Misbehavior, id string) bool {
 	d := minWorkTime + time.Duration(hashPick(id, "work", workTimeSpreadMs))*time.Millisecond + startDelay(id)
 	if misbehavior == DelaysResponse {
@@ -272,16 +273,16 @@
 	}
 }
 
-// pick returns a number below limit that depends on the request alone, so that any
-// server gives the same answer and the caller can check it.
+// hashPick returns a number below limit that depends only on the request, so that every
+// server gives the same response and the caller can check it.
 func hashPick(id, purpose string, limit int) int {
 	h := fnv.New32a()
-	// A hash never fails to take bytes.
+	// Write of a hash.Hash never returns an error.
 	_, _ = h.Write([]byte(id + purpose))
 	return int(h.Sum32() % uint32(limit))
 }
 
-// answerOf is the whole body of a plain request's answer.
+// responseBody returns the complete body of the response to a plain request.
 func responseBody(id string) string {
 	return "answer to " + id + strings.Repeat(".", hashPick(id, "body", maxPadding))
 }
@@ -293,7 +294,7 @@
 	return minEvents + hashPick(id, "events", eventsSpread)
 }
 
-// eventOf is the data of one event: whose it is, which, and of how many.
+// eventData returns the data of one event: the request ID, its number and the number of events.
 func eventData(id string, number int) string {
 	return fmt.Sprintf("%s %d %d", id, number, eventCount(id))
 }
@@ -321,8 +322,8 @@
 	return http.StatusOK
 }
 
-// writeRaw writes an answer by hand: one that breaks off, one with a second answer
-// behind it, or one that has no length and ends with its connection.
+// writeRaw writes a response to the connection directly: a truncated one, one followed by a
+// second copy, or one without Content-Length that ends with its connection.
 func writeRaw(out http.ResponseWriter, misbehavior Misbehavior, body string) {
 	head := "HTTP/1.1 200 OK\r\n"
 	for name := range out.Header() {
@@ -341,7 +342,7 @@
 	default:
 		_, _ = buffered.WriteString(head + "Connection: close\r\n\r\n" + body)
 	}
-	// A caller that has left gets nothing; the run is over either way.
+	// The caller may have disconnected; the run is over either way.
 	_ = buffered.Flush()
 	if misbehavior == TruncatesResponse {
 		resetConnection(connection)
@@ -350,7 +351,7 @@
 	_ = connection.Close()
 }
 
-// writeStream writes the events after the last one that the request names.
+// writeStream writes the events that follow the Last-Event-ID of the request.
 func writeStream(out http.ResponseWriter, r *http.Request, misbehavior Misbehavior, run *Run) int {
 	switch misbehavior {
 	case DropsResponse:
--- a/proof/soak/testbed.go
+++ b/proof/soak/testbed.go
@@ -10,8 +10,8 @@
 	"arbutusdeck/platform/standin"
 )
 
-// world is everything that runs: the daemons, the stand-ins, the links between them
-// and the callers.
+// testbed holds everything that runs: the daemons, the stand-ins for the store and the
+// backend servers, and the links between them.
 type testbed struct {
 	options         Options
 	records         *Records
@@ -24,17 +24,17 @@
 
 	mu            sync.Mutex
 	configVersion int
-	// evacuating says that the second zone is to get nothing new.
+	// evacuating tells that the second zone is evacuated.
 	evacuating bool
 }
 
-// callersOfEntry is how many callers each entry has, beside the one that probes.
+// callersPerEntry is the number of callers of each entry, in addition to its probe.
 const callersPerEntry = 3
 
-// seedEntries is how many entries the settings name to each other.
+// seedEntryCount is the number of entries that the settings list as seeds.
 const seedEntryCount = 3
 
-// lastingKey is never taken away.
+// permanentKey is never revoked.
 const permanentKey = "key-1"
 
 func versionPrefix(version int) string { return fmt.Sprintf("/m%d/", version) }
@@ -69,7 +69,7 @@
 	return w, w.awaitReady()
 }
 
-// addSlot adds a backend server: each third one of the plain service.
+// addSlot adds and starts a backend server; every third one serves the plain service.
 func (w *testbed) addSlot(index int) error {
 	link, err := NewLink(fmt.Sprintf("%s:%d", newLoopbackHost(), portServer), "")
 	if err != nil {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// readyBound is how long all daemons together may take to become ready: many start
-// at once on few processors.
+// maxStartTime bounds how long all daemons together may take to become ready: many start at
+// once on few processors.
 const maxStartTime = 60 * time.Second
 
 func (w *testbed) awaitReady() error {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// configure writes the next version. Each brings a route and a key of its own and
-// takes away those of the version before the last.
+// changeConfiguration writes the next version. Each version adds a route and a key of its
+// own, and removes those of the version before the previous one.
 func (w *testbed) changeConfiguration() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,7 +136,7 @@
 	w.records.recordConfig(w.configVersion)
 }
 
-// putConfiguration writes the newest version; the lock is held.
+// putConfiguration writes the newest version. The caller holds the lock.
 func (w *testbed) putConfiguration() {
 	v := w.configVersion
 	configuration := standin.ConfigurationWith(v, []string{versionPrefix(v), versionPrefix(v - 1)}, []string{versionKey(v), versionKey(v - 1)})
@@ -146,17 +146,17 @@
 	w.store.Put("op/config", configuration)
 }
 
-// zones are those of the backend servers; all entries are in the first.
+// zoneNames are the zones of the backend servers; all entries are in the first.
 var zoneNames = []string{"here", "there"}
 
 const (
-	// coldTime is for how long a server is cold that starts during the run, coldRate how many requests a second it bears
-	// meanwhile.
+	// A server that starts during the run is cold for coldDuration. Meanwhile it may get
+	// maxColdRate requests per second.
 	coldDuration = 2 * time.Second
 	maxColdRate  = 8
 )
 
-// writeConfiguration writes the newest version once more.
+// rewriteConfiguration writes the newest version again.
 func (w *testbed) rewriteConfiguration() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,7 +169,7 @@
 	return w.configVersion
 }
 
-// strike carries out one step and returns when its fault is over.
+// inject injects one fault and returns when it is over.
 func (w *testbed) inject(fault ScheduledFault) error {
 	endFault := w.records.recordFault(fault.Kind, fault.Target)
 	defer endFault()
@@ -203,17 +203,18 @@
 	return nil
 }
 
+// injectLinkFault injects a fault into a link for the duration of the fault.
 func injectLinkFault(link *Link, fault ScheduledFault) {
 	link.Inject(fault.LinkFault)
 	time.Sleep(fault.Duration)
 	link.Clear()
 }
 
-// Times of the platform.
+// Delays of the platform.
 const (
-	// rowLapse is how long a crashed server's row stays in the store.
+	// rowTTL is how long the row of a crashed server stays in the store.
 	rowTTL = 1500 * time.Millisecond
-	// reuseAfter is how long an address stays unused.
+	// addressReuseDelay is how long an address stays unused before another server gets it.
 	addressReuseDelay = 2 * time.Second
 )
 
@@ -221,7 +222,7 @@
 	switch fault.Kind {
 	case ServerLink:
 		injectLinkFault(s.link, fault)
-		// What was silenced stays so for good; the fault is over with it.
+		// Connections whose traffic was dropped don't recover; resetting them ends the fault.
 		s.link.ResetConnections()
 	case ServerMisbehaves:
 		s.setMisbehaving(true)
@@ -229,7 +230,7 @@
 		s.setMisbehaving(false)
 	default:
 		if !s.replacing.TryLock() {
-			return nil // it is already on its way out
+			return nil // it is already being replaced
 		}
 		defer s.replacing.Unlock()
 		return w.replaceServer(fault, s)
@@ -237,7 +238,8 @@
 	return nil
 }
 
-// replaceWorker ends a server in one of three ways and starts the next one.
+// replaceServer starts the next server of a slot after the current one has crashed, has been
+// drained, or has crashed and left its address to the next one. The caller holds replacing.
 func (w *testbed) replaceServer(fault ScheduledFault, s *slot) error {
 	switch fault.Kind {
 	case ServerCrashed:
@@ -255,17 +257,17 @@
 	if err := s.start(); err != nil {
 		return err
 	}
-	// The old row names the same address until it lapses.
+	// The old row has the same address until it expires.
 	time.Sleep(rowTTL)
 	s.removeRow(crashed)
 	return nil
 }
 
-// leastServers is how many servers each service keeps.
+// minServersPerService is the number of servers that each service keeps.
 const minServersPerService = 2
 
-// swapService makes the next server at a slot one of the other service, unless its
-// own would be left with too few.
+// switchService assigns the next server of a slot to the other service, unless its own
+// would be left with fewer than minServersPerService.
 func (w *testbed) switchService(s *slot) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -299,7 +301,7 @@
 	}
 }
 
-// evacuate keeps new work from the second zone for a while.
+// evacuate evacuates the second zone for the given time.
 func (w *testbed) evacuate(length time.Duration) {
 	w.writeEvacuation(true)
 	endEvacuation := w.records.recordEvacuation()
@@ -308,7 +310,6 @@
 	w.writeEvacuation(false)
 }
 
-// writeEvacuation writes whether the second zone is evacuated.
 func (w *testbed) writeEvacuation(evacuated bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -316,15 +317,16 @@
 	w.store.Evacuate(zoneNames[1], evacuated)
 }
 
-// writeEvacuationAgain writes what the operators have said last.
+// rewriteEvacuation writes the last evacuation state of the second zone again.
 func (w *testbed) rewriteEvacuation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.store.Evacuate(zoneNames[1], w.evacuating)
 }
 
-// restore brings the store back from a copy of some age. The operator and the servers write again what they
-// had written since, and rows that nobody keeps alive go again.
+// restore takes a copy of the store, and restores the store from it after its age has passed.
+// The operators and the servers then write their latest state again, and the rows of stopped
+// servers are removed again.
 func (w *testbed) restore(age time.Duration) {
 	older := w.store.Copy()
 	time.Sleep(age)
@@ -345,11 +347,11 @@
 	}
 }
 
-// storeAway is how long the store is away before it comes back from a copy.
+// storeRestoreDowntime is how long the store is unavailable before it is restored.
 const storeRestoreDowntime = 300 * time.Millisecond
 
-// lapse takes the store away, loses the rows of all servers meanwhile, and brings
-// those of the living back within two seconds of its return.
+// expireRows makes the store unavailable, removes the rows of all servers meanwhile, and
+// writes those of running servers again after rowsRestoreDelay.
 func (w *testbed) expireRows(length time.Duration) {
 	w.store.Refuse(http.StatusServiceUnavailable)
 	for _, s := range w.slots {
@@ -364,10 +366,11 @@
 	}
 }
 
-// rowsBack is when the rows are back after the store is; two seconds at the most.
+// rowsRestoreDelay is the delay from the return of the store to that of the rows; at most two
+// seconds are allowed.
 const rowsRestoreDelay = 700 * time.Millisecond
 
-// call lets the callers of all entries run until the context is over.
+// startCallers starts the callers of all entries, which run until the context ends.
 func (w *testbed) startCallers(ctx context.Context, callers *sync.WaitGroup) {
 	for i := range w.options.PoisonRequests {
 		callers.Go(func() { w.sendPoison(ctx, i+1) })
@@ -381,13 +384,13 @@
 			c := w.newLongCaller(entry, i)
 			callers.Go(func() { c.runLongStreams(ctx) })
 		}
-		// The probes go past the link: they show what the entry has in force.
+		// Probes bypass the link: they show the current configuration of the entry.
 		p := newCaller(fmt.Sprintf("p%d", entry), entry, w.daemons[entry].settings.ListenAddress, w.options.Seed, w.records, w.newestVersion)
 		callers.Go(func() { p.probe(ctx) })
 	}
 }
 
-// close ends everything that this run has started.
+// close stops everything that the run has started.
 func (w *testbed) close() {
 	var stops sync.WaitGroup
 	for _, d := range w.daemons {
