--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -9,16 +9,17 @@
 	exits "arbutusdeck/core/process"
 )
 
-// Finding is a promise that was broken.
+// Finding is a violation of a guarantee.
 type Finding struct {
 	Guarantee string
 	Detail    string
 }
 
-// findingsOfPromise bounds what is told of one promise; one cause breaks many calls.
+// maxFindingsPerGuarantee bounds the findings that are reported for one guarantee, as a single
+// cause can affect many calls.
 const maxFindingsPerGuarantee = 5
 
-// checker reads the records of a run that has ended.
+// checker evaluates the records of a finished run.
 type checker struct {
 	*Records
 	runs          map[string][]*Run
@@ -27,8 +28,8 @@
 	findingCounts map[string]int
 }
 
-// Check returns the promises that were broken. Those that bound times are checked
-// only if timed is set.
+// Check returns the violations of guarantees that the records show. Guarantees that bound
+// times are checked only if timed is set.
 func Check(r *Records, timed bool) []Finding {
 	c := &checker{Records: r, runs: map[string][]*Run{}, calls: map[string]*Call{}, findingCounts: map[string]int{}}
 	for _, run := range r.Runs {
@@ -61,7 +62,7 @@
 	}
 }
 
-// notRunStatuses promise that a request has not run and never will.
+// notRunStatuses assure the caller that a request has not run and never will.
 var notRunStatuses = []int{408, 421, 429, 503}
 
 func (c *checker) checkCall(call *Call) {
@@ -70,7 +71,7 @@
 		c.report("at most once", "%s ran %d times, at %s and %s", call.ID, len(runs), runs[0].Server, runs[1].Server)
 	}
 	if call.Kind.atMostOnce() && slices.Contains(notRunStatuses, call.Status) && len(runs) > 0 {
-		c.report("not run is true", "%s was answered %d and ran at %s", call.ID, call.Status, runs[0].Server)
+		c.report("not run is true", "%s got status %d and ran at %s", call.ID, call.Status, runs[0].Server)
 	}
 	if call.Corruption != "" {
 		c.report("the whole answer to its own request", "%s: %s", call.ID, call.Corruption)
@@ -79,10 +80,10 @@
 		c.report("the whole answer to its own request", "%s: 200 without a server's signature", call.ID)
 	}
 	if call.Status >= 400 && call.Signature != "" && !slices.ContainsFunc(runs, func(r *Run) bool { return r.Status == call.Status }) {
-		c.report("the whole answer to its own request", "%s: signed status %d that no server gave", call.ID, call.Status)
+		c.report("the whole answer to its own request", "%s: signed status %d, which no server sent", call.ID, call.Status)
 	}
 	if call.Kind != ConfigProbe && call.Kind != RevokedKeyProbe && (call.Status == 404 || call.Status == 401) {
-		c.report("no proper request is denied", "%s %s was answered %d", call.ID, call.Path, call.Status)
+		c.report("no proper request is denied", "%s %s got status %d", call.ID, call.Path, call.Status)
 	}
 }
 
@@ -103,12 +104,12 @@
 		c.report("the workspace of the key", "%s ran for %q with key %q", run.ID, run.Workspace, run.Key)
 	}
 	if run.Remaining <= 0 || run.Remaining > call.Timeout {
-		c.report("no more time than is left", "%s was given %s of %s", run.ID, run.Remaining, call.Timeout)
+		c.report("no more time than is left", "%s was sent with %s left of %s", run.ID, run.Remaining, call.Timeout)
 	}
 }
 
-// checkVersions finds an entry that has shown a configuration and later an older one
-// within one start. Probes of an entry come one after the other.
+// checkConfigOrder finds entries that have used a configuration and later an older one within
+// one process lifetime. The probes of an entry are sequential.
 func (c *checker) checkConfigOrder() {
 	for entry := range c.Starts {
 		shown, since := 0, time.Time{}
@@ -134,13 +135,13 @@
 	return slices.ContainsFunc(c.Starts[entry], func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// dropped says that a version's route may have been taken away by a time.
+// versionRemoved returns whether the route of a version may have been removed by a time.
 func (c *checker) versionRemoved(version int, by time.Time) bool {
 	return slices.ContainsFunc(c.Configs, func(change ConfigChange) bool { return change.Version >= version+2 && change.At.Before(by) })
 }
 
-// checkRetries counts the arrivals beyond the first of each request in every window
-// that begins with one.
+// checkRetries checks the number of repeated arrivals of requests in every window that starts
+// with one.
 func (c *checker) checkRetries() {
 	arrivals := slices.Clone(c.Arrivals)
 	slices.SortFunc(arrivals, func(a, b Arrival) int { return a.At.Compare(b.At) })
@@ -172,10 +173,10 @@
 	return high - low
 }
 
-// checkEnd looks at what is left: memory, exits, and whether callers are served again.
+// checkFinalState checks the reservations, the exits and the success of calls in the recovery phase.
 func (c *checker) checkFinalState() {
 	for worker, count := range c.LeftoverReservations {
-		c.report("memory comes back", "%d reservations stand at %s", count, worker)
+		c.report("memory comes back", "%d reservations are left at %s", count, worker)
 	}
 	for _, span := range c.ReservationSpans {
 		until := span.To
@@ -207,13 +208,13 @@
 		}
 	}
 	if float64(served) < minRecoveredShare*float64(requested) {
-		c.report("recovery", "%d of %d requests are served after the last fault", served, requested)
+		c.report("recovery", "%d of %d requests succeeded after the last fault", served, requested)
 	}
 }
 
-// withoutServers says whether all servers of a call's service were gone at some moment of it. Two
-// requests that end servers may hide each other up to the fifth end, which can come after the last
-// fault; where their service has two servers, both are away for seconds then.
+// hadNoServer returns whether the call's service was without any server at some moment of the
+// call. Two poison requests may delay each other's quarantine up to the fifth crash, which can
+// come after the last fault; if their service has two servers, both are then down for seconds.
 func (c *checker) hadNoServer(call *Call) bool {
 	service := plain
 	if call.Kind.streams() {
@@ -228,7 +229,7 @@
 	return slices.ContainsFunc(moments, func(at time.Time) bool { return !c.hasServer(service, at) })
 }
 
-// isServed says whether a server of a service could be reached at a time.
+// hasServer returns whether a server of a service was reachable at a time.
 func (c *checker) hasServer(service string, at time.Time) bool {
 	for _, life := range c.Servers {
 		if life.Service == service && life.wasReachable(at) {
@@ -238,7 +239,7 @@
 	return false
 }
 
-// faultLines tells what struck, one line each, counted from the first one.
+// describeFaults returns a line per fault, with times relative to the first one.
 func (r *Records) describeFaults() string {
 	var text strings.Builder
 	for _, f := range r.Faults {
--- a/proof/soak/check_stop.go
+++ b/proof/soak/check_stop.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// lossSlack is how soon after a request was sent its connection may be closed without an answer, and
-	// afterStop how late after SIGTERM a request may come that a stop need not bring to its end; both are
-	// the users' figures.
+	// A connection may be closed without a response within minReadTime after a request was
+	// sent. A graceful shutdown must complete the requests that come within stopAcceptWindow
+	// after SIGTERM. Both figures are requirements.
 	minReadTime      = 200 * time.Millisecond
 	stopAcceptWindow = 3 * time.Second
-	// lateStop is when a stop nears its limit, counted from SIGTERM. What servers still write then may be
-	// cut off; the users' figure is five sixths.
+	// stopLimitNear is the time after SIGTERM from which a graceful shutdown may abort the
+	// responses that servers are still writing: five sixths of the limit, a requirement.
 	stopLimitNear = stopLimit * 5 / 6
 )
 
-// answeredRead is the promise that a planned stop answers each request that the entry has read.
+// answeredRead is the guarantee that a graceful shutdown answers each request that the entry has read.
 const answeredRead = "a stop answers what it has read"
 
-// checkRead finds requests whose connection ends without a status line around a planned stop, though the
-// entry had time to read them.
+// checkAnsweredOnStop finds requests whose connection ended without a status line during a
+// graceful shutdown, although the entry had time to read them.
 func (c *checker) checkAnsweredOnStop(call *Call) {
 	if call.Status != 0 || call.Disconnected || call.EndedAt.Sub(call.StartedAt) < minReadTime+schedulingSlack {
 		return
 	}
-	// A connection that lay idle while its link was silenced brings the entry nothing any more.
+	// A connection that was idle while its link dropped traffic no longer reaches the entry.
 	connFreshSince := call.StartedAt.Add(-call.ConnIdleTime)
 	if c.wasUnreachable(call.Entry, connFreshSince, call.EndedAt) || len(c.stopsDuring(call.Entry, call.StartedAt, call.EndedAt)) == 0 {
 		return
 	}
-	c.report(answeredRead, "%s got no answer of entry %d after %s: %v", call.ID, call.Entry,
+	c.report(answeredRead, "%s got no response from entry %d after %s: %v", call.ID, call.Entry,
 		call.EndedAt.Sub(call.StartedAt).Round(time.Millisecond), call.Err)
 }
 
-// harmed says whether an entry's process or its link from callers was struck, so that it could not answer.
+// wasUnreachable returns whether a fault of an entry's process or caller link kept it from responding.
 func (c *checker) wasUnreachable(entry int, from, to time.Time) bool {
 	for _, f := range c.Faults {
 		disrupts := f.Kind == EntryKilled || f.Kind == EntryPaused || f.Kind == CallerLink
@@ -42,7 +42,7 @@
 	return false
 }
 
-// stops are the planned stops of an entry that overlap a span.
+// stopsDuring returns the graceful shutdowns of an entry that overlap a time span.
 func (c *checker) stopsDuring(entry int, from, to time.Time) []Interval {
 	var found []Interval
 	for _, f := range c.Faults {
@@ -53,7 +53,8 @@
 	return found
 }
 
-// outlastsStop says whether a call's answer was still being written when a stop of its entry neared its limit.
+// outlastsStop returns whether the response of a call was still being written when a graceful
+// shutdown of its entry neared its limit.
 func (c *checker) outlastsStop(call *Call) bool {
 	for _, stop := range c.stopsDuring(call.Entry, call.StartedAt, call.EndedAt) {
 		late := stop.From.Add(stopLimitNear)
@@ -69,7 +70,7 @@
 	return false
 }
 
-// mayCut says whether the stop that ended in an exit came to its limit with a call open.
+// mayAbort returns whether a call was open when the graceful shutdown of an exit neared its limit.
 func (c *checker) mayAbort(e Exit) bool {
 	late := e.StopRequestedAt.Add(stopLimitNear)
 	for i := range c.Calls {
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -17,7 +17,7 @@
 	return runStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// soundRecords are of a run in which one order is served and nothing is broken.
+// validRecords returns the records of a run in which one request succeeds and no guarantee is violated.
 func validRecords() *Records {
 	r := newRecords()
 	r.MaxPropagationDelay = DefaultMaxPropagationDelay
@@ -35,7 +35,7 @@
 	require.Empty(t, Check(validRecords(), true))
 }
 
-// Each promise in turn is broken in the records; the checker must name it.
+// The records violate each guarantee in turn; the checker must report it.
 func TestEachBrokenPromiseIsFound(t *testing.T) {
 	again := func(r *Records, change func(*Run)) {
 		run := *r.Runs[0]
@@ -136,8 +136,8 @@
 	return calls
 }
 
-// An entry was paused when a server left; it can't have heard of it, and the bound
-// does not hold for it. The same goes for one that was cut off from the store.
+// An entry that was paused or cut off from the store when a server started to drain can't know
+// that, so the bound doesn't apply to it. It applies again once the fault is long over.
 func TestBoundsHoldOnlyForEntriesInTouch(t *testing.T) {
 	for _, kind := range []FaultKind{EntryPaused, StoreLink, StoreRefuses} {
 		r := validRecords()
@@ -149,9 +149,9 @@
 	}
 }
 
-// The link of an entry is silenced, and its open connections stay so. A caller who comes seldom uses one
-// of them long after: its request never reaches the entry, which can't answer it. On a connection that
-// was not there yet the bound holds.
+// The link of an entry drops traffic, also later on the connections that were open. A caller that
+// reuses one of them long after can't get a response, as its request never reaches the entry. On a
+// newer connection the bound applies.
 func TestASilencedConnectionExcusesWhoUsesItLater(t *testing.T) {
 	const promise = "an answer or a failure in time"
 	r := validRecords()
@@ -163,8 +163,8 @@
 	require.NotContains(t, brokenGuarantees(r), promise)
 }
 
-// A request that ends servers comes seldom. Its third end lies in the calm part, and is no send
-// too many; the next one is.
+// A poison request is rare, and its third crash comes in the recovery phase. The send that causes
+// the crash is allowed; the next one is not.
 func TestTheThirdEndMayComeLate(t *testing.T) {
 	r := validRecords()
 	for i := range crashLimit {
@@ -180,8 +180,8 @@
 	require.Contains(t, brokenGuarantees(r), sentOn)
 }
 
-// Two requests ended the same servers, and nobody can tell which of them did. Each may be sent three
-// times more, as the users' rule says, and not a fourth time.
+// Two poison requests ran at the same crashed servers, so the crashes can't be attributed to one
+// of them. Each may be sent three more times, as required, and not a fourth time.
 func TestTwoThatHideEachOtherHaveThreeSendsMore(t *testing.T) {
 	r := validRecords()
 	send := func(number int, id string, at time.Time) {
@@ -203,8 +203,8 @@
 	require.Contains(t, brokenGuarantees(r), sentOn)
 }
 
-// Two requests that hide each other end both servers of a service, the last time after all faults. Nobody
-// can be served until one is back; from then on callers have to be.
+// Two poison requests that delay each other's quarantine crash both servers of a service, the last
+// time after all faults. Calls can't succeed until one server is back; from then on they must.
 func TestRecoveryIsNotAskedForWithoutServers(t *testing.T) {
 	r := validRecords()
 	r.Calls = append(r.Calls, callsRefusedInRecovery()...)
@@ -219,8 +219,9 @@
 	require.Contains(t, brokenGuarantees(r), "recovery")
 }
 
-// A stream is still written when the stop of its entry comes to its limit, and is cut off. That is no finding
-// if its server was at work; it is one if the server had ended before, or the request came late.
+// A stream that is still being written when the graceful shutdown of its entry reaches its limit is
+// aborted. That is allowed while its server is at work, and a finding if the server had finished
+// before, or if the request came more than three seconds after SIGTERM.
 func TestAStreamThatOutlastsAStopMayBeCut(t *testing.T) {
 	const promise = "nothing is cut"
 	r := validRecords()
@@ -230,7 +231,7 @@
 	r.Exits = []Exit{{Code: 4, StopRequestedAt: after(10.05), Took: 7450 * time.Millisecond}}
 	require.Empty(t, Check(r, true))
 	r.Runs[0].EndedAt = after(16)
-	require.Contains(t, brokenGuarantees(r), promise, "the server had ended it")
+	require.Contains(t, brokenGuarantees(r), promise, "the server had finished it")
 	r.Runs[0].EndedAt = after(17.4)
 	r.Faults[0].From = after(6.9)
 	require.Contains(t, brokenGuarantees(r), promise, "it came more than three seconds after SIGTERM")
@@ -239,8 +240,8 @@
 	require.Contains(t, brokenGuarantees(r), "a planned stop cuts nothing", "nothing was open at the limit")
 }
 
-// Requests reach a zone shortly after it was evacuated, and as soon as it is taken back; a server gets as many in a second
-// as it bears while it is cold, and more once it is not.
+// Requests may reach a zone shortly after the start of an evacuation, and at once after its end. A
+// cold server may get maxColdRate requests in a second, and more once it is no longer cold.
 func TestEvacuatedZonesAndColdServersMayServe(t *testing.T) {
 	r := validRecords()
 	r.Servers["w"].Zone, r.Servers["w"].ColdUntil = zoneNames[1], after(10)
@@ -256,7 +257,7 @@
 	require.Empty(t, Check(r, true))
 }
 
-// promisesOf are the promises that the records of a run show broken.
+// brokenGuarantees returns the guarantees that the records of a run violate.
 func brokenGuarantees(r *Records) []string {
 	var guarantees []string
 	for _, f := range Check(r, true) {
@@ -265,7 +266,7 @@
 	return guarantees
 }
 
-// A planned stop is no reason to cut a request, a kill is.
+// A graceful shutdown does not excuse an aborted request, a kill does.
 func TestOnlyUnplannedFaultsExcuseACut(t *testing.T) {
 	r := validRecords()
 	r.Calls[0].Status, r.Calls[0].Signature, r.Calls[0].Complete, r.Calls[0].Err = 0, "", false, errors.New("reset")
--- a/proof/soak/check_times.go
+++ b/proof/soak/check_times.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// checkTimes checks the promises that bound times, for entries that no fault touched.
+// checkTiming checks the guarantees that bound times, for entries that no fault affected.
 func (c *checker) checkTiming() {
 	for i := range c.Calls {
 		call := &c.Calls[i]
@@ -28,7 +28,7 @@
 	}
 }
 
-// touches says whether a fault strikes an entry: the store's faults strike all.
+// affects returns whether a fault affects an entry; faults of the store affect all entries.
 func (f *Interval) affects(entry int) bool {
 	if f.Kind.onEntry() {
 		return f.Target == entry
@@ -36,18 +36,19 @@
 	return !f.Kind.onServer()
 }
 
-// overlaps counts a fault without an end as lasting.
+// overlaps returns whether a fault overlaps a time span; a fault without an end still lasts.
 func (f *Interval) overlaps(from, to time.Time) bool {
 	return f.From.Before(to) && (f.To.IsZero() || f.To.After(from))
 }
 
-// inTouch says that no fault touched an entry from the stable window before a time
-// on, and none of the planned kinds that end or change processes.
+// isStable returns whether no fault and no planned operation that ends or changes processes
+// affected an entry from stableWindow before a time span to its end.
 func (c *checker) isStable(entry int, from, to time.Time) bool {
 	return !c.hadFault(entry, from.Add(-stableWindow), to, func(k FaultKind) bool { return k != ConfigChanges && k != ServerDrains && k != ZoneEvacuated })
 }
 
-// disturbed says that something other than planned work touched an entry.
+// hadUnplannedFault returns whether an unplanned fault or a restart affected an entry from
+// stableWindow before a time span to its end.
 func (c *checker) hadUnplannedFault(entry int, from, to time.Time) bool {
 	return c.hadFault(entry, from.Add(-stableWindow), to, func(k FaultKind) bool { return !k.isPlanned() })
 }
@@ -62,7 +63,8 @@
 	return c.startedBetween(entry, from, to)
 }
 
-// sound says that no fault struck a backend server's slot.
+// isServerStable returns whether no fault affected the slot of a backend server from
+// stableWindow before a time span to its end.
 func (c *checker) isServerStable(slot int, from, to time.Time) bool {
 	for i := range c.Faults {
 		f := &c.Faults[i]
@@ -75,15 +77,16 @@
 
 func (c *checker) checkAnswerTime(call *Call) {
 	took := call.EndedAt.Sub(call.StartedAt)
-	// A connection that lay idle while its link was silenced brings the entry nothing any more.
+	// A connection that was idle while its link dropped traffic no longer reaches the entry.
 	connFreshSince := call.StartedAt.Add(-call.ConnIdleTime)
 	if took > call.Timeout+schedulingSlack && c.isStable(call.Entry, connFreshSince, call.EndedAt) {
 		c.report("an answer or a failure in time", "%s took %s of %s (status %d, %v)", call.ID, took.Round(time.Millisecond), call.Timeout, call.Status, call.Err)
 	}
 }
 
-// checkCut finds requests that a sound server ran and whose connection ended without
-// an answer. Planned stops, changed settings and configurations are no reason.
+// checkAborted finds requests that stable servers ran without misbehaving, but whose callers got no
+// complete response. Graceful shutdowns and changes of settings or configuration are no
+// excuse.
 func (c *checker) checkAborted(call *Call) {
 	if call.Complete || call.Disconnected || call.EndedAt.Sub(call.StartedAt) > call.Timeout {
 		return
@@ -100,8 +103,8 @@
 	c.report("nothing is cut", "%s ran at %s and got no whole answer: %v", call.ID, runs[0].Server, call.Err)
 }
 
-// checkGone finds work that goes on after its caller has left, and requests that are
-// sent on then.
+// checkCancelled finds work that continues after its caller has disconnected, and requests
+// that are sent to a server after that.
 func (c *checker) checkCancelled(call *Call) {
 	late := call.EndedAt.Add(maxCancelDelay + schedulingSlack)
 	if !call.Disconnected || !c.isStable(call.Entry, call.StartedAt, late) {
@@ -112,12 +115,12 @@
 			continue
 		}
 		if run.StartedAt.After(late) || run.EndedAt.IsZero() || run.EndedAt.After(late) {
-			c.report("a caller that leaves ends the work", "%s was left and its run at %s went on", call.ID, run.Server)
+			c.report("a caller that leaves ends the work", "the caller of %s disconnected and its run at %s went on", call.ID, run.Server)
 		}
 	}
 }
 
-// checkConfiguration finds entries that handle a request by an older configuration.
+// checkConfigDelay finds entries that use an older configuration after the propagation delay.
 func (c *checker) checkConfigDelay(call *Call) {
 	stale := call.Kind == ConfigProbe && call.Status == 404 && !c.versionRemoved(call.ConfigVersion, call.EndedAt) || call.Kind == RevokedKeyProbe && call.Status == 200
 	if !stale || !c.isStable(call.Entry, call.StartedAt, call.EndedAt) {
@@ -125,13 +128,13 @@
 	}
 	for _, change := range c.Configs {
 		if change.Version == call.ConfigVersion && call.StartedAt.Sub(change.At) > c.MaxPropagationDelay+schedulingSlack {
-			c.report("a configuration is in force in time", "entry %d: %s was answered %d %s after version %d", call.Entry, call.ID, call.Status,
+			c.report("a configuration is in force in time", "entry %d: %s got status %d %s after version %d", call.Entry, call.ID, call.Status,
 				call.StartedAt.Sub(change.At).Round(time.Millisecond), call.ConfigVersion)
 		}
 	}
 }
 
-// checkLeaving finds requests that reach a server long after it has left.
+// checkDraining finds requests that reach a draining server after the propagation delay.
 func (c *checker) checkDraining(a Arrival) {
 	drainingSince, ok := c.DrainingSince[a.Server]
 	call := c.calls[a.ID]
@@ -139,6 +142,6 @@
 		return
 	}
 	if c.isStable(call.Entry, call.StartedAt, a.At) {
-		c.report("a leaving server gets nothing new", "%s reached %s %s after it left", a.ID, a.Server, a.At.Sub(drainingSince).Round(time.Millisecond))
+		c.report("a leaving server gets nothing new", "%s reached %s %s after it started to drain", a.ID, a.Server, a.At.Sub(drainingSince).Round(time.Millisecond))
 	}
 }
--- a/proof/soak/check_zones.go
+++ b/proof/soak/check_zones.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkEvacuated finds requests that reach a server of a zone long after the zone was evacuated, and before it is taken
-// back.
+// checkEvacuated finds requests that reach a server of an evacuated zone after the propagation
+// delay and before the end of the evacuation.
 func (c *checker) checkEvacuated(a Arrival) {
 	life, call := c.Servers[a.Server], c.calls[a.ID]
 	if life == nil || call == nil || life.Zone != zoneNames[1] {
@@ -22,10 +22,10 @@
 	}
 }
 
-// coldWindow is the span in which the requests at a cold server are counted.
+// coldWindow is the time span over which the requests at a cold server are counted.
 const coldWindow = time.Second
 
-// checkCold finds cold servers that ran more requests in a second than they bear.
+// checkColdRate finds cold servers that started more than maxColdRate runs within coldWindow.
 func (c *checker) checkColdRate() {
 	starts := map[string][]time.Time{}
 	for _, run := range c.Runs {
@@ -38,7 +38,7 @@
 		for i, from := range times {
 			within, _ := slices.BinarySearchFunc(times, from.Add(coldWindow), time.Time.Compare)
 			if within-i > maxColdRate {
-				c.report("a cold server gets what it bears", "%s began %d runs in a second while it was cold", worker, within-i)
+				c.report("a cold server gets what it bears", "%s started %d runs in a second while it was cold", worker, within-i)
 				break
 			}
 		}
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -40,12 +40,12 @@
 
 // Kinds of calls.
 const (
-	AtMostOnce       CallKind = iota // at most once
-	Retryable                        // any number of times
-	ResumableStream                  // may be resumed elsewhere
-	AtMostOnceStream                 // a stream, at most once
-	ConfigProbe                      // shows the configuration in force
-	RevokedKeyProbe                  // carries a key that was taken away
+	AtMostOnce       CallKind = iota // a plain request that may run at most once
+	Retryable                        // a plain request that may run any number of times
+	ResumableStream                  // a stream that may be resumed at another server
+	AtMostOnceStream                 // a stream that may run at most once
+	ConfigProbe                      // shows the current configuration of the entry
+	RevokedKeyProbe                  // carries a revoked key
 )
 
 func (k CallKind) atMostOnce() bool { return k == AtMostOnce || k == AtMostOnceStream }
@@ -59,7 +59,7 @@
 	Status                              int
 	LastEvent                           string
 	Remaining                           time.Duration
-	// Faulty tells that the server misbehaved, so that its response proves nothing.
+	// Faulty tells that the server mishandled the request, which excuses an incomplete response.
 	Faulty bool
 }
 
--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -13,8 +13,8 @@
 	"arbutusdeck/proof/removal"
 )
 
-// broken is a promise, and the change that takes its safeguard out of the program. The
-// soak must then find that it is broken.
+// safeguardRemoval is a guarantee and the source change that removes its safeguard. The soak
+// must then find a violation of the guarantee.
 type safeguardRemoval struct {
 	guarantee string
 	change    removal.Change
@@ -24,8 +24,8 @@
 	return removal.Change{File: file, Old: old, New: new}
 }
 
-// removals cover the promises that a program can be made to break. The remaining ones
-// are shown red on records alone.
+// removals cover the guarantees that a source change can violate. The checks of the others
+// are tested on records alone.
 var removals = []safeguardRemoval{
 	{"at most once", without("core/execution/forward.go", "		return true\n	}\n	return false\n", "		return true\n	}\n	return true\n")},
 	{"not run is true", without("core/execution/forward.go", "	f.maybeRan = true\n	return f.again(now, f.mayRepeat(result)", "	return f.again(now, f.mayRepeat(result)")},
@@ -50,8 +50,8 @@
 	{"no process ends by itself", without("entry/gateway/settingsloop.go", "	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds", "	os.Exit(1)\n	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds")},
 }
 
-// The removals are played by hand and seldom. Meanwhile a safeguard is moved or changed, and the row
-// that takes it out names text that is not there.
+// The removals are run manually and seldom. A safeguard that is moved or changed meanwhile leaves
+// its row with text that no longer occurs in the file.
 func TestTheTextOfEveryRemovalStandsOnce(t *testing.T) {
 	top, err := filepath.Abs("../..")
 	require.NoError(t, err)
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkRemovals plays up to removalSeeds seeds without each safeguard, until the
-// promise is found broken. It is played by hand: each removal takes half a minute.
+// BenchmarkRemovals runs up to removalSeeds seeds without each safeguard, until a violation of
+// its guarantee is found. It is run manually: each removal takes half a minute.
 func BenchmarkRemovals(b *testing.B) {
 	top, err := filepath.Abs("../..")
 	require.NoError(b, err)
@@ -73,7 +73,7 @@
 	}
 }
 
-// removalSeeds and removalLength bound the search for one broken promise.
+// removalSeeds and removalLength bound the search for one violation.
 const (
 	removalSeeds  = 4
 	removalLength = 20 * time.Second
@@ -92,6 +92,6 @@
 			}
 		}
 	}
-	b.Errorf("%s: nothing is found without the safeguard in %s", r.guarantee, r.change.File)
+	b.Errorf("%s: no violation found without the safeguard in %s", r.guarantee, r.change.File)
 	return "not found"
 }
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// build makes the entry's program, with the sources of an overlay if there is one.
+// build builds the entry daemon, with an overlay of its sources unless that is empty.
 func build(t testing.TB, overlay string) string {
 	binary := filepath.Join(t.TempDir(), "arbutus-entry")
 	command := exec.Command("go", "build", "-o", binary, "-overlay", overlay, "arbutusdeck/entry/cmd/arbutus-entry")
@@ -22,7 +22,7 @@
 	return binary
 }
 
-// The same seed strikes the same things at the same moments.
+// A seed determines the plan: its kinds, targets and times.
 func TestAPlanRepeats(t *testing.T) {
 	o := Options{Seed: 7, FaultDuration: 20 * time.Second, Entries: 5, Servers: 9}
 	require.Equal(t, Plan(o), Plan(o))
@@ -34,8 +34,8 @@
 	}
 }
 
-// kept reads the runs that tests play: one that covers much, and those that once
-// broke a promise.
+// savedRuns reads the runs of testdata/seeds.txt: one that covers all groups of faults, and
+// those that once had findings.
 func savedRuns(t *testing.T) []Options {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
@@ -62,25 +62,25 @@
 	return runs
 }
 
-// Entries, servers, links and the store are struck for some seconds. Callers keep to
-// their connections meanwhile; what they and the servers saw must agree with every
-// promise that rests on no time.
+// Faults hit entries, servers, links and the store for some seconds, while callers reuse their
+// connections. What the callers and the servers observe must satisfy every guarantee that bounds
+// no time.
 func TestSeededRunsKeepEveryPromise(t *testing.T) {
 	binary := build(t, "")
 	runs := savedRuns(t)
-	// The same faults where two entries read the store for all.
+	// The same faults, while two entries read the store for all.
 	shared := runs[0]
 	shared.MaxPropagationDelay, shared.Entries = 4*time.Second, 5
-	// The same faults while two requests come again and again that end servers.
+	// The same faults, with two poison requests.
 	fatal := runs[0]
 	fatal.PoisonRequests = 2
-	// The same, whose servers end a while after they have begun them, and many of whose callers leave.
+	// The same, with servers that crash after a delay, and callers that disconnect before.
 	held := fatal
 	held.MaxCrashDelay = DefaultMaxCrashDelay
-	// The same, while streams outlast most stops.
+	// The first run, with streams that outlast most graceful shutdowns.
 	long := runs[0]
 	long.LongStreamCallers = 1
-	// The same, while one of two zones is evacuated now and then and servers come back cold.
+	// The first run, with evacuations of one of two zones, and servers that start cold.
 	zoned := runs[0]
 	zoned.MultiZone = true
 	for _, o := range append(runs, shared, fatal, held, long, zoned) {
@@ -99,9 +99,9 @@
 	require.Positive(t, report.Succeeded)
 }
 
-// Two requests end the same two servers of a service, up to the fifth time, some of it after all other
-// faults. The check of the calm part once took sends that the users allow for too many; and once, beside
-// busy processes, half of the requests were not served after the last fault.
+// Two poison requests crash the same two servers of a service up to five times, some of them in the
+// recovery phase. The check of that phase must not count allowed sends as findings, and at least
+// half of the requests must succeed after the last fault, also beside busy processes.
 func TestASeedWhoseServersEndInTheCalmPart(t *testing.T) {
 	o := Options{Seed: 30120415, Entries: 6, Servers: 9, FaultDuration: 15 * time.Second, MaxPropagationDelay: 4 * time.Second, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay}
 	requireNoFindings(t, o, build(t, ""))
