--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -31,7 +31,7 @@
 	return r
 }
 
-func TestASoundRunHasNoFindings(t *testing.T) {
+func TestAValidRunHasNoFindings(t *testing.T) {
 	require.Empty(t, Check(validRecords(), true))
 }
 
@@ -138,7 +138,7 @@
 
 // An entry that was paused or cut off from the store when a server started to drain can't know
 // that, so the bound doesn't apply to it. It applies again once the fault is long over.
-func TestBoundsHoldOnlyForEntriesInTouch(t *testing.T) {
+func TestBoundsApplyOnlyToStableEntries(t *testing.T) {
 	for _, kind := range []FaultKind{EntryPaused, StoreLink, StoreRefuses} {
 		r := validRecords()
 		r.DrainingSince["w"] = after(5)
@@ -152,7 +152,7 @@
 // The link of an entry drops traffic, also later on the connections that were open. A caller that
 // reuses one of them long after can't get a response, as its request never reaches the entry. On a
 // newer connection the bound applies.
-func TestASilencedConnectionExcusesWhoUsesItLater(t *testing.T) {
+func TestADroppedConnectionExcusesItsLaterUse(t *testing.T) {
 	const promise = "an answer or a failure in time"
 	r := validRecords()
 	r.Calls[0].EndedAt = r.Calls[0].StartedAt.Add(9 * time.Second)
@@ -165,7 +165,7 @@
 
 // A poison request is rare, and its third crash comes in the recovery phase. The send that causes
 // the crash is allowed; the next one is not.
-func TestTheThirdEndMayComeLate(t *testing.T) {
+func TestTheThirdCrashMayComeInTheRecoveryPhase(t *testing.T) {
 	r := validRecords()
 	for i := range crashLimit {
 		id, at := fmt.Sprint("f", i), after(102+float64(i))
@@ -182,7 +182,7 @@
 
 // Two poison requests ran at the same crashed servers, so the crashes can't be attributed to one
 // of them. Each may be sent three more times, as required, and not a fourth time.
-func TestTwoThatHideEachOtherHaveThreeSendsMore(t *testing.T) {
+func TestAmbiguousPoisonRequestsMayBeSentThreeMoreTimes(t *testing.T) {
 	r := validRecords()
 	send := func(number int, id string, at time.Time) {
 		r.Calls = append(r.Calls, Call{ID: id, Kind: AtMostOnce, Path: "/order/fatal", PoisonNumber: number, StartedAt: at, EndedAt: at, Timeout: time.Second, Status: 502, Complete: true})
@@ -205,7 +205,7 @@
 
 // Two poison requests that delay each other's quarantine crash both servers of a service, the last
 // time after all faults. Calls can't succeed until one server is back; from then on they must.
-func TestRecoveryIsNotAskedForWithoutServers(t *testing.T) {
+func TestRecoveryIsNotRequiredWithoutServers(t *testing.T) {
 	r := validRecords()
 	r.Calls = append(r.Calls, callsRefusedInRecovery()...)
 	r.Servers["w"].To = after(103.9)
@@ -222,7 +222,7 @@
 // A stream that is still being written when the graceful shutdown of its entry reaches its limit is
 // aborted. That is allowed while its server is at work, and a finding if the server had finished
 // before, or if the request came more than three seconds after SIGTERM.
-func TestAStreamThatOutlastsAStopMayBeCut(t *testing.T) {
+func TestAStreamThatOutlastsAShutdownMayBeAborted(t *testing.T) {
 	const promise = "nothing is cut"
 	r := validRecords()
 	r.Calls[0].Complete, r.Calls[0].Err, r.Calls[0].EndedAt, r.Calls[0].Timeout = false, errors.New("reset"), after(17.4), longTimeout
@@ -267,7 +267,7 @@
 }
 
 // A graceful shutdown does not excuse an aborted request, a kill does.
-func TestOnlyUnplannedFaultsExcuseACut(t *testing.T) {
+func TestOnlyUnplannedFaultsExcuseAnAbort(t *testing.T) {
 	r := validRecords()
 	r.Calls[0].Status, r.Calls[0].Signature, r.Calls[0].Complete, r.Calls[0].Err = 0, "", false, errors.New("reset")
 	r.Faults = []Interval{{Kind: EntryStopped, From: after(9), To: after(11)}}
--- a/proof/soak/link_test.go
+++ b/proof/soak/link_test.go
@@ -64,7 +64,7 @@
 }
 
 // An open connection is reset by the fault, and a new one works after it.
-func TestALinkPassesAndResets(t *testing.T) {
+func TestALinkForwardsAndResets(t *testing.T) {
 	l := linkTo(t, echoServer(t).Addr().String())
 	c := dial(t, l)
 	line, err := exchange(c, "hello")
@@ -80,7 +80,7 @@
 }
 
 // A connection whose traffic was dropped stays affected after the fault, while new ones work.
-func TestASilencedConnectionStaysSilent(t *testing.T) {
+func TestADroppedConnectionDoesNotRecover(t *testing.T) {
 	for _, fault := range []LinkFault{LinkDropsBoth, LinkDropsResponses, LinkDropsRequests} {
 		l := linkTo(t, echoServer(t).Addr().String())
 		old := dial(t, l)
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -23,7 +23,7 @@
 }
 
 // A seed determines the plan: its kinds, targets and times.
-func TestAPlanRepeats(t *testing.T) {
+func TestASeedDeterminesThePlan(t *testing.T) {
 	o := Options{Seed: 7, FaultDuration: 20 * time.Second, Entries: 5, Servers: 9}
 	require.Equal(t, Plan(o), Plan(o))
 	require.Greater(t, len(Plan(o)), 10)
@@ -102,7 +102,7 @@
 // Two poison requests crash the same two servers of a service up to five times, some of them in the
 // recovery phase. The check of that phase must not count allowed sends as findings, and at least
 // half of the requests must succeed after the last fault, also beside busy processes.
-func TestASeedWhoseServersEndInTheCalmPart(t *testing.T) {
+func TestASeedWhoseServersCrashInTheRecoveryPhase(t *testing.T) {
 	o := Options{Seed: 30120415, Entries: 6, Servers: 9, FaultDuration: 15 * time.Second, MaxPropagationDelay: 4 * time.Second, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay}
 	requireNoFindings(t, o, build(t, ""))
 }
