--- a/proof/soak/check.go
+++ b/proof/soak/check.go
@@ -147,19 +147,19 @@
 	slices.SortFunc(arrivals, func(a, b Arrival) int { return a.At.Compare(b.At) })
 	for _, service := range []string{engines, plain} {
 		seen := map[string]bool{}
-		var first, again []time.Time
+		var first, repeated []time.Time
 		for _, a := range arrivals {
 			switch {
 			case a.Service != service:
 			case seen[a.ID]:
-				again = append(again, a.At)
+				repeated = append(repeated, a.At)
 			default:
 				seen[a.ID] = true
 				first = append(first, a.At)
 			}
 		}
-		for _, from := range again {
-			repeats, limit := countInWindow(again, from), retryExtra+retryRatio*float64(countInWindow(first, from.Add(-retryWindow))+countInWindow(first, from))
+		for _, from := range repeated {
+			repeats, limit := countInWindow(repeated, from), retryExtra+retryRatio*float64(countInWindow(first, from.Add(-retryWindow))+countInWindow(first, from))
 			if float64(repeats) > limit {
 				c.report("retries keep to their budget", "%d within %s at %s, %.0f allowed", repeats, retryWindow, service, limit)
 			}
@@ -175,8 +175,8 @@
 
 // checkFinalState checks the reservations, the exits and the success of calls in the recovery phase.
 func (c *checker) checkFinalState() {
-	for worker, count := range c.LeftoverReservations {
-		c.report("memory comes back", "%d reservations are left at %s", count, worker)
+	for server, count := range c.LeftoverReservations {
+		c.report("memory comes back", "%d reservations are left at %s", count, server)
 	}
 	for _, span := range c.ReservationSpans {
 		until := span.To
@@ -196,7 +196,7 @@
 			c.report("a planned stop cuts nothing", "entry %d exited with %d after %s", e.Entry, e.Code, e.Took.Round(time.Millisecond))
 		}
 	}
-	requested, served := 0, 0
+	requested, succeeded := 0, 0
 	for i := range c.Calls {
 		call := &c.Calls[i]
 		if call.StartedAt.Before(c.FaultsEndedAt.Add(RecoveryTime/2)) || call.Kind == RevokedKeyProbe || call.Disconnected || c.hadNoServer(call) {
@@ -204,11 +204,11 @@
 		}
 		requested++
 		if call.Status == 200 {
-			served++
+			succeeded++
 		}
 	}
-	if float64(served) < minRecoveredShare*float64(requested) {
-		c.report("recovery", "%d of %d requests succeeded after the last fault", served, requested)
+	if float64(succeeded) < minRecoveredShare*float64(requested) {
+		c.report("recovery", "%d of %d requests succeeded after the last fault", succeeded, requested)
 	}
 }
 
@@ -221,9 +221,9 @@
 		service = engines
 	}
 	moments := []time.Time{call.StartedAt}
-	for _, life := range c.Servers {
-		if life.Service == service && life.To.After(call.StartedAt) && life.To.Before(call.EndedAt) {
-			moments = append(moments, life.To)
+	for _, lifetime := range c.Servers {
+		if lifetime.Service == service && lifetime.To.After(call.StartedAt) && lifetime.To.Before(call.EndedAt) {
+			moments = append(moments, lifetime.To)
 		}
 	}
 	return slices.ContainsFunc(moments, func(at time.Time) bool { return !c.hasServer(service, at) })
@@ -231,8 +231,8 @@
 
 // hasServer returns whether a server of a service was reachable at a time.
 func (c *checker) hasServer(service string, at time.Time) bool {
-	for _, life := range c.Servers {
-		if life.Service == service && life.wasReachable(at) {
+	for _, lifetime := range c.Servers {
+		if lifetime.Service == service && lifetime.wasReachable(at) {
 			return true
 		}
 	}
--- a/proof/soak/check_stop.go
+++ b/proof/soak/check_stop.go
@@ -57,12 +57,12 @@
 // shutdown of its entry neared its limit.
 func (c *checker) outlastsStop(call *Call) bool {
 	for _, stop := range c.stopsDuring(call.Entry, call.StartedAt, call.EndedAt) {
-		late := stop.From.Add(stopLimitNear)
-		if call.Status == 0 || call.StartedAt.After(stop.From.Add(stopAcceptWindow)) || call.EndedAt.Before(late) {
+		nearLimit := stop.From.Add(stopLimitNear)
+		if call.Status == 0 || call.StartedAt.After(stop.From.Add(stopAcceptWindow)) || call.EndedAt.Before(nearLimit) {
 			continue
 		}
 		for _, run := range c.runs[call.ID] {
-			if run.EndedAt.IsZero() || run.EndedAt.After(late) {
+			if run.EndedAt.IsZero() || run.EndedAt.After(nearLimit) {
 				return true
 			}
 		}
@@ -72,9 +72,9 @@
 
 // mayAbort returns whether a call was open when the graceful shutdown of an exit neared its limit.
 func (c *checker) mayAbort(e Exit) bool {
-	late := e.StopRequestedAt.Add(stopLimitNear)
+	nearLimit := e.StopRequestedAt.Add(stopLimitNear)
 	for i := range c.Calls {
-		if call := &c.Calls[i]; call.Entry == e.Entry && call.StartedAt.Before(late) && call.EndedAt.After(late) {
+		if call := &c.Calls[i]; call.Entry == e.Entry && call.StartedAt.Before(nearLimit) && call.EndedAt.After(nearLimit) {
 			return true
 		}
 	}
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -37,7 +37,7 @@
 
 // The records violate each guarantee in turn; the checker must report it.
 func TestEachBrokenPromiseIsFound(t *testing.T) {
-	again := func(r *Records, change func(*Run)) {
+	addRun := func(r *Records, change func(*Run)) {
 		run := *r.Runs[0]
 		change(&run)
 		r.Runs = append(r.Runs, &run)
@@ -46,11 +46,11 @@
 		r.Calls = append(r.Calls, Call{ID: id, Kind: ConfigProbe, StartedAt: after(at), EndedAt: after(at + 0.1), Timeout: time.Second, Status: status, Signature: signatureOf(status), ConfigVersion: marker, Complete: true})
 	}
 	cases := map[string]func(r *Records){
-		"at most once":                        func(r *Records) { again(r, func(run *Run) { run.Server = "other" }) },
+		"at most once":                        func(r *Records) { addRun(r, func(run *Run) { run.Server = "other" }) },
 		"not run is true":                     func(r *Records) { r.Calls[0].Status, r.Calls[0].Signature = 503, "" },
 		"the whole answer to its own request": func(r *Records) { r.Calls[0].Corruption = "another's" },
 		"no proper request is denied":         func(r *Records) { r.Calls[0].Status, r.Calls[0].Signature, r.Runs = 404, "", nil },
-		"only callers' requests run":          func(r *Records) { again(r, func(run *Run) { run.ID = "unknown" }) },
+		"only callers' requests run":          func(r *Records) { addRun(r, func(run *Run) { run.ID = "unknown" }) },
 		"the right service":                   func(r *Records) { r.Runs[0].Service = engines },
 		"the workspace of the key":            func(r *Records) { r.Runs[0].Key = "Bearer key-1" },
 		"no more time than is left":           func(r *Records) { r.Runs[0].Remaining = 3 * time.Second },
@@ -108,15 +108,15 @@
 		"a cold server gets what it bears": func(r *Records) {
 			r.Servers["w"].ColdUntil = after(30)
 			for range maxColdRate {
-				again(r, func(*Run) {})
+				addRun(r, func(*Run) {})
 			}
 		},
 	}
-	for promise, breaks := range cases {
-		t.Run(promise, func(t *testing.T) {
+	for guarantee, violate := range cases {
+		t.Run(guarantee, func(t *testing.T) {
 			r := validRecords()
-			breaks(r)
-			require.Contains(t, brokenGuarantees(r), promise)
+			violate(r)
+			require.Contains(t, brokenGuarantees(r), guarantee)
 		})
 	}
 }
@@ -153,14 +153,14 @@
 // reuses one of them long after can't get a response, as its request never reaches the entry. On a
 // newer connection the bound applies.
 func TestADroppedConnectionExcusesItsLaterUse(t *testing.T) {
-	const promise = "an answer or a failure in time"
+	const guarantee = "an answer or a failure in time"
 	r := validRecords()
 	r.Calls[0].EndedAt = r.Calls[0].StartedAt.Add(9 * time.Second)
-	silenced := r.Calls[0].StartedAt.Add(-10 * time.Second)
-	r.Faults = append(r.Faults, Interval{Kind: CallerLink, Target: r.Calls[0].Entry, From: silenced, To: silenced.Add(time.Second)})
-	require.Contains(t, brokenGuarantees(r), promise)
+	dropped := r.Calls[0].StartedAt.Add(-10 * time.Second)
+	r.Faults = append(r.Faults, Interval{Kind: CallerLink, Target: r.Calls[0].Entry, From: dropped, To: dropped.Add(time.Second)})
+	require.Contains(t, brokenGuarantees(r), guarantee)
 	r.Calls[0].ConnIdleTime = 11 * time.Second
-	require.NotContains(t, brokenGuarantees(r), promise)
+	require.NotContains(t, brokenGuarantees(r), guarantee)
 }
 
 // A poison request is rare, and its third crash comes in the recovery phase. The send that causes
@@ -223,7 +223,7 @@
 // aborted. That is allowed while its server is at work, and a finding if the server had finished
 // before, or if the request came more than three seconds after SIGTERM.
 func TestAStreamThatOutlastsAShutdownMayBeAborted(t *testing.T) {
-	const promise = "nothing is cut"
+	const guarantee = "nothing is cut"
 	r := validRecords()
 	r.Calls[0].Complete, r.Calls[0].Err, r.Calls[0].EndedAt, r.Calls[0].Timeout = false, errors.New("reset"), after(17.4), longTimeout
 	r.Calls[0].Kind, r.Runs[0].Service, r.Runs[0].EndedAt = ResumableStream, engines, after(17.4)
@@ -231,10 +231,10 @@
 	r.Exits = []Exit{{Code: 4, StopRequestedAt: after(10.05), Took: 7450 * time.Millisecond}}
 	require.Empty(t, Check(r, true))
 	r.Runs[0].EndedAt = after(16)
-	require.Contains(t, brokenGuarantees(r), promise, "the server had finished it")
+	require.Contains(t, brokenGuarantees(r), guarantee, "the server had finished it")
 	r.Runs[0].EndedAt = after(17.4)
 	r.Faults[0].From = after(6.9)
-	require.Contains(t, brokenGuarantees(r), promise, "it came more than three seconds after SIGTERM")
+	require.Contains(t, brokenGuarantees(r), guarantee, "it came more than three seconds after SIGTERM")
 	r.Calls[0].EndedAt = after(10.4)
 	r.Faults[0].From = after(10.05)
 	require.Contains(t, brokenGuarantees(r), "a planned stop cuts nothing", "nothing was open at the limit")
--- a/proof/soak/check_times.go
+++ b/proof/soak/check_times.go
@@ -100,21 +100,21 @@
 			return
 		}
 	}
-	c.report("nothing is cut", "%s ran at %s and got no whole answer: %v", call.ID, runs[0].Server, call.Err)
+	c.report("nothing is cut", "%s ran at %s and got no complete response: %v", call.ID, runs[0].Server, call.Err)
 }
 
 // checkCancelled finds work that continues after its caller has disconnected, and requests
 // that are sent to a server after that.
 func (c *checker) checkCancelled(call *Call) {
-	late := call.EndedAt.Add(maxCancelDelay + schedulingSlack)
-	if !call.Disconnected || !c.isStable(call.Entry, call.StartedAt, late) {
+	deadline := call.EndedAt.Add(maxCancelDelay + schedulingSlack)
+	if !call.Disconnected || !c.isStable(call.Entry, call.StartedAt, deadline) {
 		return
 	}
 	for _, run := range c.runs[call.ID] {
-		if !c.isServerStable(run.Slot, call.StartedAt, late) {
+		if !c.isServerStable(run.Slot, call.StartedAt, deadline) {
 			continue
 		}
-		if run.StartedAt.After(late) || run.EndedAt.IsZero() || run.EndedAt.After(late) {
+		if run.StartedAt.After(deadline) || run.EndedAt.IsZero() || run.EndedAt.After(deadline) {
 			c.report("a caller that leaves ends the work", "the caller of %s disconnected and its run at %s went on", call.ID, run.Server)
 		}
 	}
--- a/proof/soak/check_zones.go
+++ b/proof/soak/check_zones.go
@@ -8,8 +8,8 @@
 // checkEvacuated finds requests that reach a server of an evacuated zone after the propagation
 // delay and before the end of the evacuation.
 func (c *checker) checkEvacuated(a Arrival) {
-	life, call := c.Servers[a.Server], c.calls[a.ID]
-	if life == nil || call == nil || life.Zone != zoneNames[1] {
+	lifetime, call := c.Servers[a.Server], c.calls[a.ID]
+	if lifetime == nil || call == nil || lifetime.Zone != zoneNames[1] {
 		return
 	}
 	for _, e := range c.Evacuations {
@@ -29,16 +29,16 @@
 func (c *checker) checkColdRate() {
 	starts := map[string][]time.Time{}
 	for _, run := range c.Runs {
-		if life := c.Servers[run.Server]; life != nil && run.StartedAt.Before(life.ColdUntil) {
+		if lifetime := c.Servers[run.Server]; lifetime != nil && run.StartedAt.Before(lifetime.ColdUntil) {
 			starts[run.Server] = append(starts[run.Server], run.StartedAt)
 		}
 	}
-	for worker, times := range starts {
+	for server, times := range starts {
 		slices.SortFunc(times, time.Time.Compare)
 		for i, from := range times {
 			within, _ := slices.BinarySearchFunc(times, from.Add(coldWindow), time.Time.Compare)
 			if within-i > maxColdRate {
-				c.report("a cold server gets what it bears", "%s started %d runs in a second while it was cold", worker, within-i)
+				c.report("a cold server gets what it bears", "%s started %d runs in a second while it was cold", server, within-i)
 				break
 			}
 		}
--- a/proof/soak/longstreams.go
+++ b/proof/soak/longstreams.go
@@ -91,7 +91,7 @@
 	call.Disconnected = ctx.Err() != nil
 }
 
-func (w *testbed) newLongCaller(entry, number int) *caller {
-	seed := rand.New(rand.NewPCG(w.options.Seed, uint64(1000+entry*10+number))).Uint64()
-	return newCaller(fmt.Sprintf("%s%d-%d", longPrefix, entry, number), entry, w.callerLinks[entry].Address(), seed, w.records, w.newestVersion)
+func (tb *testbed) newLongCaller(entry, number int) *caller {
+	seed := rand.New(rand.NewPCG(tb.options.Seed, uint64(1000+entry*10+number))).Uint64()
+	return newCaller(fmt.Sprintf("%s%d-%d", longPrefix, entry, number), entry, tb.callerLinks[entry].Address(), seed, tb.records, tb.newestVersion)
 }
--- a/proof/soak/poison.go
+++ b/proof/soak/poison.go
@@ -118,19 +118,19 @@
 
 // sendPoison repeats a poison request, each time followed by a harmless one, at random
 // entries until the context ends.
-func (w *testbed) sendPoison(ctx context.Context, number int) {
+func (tb *testbed) sendPoison(ctx context.Context, number int) {
 	sleep(ctx, firstPoisonAt+time.Duration(number-1)*poisonInterval)
-	random := rand.New(rand.NewPCG(w.options.Seed, uint64(2+number)))
-	callers := make([]*caller, len(w.daemons))
-	for entry := range w.daemons {
-		callers[entry] = newCaller(fmt.Sprintf("f%d-%d", number, entry), entry, w.callerLinks[entry].Address(), w.options.Seed, w.records, w.newestVersion)
+	random := rand.New(rand.NewPCG(tb.options.Seed, uint64(2+number)))
+	callers := make([]*caller, len(tb.daemons))
+	for entry := range tb.daemons {
+		callers[entry] = newCaller(fmt.Sprintf("f%d-%d", number, entry), entry, tb.callerLinks[entry].Address(), tb.options.Seed, tb.records, tb.newestVersion)
 		defer callers[entry].client.CloseIdleConnections()
 	}
 	for ctx.Err() == nil {
 		c := callers[random.IntN(len(callers))]
 		disconnectAfter := time.Duration(0)
 		if number%2 == 0 {
-			disconnectAfter = minCrashDelay(w.options.MaxCrashDelay)
+			disconnectAfter = minCrashDelay(tb.options.MaxCrashDelay)
 		}
 		c.callPoison(number, number, disconnectAfter)
 		c.callPoison(number, 0, 0)
@@ -154,7 +154,7 @@
 	c.records.recordCall(call)
 }
 
-// quarantinedCode stands in the response of an entry that refuses a quarantined request.
+// quarantinedCode occurs in the response of an entry that refuses a quarantined request.
 const quarantinedCode = `"code":"quarantined"`
 
 // A request is quarantined after crashLimit crashes; entries that no fault affected may
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -134,11 +134,11 @@
 }
 
 // isAlive returns whether a backend server can be reached now.
-func (r *Records) isAlive(worker string) bool {
+func (r *Records) isAlive(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	life := r.Servers[worker]
-	return life != nil && life.To.IsZero()
+	lifetime := r.Servers[server]
+	return lifetime != nil && lifetime.To.IsZero()
 }
 
 // stoppedServers returns the IDs of backend servers that are no longer reachable.
@@ -146,8 +146,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for id, life := range r.Servers {
-		if !life.To.IsZero() {
+	for id, lifetime := range r.Servers {
+		if !lifetime.To.IsZero() {
 			ids = append(ids, id)
 		}
 	}
@@ -168,16 +168,16 @@
 	return &Records{DrainingSince: map[string]time.Time{}, Starts: map[int][]time.Time{}, LeftoverReservations: map[string]int{}, FirstUsedAt: map[string]time.Time{}, Servers: map[string]*ServerLifetime{}}
 }
 
-func (r *Records) recordServer(worker, service string) {
+func (r *Records) recordServer(server, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Servers[worker] = &ServerLifetime{Service: service, From: time.Now()}
+	r.Servers[server] = &ServerLifetime{Service: service, From: time.Now()}
 }
 
-func (r *Records) recordLocation(worker, zone string, cold time.Duration) {
+func (r *Records) recordLocation(server, zone string, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Servers[worker].Zone, r.Servers[worker].ColdUntil = zone, r.Servers[worker].From.Add(cold)
+	r.Servers[server].Zone, r.Servers[server].ColdUntil = zone, r.Servers[server].From.Add(cold)
 }
 
 // recordEvacuation records the start of an evacuation of the second zone, and returns a
@@ -194,11 +194,11 @@
 	}
 }
 
-func (r *Records) recordServerGone(worker string) {
+func (r *Records) recordServerGone(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if life := r.Servers[worker]; life != nil && life.To.IsZero() {
-		life.To = time.Now()
+	if lifetime := r.Servers[server]; lifetime != nil && lifetime.To.IsZero() {
+		lifetime.To = time.Now()
 	}
 }
 
@@ -271,11 +271,11 @@
 	r.Configs = append(r.Configs, ConfigChange{version, time.Now()})
 }
 
-func (r *Records) recordDraining(worker string) {
+func (r *Records) recordDraining(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.DrainingSince[worker]; !ok {
-		r.DrainingSince[worker] = time.Now()
+	if _, ok := r.DrainingSince[server]; !ok {
+		r.DrainingSince[server] = time.Now()
 	}
 }
 
@@ -304,10 +304,10 @@
 }
 
 // recordReservations records the reservations that are left at the end, and all spans.
-func (r *Records) recordReservations(left map[string]int, spans []standin.Held) {
+func (r *Records) recordReservations(leftover map[string]int, spans []standin.Held) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.LeftoverReservations, r.ReservationSpans = left, spans
+	r.LeftoverReservations, r.ReservationSpans = leftover, spans
 }
 
 // recordFirstUse records the first use of reservations; later uses are ignored.
--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -53,10 +53,10 @@
 // The removals are run manually and seldom. A safeguard that is moved or changed meanwhile leaves
 // its row with text that no longer occurs in the file.
 func TestTheTextOfEveryRemovalStandsOnce(t *testing.T) {
-	top, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	for _, r := range removals {
-		_, err := removal.Overlay(top, t.TempDir(), r.change)
+		_, err := removal.Overlay(root, t.TempDir(), r.change)
 		assert.NoError(t, err, r.guarantee)
 	}
 }
@@ -64,11 +64,11 @@
 // BenchmarkRemovals runs up to removalSeeds seeds without each safeguard, until a violation of
 // its guarantee is found. It is run manually: each removal takes half a minute.
 func BenchmarkRemovals(b *testing.B) {
-	top, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../..")
 	require.NoError(b, err)
 	for _, r := range removals {
 		b.Run(r.guarantee, func(b *testing.B) {
-			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.guarantee, r.change.File, r.findViolation(b, top))
+			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.guarantee, r.change.File, r.findViolation(b, root))
 		})
 	}
 }
@@ -79,8 +79,8 @@
 	removalLength = 20 * time.Second
 )
 
-func (r safeguardRemoval) findViolation(b *testing.B, top string) string {
-	overlay, err := removal.Overlay(top, b.TempDir(), r.change)
+func (r safeguardRemoval) findViolation(b *testing.B, root string) string {
+	overlay, err := removal.Overlay(root, b.TempDir(), r.change)
 	require.NoError(b, err)
 	binary := build(b, overlay)
 	for seed := range uint64(removalSeeds) {
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -34,19 +34,19 @@
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return report, fmt.Errorf("creating the folder of the run: %w", err)
 	}
-	w, err := newTestbed(o)
+	tb, err := newTestbed(o)
 	if err != nil {
-		w.close()
+		tb.close()
 		return report, err
 	}
-	err = errors.Join(w.run(report.Faults), w.records.Err)
-	report.Findings = Check(w.records, o.CheckTiming)
+	err = errors.Join(tb.run(report.Faults), tb.records.Err)
+	report.Findings = Check(tb.records, o.CheckTiming)
 	if report.Failed() {
-		err = errors.Join(err, w.saveFindings(report.Findings))
+		err = errors.Join(err, tb.saveFindings(report.Findings))
 	}
-	report.Calls, report.Runs = w.records.counts()
-	report.Crashes = len(w.records.Crashes)
-	for _, c := range w.records.Calls {
+	report.Calls, report.Runs = tb.records.counts()
+	report.Crashes = len(tb.records.Crashes)
+	for _, c := range tb.records.Calls {
 		if c.Status == 200 {
 			report.Succeeded++
 		}
@@ -55,12 +55,12 @@
 }
 
 // saveFindings writes the faults and the findings to a file next to the logs of the processes.
-func (w *testbed) saveFindings(findings []Finding) error {
-	text := w.records.describeFaults()
+func (tb *testbed) saveFindings(findings []Finding) error {
+	text := tb.records.describeFaults()
 	for _, f := range findings {
 		text += fmt.Sprintf("%s: %s\n", f.Guarantee, f.Detail)
 	}
-	if err := os.WriteFile(filepath.Join(w.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(tb.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
 		return fmt.Errorf("writing the findings: %w", err)
 	}
 	return nil
@@ -68,47 +68,47 @@
 
 // run starts the callers, injects the faults of the plan, lets the system recover and closes
 // the testbed.
-func (w *testbed) run(plan []ScheduledFault) error {
+func (tb *testbed) run(plan []ScheduledFault) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers, faults sync.WaitGroup
-	w.startCallers(ctx, &callers)
+	tb.startCallers(ctx, &callers)
 	failures := make(chan error, len(plan)+1)
 	started, nextProgress := time.Now(), time.Now().Add(progressInterval)
 	for _, fault := range plan {
 		time.Sleep(time.Until(started.Add(fault.At)))
 		if time.Now().After(nextProgress) {
-			w.reportProgress(time.Since(started))
+			tb.reportProgress(time.Since(started))
 			nextProgress = time.Now().Add(progressInterval)
 		}
 		faults.Go(func() {
-			if err := w.inject(fault); err != nil {
+			if err := tb.inject(fault); err != nil {
 				failures <- err
 			}
 		})
 	}
 	faults.Wait()
-	if err := w.awaitReady(); err != nil {
+	if err := tb.awaitReady(); err != nil {
 		failures <- err
 	}
-	w.records.recordFaultsEnded()
+	tb.records.recordFaultsEnded()
 	time.Sleep(RecoveryTime)
 	cancel()
 	callers.Wait()
-	w.awaitRelease()
-	w.close()
+	tb.awaitRelease()
+	tb.close()
 	close(failures)
 	return <-failures
 }
 
 const progressInterval = 5 * time.Second
 
-func (w *testbed) reportProgress(since time.Duration) {
-	if w.options.Progress == nil {
+func (tb *testbed) reportProgress(since time.Duration) {
+	if tb.options.Progress == nil {
 		return
 	}
-	calls, runs := w.records.counts()
-	_, _ = fmt.Fprintf(w.options.Progress, "seed %d: %s, %d calls, %d runs\n", w.options.Seed, since.Round(time.Second), calls, runs)
+	calls, runs := tb.records.counts()
+	_, _ = fmt.Fprintf(tb.options.Progress, "seed %d: %s, %d calls, %d runs\n", tb.options.Seed, since.Round(time.Second), calls, runs)
 }
 
 // maxReleaseTime bounds how long reservations may remain after the last request: the longest
@@ -116,17 +116,17 @@
 const maxReleaseTime = 8 * time.Second
 
 // awaitRelease waits for the release of all reservations, and records those that remain.
-func (w *testbed) awaitRelease() {
+func (tb *testbed) awaitRelease() {
 	deadline := time.Now().Add(maxReleaseTime)
 	for {
-		left := map[string]int{}
-		for _, s := range w.slots {
+		leftover := map[string]int{}
+		for _, s := range tb.slots {
 			if n := len(s.current().Reserved()); n > 0 {
-				left[s.current().ID] = n
+				leftover[s.current().ID] = n
 			}
 		}
-		if len(left) == 0 || time.Now().After(deadline) {
-			w.records.recordReservations(left, w.reservationSpans())
+		if len(leftover) == 0 || time.Now().After(deadline) {
+			tb.records.recordReservations(leftover, tb.reservationSpans())
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -134,9 +134,9 @@
 }
 
 // reservationSpans returns the reservations that were made at the servers that run at the end.
-func (w *testbed) reservationSpans() []standin.Held {
+func (tb *testbed) reservationSpans() []standin.Held {
 	var spans []standin.Held
-	for _, s := range w.slots {
+	for _, s := range tb.slots {
 		spans = append(spans, s.current().HeldSpans()...)
 	}
 	return spans
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -72,18 +72,18 @@
 	shared := runs[0]
 	shared.MaxPropagationDelay, shared.Entries = 4*time.Second, 5
 	// The same faults, with two poison requests.
-	fatal := runs[0]
-	fatal.PoisonRequests = 2
+	poisoned := runs[0]
+	poisoned.PoisonRequests = 2
 	// The same, with servers that crash after a delay, and callers that disconnect before.
-	held := fatal
-	held.MaxCrashDelay = DefaultMaxCrashDelay
+	delayed := poisoned
+	delayed.MaxCrashDelay = DefaultMaxCrashDelay
 	// The first run, with streams that outlast most graceful shutdowns.
 	long := runs[0]
 	long.LongStreamCallers = 1
 	// The first run, with evacuations of one of two zones, and servers that start cold.
 	zoned := runs[0]
 	zoned.MultiZone = true
-	for _, o := range append(runs, shared, fatal, held, long, zoned) {
+	for _, o := range append(runs, shared, poisoned, delayed, long, zoned) {
 		t.Run(fmt.Sprint(o.Seed, " ", o.MaxPropagationDelay, " ", o.PoisonRequests, " ", o.MaxCrashDelay, " ", o.LongStreamCallers, " ", o.MultiZone), func(t *testing.T) {
 			t.Parallel()
 			requireNoFindings(t, o, binary)
--- a/proof/soak/testbed.go
+++ b/proof/soak/testbed.go
@@ -44,14 +44,14 @@
 	if o.MaxPropagationDelay == 0 {
 		o.MaxPropagationDelay = DefaultMaxPropagationDelay
 	}
-	w := &testbed{options: o, records: newRecords(), store: standin.NewStore(), readinessClient: &http.Client{Timeout: time.Second}}
-	w.records.MaxPropagationDelay = o.MaxPropagationDelay
+	tb := &testbed{options: o, records: newRecords(), store: standin.NewStore(), readinessClient: &http.Client{Timeout: time.Second}}
+	tb.records.MaxPropagationDelay = o.MaxPropagationDelay
 	for range 3 {
-		w.changeConfiguration()
+		tb.changeConfiguration()
 	}
 	for i := range o.Servers {
-		if err := w.addSlot(i); err != nil {
-			return w, err
+		if err := tb.addSlot(i); err != nil {
+			return tb, err
 		}
 	}
 	var addresses, seeds []string
@@ -62,15 +62,15 @@
 		}
 	}
 	for i, host := range addresses {
-		if err := w.addEntry(i, host, seeds); err != nil {
-			return w, err
+		if err := tb.addEntry(i, host, seeds); err != nil {
+			return tb, err
 		}
 	}
-	return w, w.awaitReady()
+	return tb, tb.awaitReady()
 }
 
 // addSlot adds and starts a backend server; every third one serves the plain service.
-func (w *testbed) addSlot(index int) error {
+func (tb *testbed) addSlot(index int) error {
 	link, err := NewLink(fmt.Sprintf("%s:%d", newLoopbackHost(), portServer), "")
 	if err != nil {
 		return err
@@ -79,33 +79,33 @@
 	if index%3 == 2 {
 		service = plain
 	}
-	s := &slot{index: index, link: link, store: w.store, records: w.records, maxCrashDelay: w.options.MaxCrashDelay, service: service}
-	if w.options.MultiZone {
+	s := &slot{index: index, link: link, store: tb.store, records: tb.records, maxCrashDelay: tb.options.MaxCrashDelay, service: service}
+	if tb.options.MultiZone {
 		s.zone, s.coldDuration = zoneNames[index%len(zoneNames)], coldDuration
 	}
-	w.slots = append(w.slots, s)
+	tb.slots = append(tb.slots, s)
 	return s.start()
 }
 
-func (w *testbed) addEntry(index int, host string, seeds []string) error {
-	toStore, err := NewLink("127.0.0.1:0", w.store.Address())
+func (tb *testbed) addEntry(index int, host string, seeds []string) error {
+	toStore, err := NewLink("127.0.0.1:0", tb.store.Address())
 	if err != nil {
 		return err
 	}
-	settings := entrySettings(index, host, toStore.Address(), seeds, w.options.MaxPropagationDelay)
-	if w.options.LongStreamCallers > 0 && index%2 == 1 {
+	settings := entrySettings(index, host, toStore.Address(), seeds, tb.options.MaxPropagationDelay)
+	if tb.options.LongStreamCallers > 0 && index%2 == 1 {
 		settings.Processors = 4
 	}
 	front, err := NewLink("127.0.0.1:0", settings.ListenAddress)
 	if err != nil {
 		return err
 	}
-	w.storeLinks, w.callerLinks = append(w.storeLinks, toStore), append(w.callerLinks, front)
-	d, err := newDaemon(index, w.options.Binary, w.options.Folder, settings, w.records)
+	tb.storeLinks, tb.callerLinks = append(tb.storeLinks, toStore), append(tb.callerLinks, front)
+	d, err := newDaemon(index, tb.options.Binary, tb.options.Folder, settings, tb.records)
 	if err != nil {
 		return err
 	}
-	w.daemons = append(w.daemons, d)
+	tb.daemons = append(tb.daemons, d)
 	return nil
 }
 
@@ -113,10 +113,10 @@
 // once on few processors.
 const maxStartTime = 60 * time.Second
 
-func (w *testbed) awaitReady() error {
+func (tb *testbed) awaitReady() error {
 	deadline := time.Now().Add(maxStartTime)
-	for _, d := range w.daemons {
-		for !d.isReady(w.readinessClient) {
+	for _, d := range tb.daemons {
+		for !d.isReady(tb.readinessClient) {
 			if time.Now().After(deadline) {
 				return fmt.Errorf("%s is not ready after %s", d.settings.Name, maxStartTime)
 			}
@@ -128,22 +128,22 @@
 
 // changeConfiguration writes the next version. Each version adds a route and a key of its
 // own, and removes those of the version before the previous one.
-func (w *testbed) changeConfiguration() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.configVersion++
-	w.putConfiguration()
-	w.records.recordConfig(w.configVersion)
+func (tb *testbed) changeConfiguration() {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.configVersion++
+	tb.putConfiguration()
+	tb.records.recordConfig(tb.configVersion)
 }
 
 // putConfiguration writes the newest version. The caller holds the lock.
-func (w *testbed) putConfiguration() {
-	v := w.configVersion
+func (tb *testbed) putConfiguration() {
+	v := tb.configVersion
 	configuration := standin.ConfigurationWith(v, []string{versionPrefix(v), versionPrefix(v - 1)}, []string{versionKey(v), versionKey(v - 1)})
-	if w.options.MultiZone {
+	if tb.options.MultiZone {
 		standin.BoundCold(configuration, maxColdRate)
 	}
-	w.store.Put("op/config", configuration)
+	tb.store.Put("op/config", configuration)
 }
 
 // zoneNames are the zones of the backend servers; all entries are in the first.
@@ -157,35 +157,35 @@
 )
 
 // rewriteConfiguration writes the newest version again.
-func (w *testbed) rewriteConfiguration() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.putConfiguration()
+func (tb *testbed) rewriteConfiguration() {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.putConfiguration()
 }
 
-func (w *testbed) newestVersion() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.configVersion
+func (tb *testbed) newestVersion() int {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.configVersion
 }
 
 // inject injects one fault and returns when it is over.
-func (w *testbed) inject(fault ScheduledFault) error {
-	endFault := w.records.recordFault(fault.Kind, fault.Target)
+func (tb *testbed) inject(fault ScheduledFault) error {
+	endFault := tb.records.recordFault(fault.Kind, fault.Target)
 	defer endFault()
 	switch {
 	case fault.Kind.onEntry():
-		return w.injectEntryFault(fault)
+		return tb.injectEntryFault(fault)
 	case fault.Kind.onServer():
-		return w.injectServerFault(fault, w.slots[fault.Target])
+		return tb.injectServerFault(fault, tb.slots[fault.Target])
 	default:
-		w.injectStoreFault(fault)
+		tb.injectStoreFault(fault)
 	}
 	return nil
 }
 
-func (w *testbed) injectEntryFault(fault ScheduledFault) error {
-	d := w.daemons[fault.Target]
+func (tb *testbed) injectEntryFault(fault ScheduledFault) error {
+	d := tb.daemons[fault.Target]
 	switch fault.Kind {
 	case EntryKilled:
 		d.kill()
@@ -196,9 +196,9 @@
 	case SettingsChanged:
 		return d.reload()
 	case CallerLink:
-		injectLinkFault(w.callerLinks[fault.Target], fault)
+		injectLinkFault(tb.callerLinks[fault.Target], fault)
 	case StoreLink:
-		injectLinkFault(w.storeLinks[fault.Target], fault)
+		injectLinkFault(tb.storeLinks[fault.Target], fault)
 	}
 	return nil
 }
@@ -218,7 +218,7 @@
 	addressReuseDelay = 2 * time.Second
 )
 
-func (w *testbed) injectServerFault(fault ScheduledFault, s *slot) error {
+func (tb *testbed) injectServerFault(fault ScheduledFault, s *slot) error {
 	switch fault.Kind {
 	case ServerLink:
 		injectLinkFault(s.link, fault)
@@ -233,27 +233,27 @@
 			return nil // it is already being replaced
 		}
 		defer s.replacing.Unlock()
-		return w.replaceServer(fault, s)
+		return tb.replaceServer(fault, s)
 	}
 	return nil
 }
 
 // replaceServer starts the next server of a slot after the current one has crashed, has been
 // drained, or has crashed and left its address to the next one. The caller holds replacing.
-func (w *testbed) replaceServer(fault ScheduledFault, s *slot) error {
+func (tb *testbed) replaceServer(fault ScheduledFault, s *slot) error {
 	switch fault.Kind {
 	case ServerCrashed:
 		return s.crashFor(fault.Duration)
 	case ServerDrains:
 		s.drain()
-		time.Sleep(w.options.MaxPropagationDelay + time.Second)
+		time.Sleep(tb.options.MaxPropagationDelay + time.Second)
 		s.removeRow(s.current())
 		s.crash()
 		return s.start()
 	}
 	crashed := s.crash()
 	time.Sleep(addressReuseDelay)
-	w.switchService(s)
+	tb.switchService(s)
 	if err := s.start(); err != nil {
 		return err
 	}
@@ -268,11 +268,11 @@
 
 // switchService assigns the next server of a slot to the other service, unless its own
 // would be left with fewer than minServersPerService.
-func (w *testbed) switchService(s *slot) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tb *testbed) switchService(s *slot) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	same := 0
-	for _, other := range w.slots {
+	for _, other := range tb.slots {
 		if other.currentService() == s.currentService() {
 			same++
 		}
@@ -282,68 +282,68 @@
 	}
 }
 
-func (w *testbed) injectStoreFault(fault ScheduledFault) {
+func (tb *testbed) injectStoreFault(fault ScheduledFault) {
 	switch fault.Kind {
 	case StoreRefuses:
-		w.store.Refuse(http.StatusServiceUnavailable)
+		tb.store.Refuse(http.StatusServiceUnavailable)
 		time.Sleep(fault.Duration)
-		w.store.Refuse(0)
+		tb.store.Refuse(0)
 	case StoreHistoryLost:
-		w.store.Forget()
+		tb.store.Forget()
 	case ConfigChanges:
-		w.changeConfiguration()
+		tb.changeConfiguration()
 	case RowsExpire:
-		w.expireRows(fault.Duration)
+		tb.expireRows(fault.Duration)
 	case StoreRestored:
-		w.restore(fault.Duration)
+		tb.restore(fault.Duration)
 	case ZoneEvacuated:
-		w.evacuate(fault.Duration)
+		tb.evacuate(fault.Duration)
 	}
 }
 
 // evacuate evacuates the second zone for the given time.
-func (w *testbed) evacuate(length time.Duration) {
-	w.writeEvacuation(true)
-	endEvacuation := w.records.recordEvacuation()
+func (tb *testbed) evacuate(length time.Duration) {
+	tb.writeEvacuation(true)
+	endEvacuation := tb.records.recordEvacuation()
 	time.Sleep(length)
 	endEvacuation()
-	w.writeEvacuation(false)
+	tb.writeEvacuation(false)
 }
 
-func (w *testbed) writeEvacuation(evacuated bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.evacuating = evacuated
-	w.store.Evacuate(zoneNames[1], evacuated)
+func (tb *testbed) writeEvacuation(evacuated bool) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.evacuating = evacuated
+	tb.store.Evacuate(zoneNames[1], evacuated)
 }
 
 // rewriteEvacuation writes the last evacuation state of the second zone again.
-func (w *testbed) rewriteEvacuation() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.store.Evacuate(zoneNames[1], w.evacuating)
+func (tb *testbed) rewriteEvacuation() {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.store.Evacuate(zoneNames[1], tb.evacuating)
 }
 
 // restore takes a copy of the store, and restores the store from it after its age has passed.
 // The operators and the servers then write their latest state again, and the rows of stopped
 // servers are removed again.
-func (w *testbed) restore(age time.Duration) {
-	older := w.store.Copy()
+func (tb *testbed) restore(age time.Duration) {
+	older := tb.store.Copy()
 	time.Sleep(age)
-	w.store.Refuse(http.StatusServiceUnavailable)
+	tb.store.Refuse(http.StatusServiceUnavailable)
 	time.Sleep(storeRestoreDowntime)
-	w.store.Restore(older, nil)
-	w.store.Refuse(0)
+	tb.store.Restore(older, nil)
+	tb.store.Refuse(0)
 	time.Sleep(rowsRestoreDelay)
-	w.rewriteConfiguration()
-	if w.options.MultiZone {
-		w.rewriteEvacuation()
+	tb.rewriteConfiguration()
+	if tb.options.MultiZone {
+		tb.rewriteEvacuation()
 	}
-	for _, s := range w.slots {
+	for _, s := range tb.slots {
 		s.rewriteRow()
 	}
-	for _, id := range w.records.stoppedServers() {
-		w.store.Remove(standin.RowKey(id))
+	for _, id := range tb.records.stoppedServers() {
+		tb.store.Remove(standin.RowKey(id))
 	}
 }
 
@@ -352,16 +352,16 @@
 
 // expireRows makes the store unavailable, removes the rows of all servers meanwhile, and
 // writes those of running servers again after rowsRestoreDelay.
-func (w *testbed) expireRows(length time.Duration) {
-	w.store.Refuse(http.StatusServiceUnavailable)
-	for _, s := range w.slots {
+func (tb *testbed) expireRows(length time.Duration) {
+	tb.store.Refuse(http.StatusServiceUnavailable)
+	for _, s := range tb.slots {
 		key, _ := s.current().Row("")
-		w.store.Remove(key)
+		tb.store.Remove(key)
 	}
 	time.Sleep(length)
-	w.store.Refuse(0)
+	tb.store.Refuse(0)
 	time.Sleep(rowsRestoreDelay)
-	for _, s := range w.slots {
+	for _, s := range tb.slots {
 		s.restoreRow()
 	}
 }
@@ -371,43 +371,43 @@
 const rowsRestoreDelay = 700 * time.Millisecond
 
 // startCallers starts the callers of all entries, which run until the context ends.
-func (w *testbed) startCallers(ctx context.Context, callers *sync.WaitGroup) {
-	for i := range w.options.PoisonRequests {
-		callers.Go(func() { w.sendPoison(ctx, i+1) })
+func (tb *testbed) startCallers(ctx context.Context, callers *sync.WaitGroup) {
+	for i := range tb.options.PoisonRequests {
+		callers.Go(func() { tb.sendPoison(ctx, i+1) })
 	}
-	for entry := range w.daemons {
+	for entry := range tb.daemons {
 		for i := range callersPerEntry {
-			c := newCaller(fmt.Sprintf("c%d-%d", entry, i), entry, w.callerLinks[entry].Address(), w.options.Seed+uint64(entry*100+i), w.records, w.newestVersion)
+			c := newCaller(fmt.Sprintf("c%d-%d", entry, i), entry, tb.callerLinks[entry].Address(), tb.options.Seed+uint64(entry*100+i), tb.records, tb.newestVersion)
 			callers.Go(func() { c.run(ctx) })
 		}
-		for i := range w.options.LongStreamCallers {
-			c := w.newLongCaller(entry, i)
+		for i := range tb.options.LongStreamCallers {
+			c := tb.newLongCaller(entry, i)
 			callers.Go(func() { c.runLongStreams(ctx) })
 		}
 		// Probes bypass the link: they show the current configuration of the entry.
-		p := newCaller(fmt.Sprintf("p%d", entry), entry, w.daemons[entry].settings.ListenAddress, w.options.Seed, w.records, w.newestVersion)
+		p := newCaller(fmt.Sprintf("p%d", entry), entry, tb.daemons[entry].settings.ListenAddress, tb.options.Seed, tb.records, tb.newestVersion)
 		callers.Go(func() { p.probe(ctx) })
 	}
 }
 
 // close stops everything that the run has started.
-func (w *testbed) close() {
+func (tb *testbed) close() {
 	var stops sync.WaitGroup
-	for _, d := range w.daemons {
+	for _, d := range tb.daemons {
 		stops.Go(d.close)
 	}
 	stops.Wait()
-	for _, s := range w.slots {
+	for _, s := range tb.slots {
 		s.close()
 	}
-	for _, links := range [][]*Link{w.callerLinks, w.storeLinks} {
+	for _, links := range [][]*Link{tb.callerLinks, tb.storeLinks} {
 		for _, l := range links {
 			// Nothing uses the link any more.
 			_ = l.Close()
 		}
 	}
-	w.store.Refuse(http.StatusServiceUnavailable)
-	w.store.CloseClientConnections()
-	w.store.Close()
-	w.readinessClient.CloseIdleConnections()
+	tb.store.Refuse(http.StatusServiceUnavailable)
+	tb.store.CloseClientConnections()
+	tb.store.Close()
+	tb.readinessClient.CloseIdleConnections()
 }
