--- a/proof/soak/doc.go
+++ b/proof/soak/doc.go
@@ -3,8 +3,9 @@
 // backend servers observe.
 //
 // A seed determines the run: which faults are injected where, when and for how long.
-// All traffic of the processes passes through links of this package, which delay and
-// reset connections, or drop their traffic in one or both directions. Processes are
+// The daemons reach the store and the backend servers, and their callers reach them,
+// through links of this package, which delay and reset connections, or drop their traffic
+// in one or both directions. Only probes bypass the links. Processes are
 // killed, paused, shut down gracefully and notified of changed settings by signals.
 // Backend servers crash, drain, hand their address on to other servers and corrupt
 // responses. The metadata store refuses calls, loses its history, and loses rows.
