--- a/proof/soak/check_stop.go
+++ b/proof/soak/check_stop.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	// lossSlack is how soon after a request was sent its connection may be closed without an answer, and
-	// afterStop how late after SIGTERM a request may come that a stop need not bring to its end; both are
-	// the users' figures.
-	lossSlack = 200 * time.Millisecond
-	afterStop = 3 * time.Second
-	// lateStop is when a stop nears its limit, counted from SIGTERM. What servers still write then may be
-	// cut off; the users' figure is five sixths.
-	lateStop = stopLimit * 5 / 6
+	// A connection may be closed without a response within minReadTime after a request was
+	// sent. A graceful shutdown must complete the requests that come within stopAcceptWindow
+	// after SIGTERM. Both figures are requirements.
+	minReadTime      = 200 * time.Millisecond
+	stopAcceptWindow = 3 * time.Second
+	// stopLimitNear is the time after SIGTERM from which a graceful shutdown may abort the
+	// responses that servers are still writing: five sixths of the limit, a requirement.
+	stopLimitNear = stopLimit * 5 / 6
 )
 
-// answeredRead is the promise that a planned stop answers each request that the entry has read.
+// answeredRead is the guarantee that a graceful shutdown answers each request that the entry has read.
 const answeredRead = "a stop answers what it has read"
 
-// checkRead finds requests whose connection ends without a status line around a planned stop, though the
-// entry had time to read them.
-func (c *checker) checkRead(call *Call) {
-	if call.Status != 0 || call.Left || call.Ended.Sub(call.Began) < lossSlack+slack {
+// checkAnsweredOnStop finds requests whose connection ended without a status line during a
+// graceful shutdown, although the entry had time to read them.
+func (c *checker) checkAnsweredOnStop(call *Call) {
+	if call.Status != 0 || call.Disconnected || call.EndedAt.Sub(call.StartedAt) < minReadTime+schedulingSlack {
 		return
 	}
-	// A connection that lay idle while its link was silenced brings the entry nothing any more.
-	sound := call.Began.Add(-call.Idle)
-	if c.harmed(call.Entry, sound, call.Ended) || len(c.stops(call.Entry, call.Began, call.Ended)) == 0 {
+	// A connection that was idle while its link dropped traffic no longer reaches the entry.
+	connFreshSince := call.StartedAt.Add(-call.ConnIdleTime)
+	if c.wasUnreachable(call.Entry, connFreshSince, call.EndedAt) || len(c.stopsDuring(call.Entry, call.StartedAt, call.EndedAt)) == 0 {
 		return
 	}
-	c.found(answeredRead, "%s got no answer of entry %d after %s: %v", call.ID, call.Entry,
-		call.Ended.Sub(call.Began).Round(time.Millisecond), call.Err)
+	c.report(answeredRead, "%s got no response from entry %d after %s: %v", call.ID, call.Entry,
+		call.EndedAt.Sub(call.StartedAt).Round(time.Millisecond), call.Err)
 }
 
-// harmed says whether an entry's process or its link from callers was struck, so that it could not answer.
-func (c *checker) harmed(entry int, from, to time.Time) bool {
+// wasUnreachable returns whether a fault of an entry's process or caller link kept it from responding.
+func (c *checker) wasUnreachable(entry int, from, to time.Time) bool {
 	for _, f := range c.Faults {
-		strikes := f.Kind == EntryKilled || f.Kind == EntryPaused || f.Kind == FrontLink
-		if strikes && f.Target == entry && f.overlaps(from.Add(-stableWindow), to) {
+		disrupts := f.Kind == EntryKilled || f.Kind == EntryPaused || f.Kind == CallerLink
+		if disrupts && f.Target == entry && f.overlaps(from.Add(-stableWindow), to) {
 			return true
 		}
 	}
 	return false
 }
 
-// stops are the planned stops of an entry that overlap a span.
-func (c *checker) stops(entry int, from, to time.Time) []Interval {
+// stopsDuring returns the graceful shutdowns of an entry that overlap a time span.
+func (c *checker) stopsDuring(entry int, from, to time.Time) []Interval {
 	var found []Interval
 	for _, f := range c.Faults {
 		if f.Kind == EntryStopped && f.Target == entry && f.overlaps(from, to) {
@@ -53,15 +53,16 @@
 	return found
 }
 
-// outlastsStop says whether a call's answer was still being written when a stop of its entry neared its limit.
+// outlastsStop returns whether the response of a call was still being written when a graceful
+// shutdown of its entry neared its limit.
 func (c *checker) outlastsStop(call *Call) bool {
-	for _, stop := range c.stops(call.Entry, call.Began, call.Ended) {
-		late := stop.From.Add(lateStop)
-		if call.Status == 0 || call.Began.After(stop.From.Add(afterStop)) || call.Ended.Before(late) {
+	for _, stop := range c.stopsDuring(call.Entry, call.StartedAt, call.EndedAt) {
+		nearLimit := stop.From.Add(stopLimitNear)
+		if call.Status == 0 || call.StartedAt.After(stop.From.Add(stopAcceptWindow)) || call.EndedAt.Before(nearLimit) {
 			continue
 		}
 		for _, run := range c.runs[call.ID] {
-			if run.Ended.IsZero() || run.Ended.After(late) {
+			if run.EndedAt.IsZero() || run.EndedAt.After(nearLimit) {
 				return true
 			}
 		}
@@ -69,11 +70,11 @@
 	return false
 }
 
-// mayCut says whether the stop that ended in an exit came to its limit with a call open.
-func (c *checker) mayCut(e Exit) bool {
-	late := e.Began.Add(lateStop)
+// mayAbort returns whether a call was open when the graceful shutdown of an exit neared its limit.
+func (c *checker) mayAbort(e Exit) bool {
+	nearLimit := e.StopRequestedAt.Add(stopLimitNear)
 	for i := range c.Calls {
-		if call := &c.Calls[i]; call.Entry == e.Entry && call.Began.Before(late) && call.Ended.After(late) {
+		if call := &c.Calls[i]; call.Entry == e.Entry && call.StartedAt.Before(nearLimit) && call.EndedAt.After(nearLimit) {
 			return true
 		}
 	}
--- a/proof/soak/link.go
+++ b/proof/soak/link.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// LinkFault is what happens to the connections of a link.
+// LinkFault is a fault of the connections of a link.
 type LinkFault string
 
-// Faults of links. A silent direction swallows what is sent, for good on the
-// connections that were open, until the fault is over on new ones.
+// Faults of links. A link that drops traffic keeps its connections open. Connections that
+// exist during the fault lose their traffic for good, later ones work normally.
 const (
-	LinkFine      LinkFault = ""
-	LinkDelayed   LinkFault = "delayed"
-	LinkReset     LinkFault = "reset"
-	LinkSilent    LinkFault = "silent"
-	LinkSilentOut LinkFault = "requests swallowed"
-	LinkSilentIn  LinkFault = "answers swallowed"
+	LinkHealthy        LinkFault = ""
+	LinkDelayed        LinkFault = "delayed"
+	LinkReset          LinkFault = "reset"
+	LinkDropsBoth      LinkFault = "silent"
+	LinkDropsRequests  LinkFault = "requests swallowed"
+	LinkDropsResponses LinkFault = "answers swallowed"
 )
 
-var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkSilent, LinkSilentOut, LinkSilentIn}
+var linkFaults = []LinkFault{LinkDelayed, LinkReset, LinkDropsBoth, LinkDropsRequests, LinkDropsResponses}
 
-// linkDelay is added to each piece that passes a delayed link.
+// linkDelay is added to each chunk of data on a delayed link.
 const linkDelay = 150 * time.Millisecond
 
-// Link passes connections on to a target and harms them. Without a target it refuses them, as a
-// host does on which nothing listens.
+// Link is a TCP proxy that injects faults into the connections to its target. Without a
+// target it refuses connections, as a machine does on which nothing listens.
 type Link struct {
 	address string
 
@@ -43,47 +43,47 @@
 }
 
 type connection struct {
-	link     *Link
-	near     net.Conn
-	far      net.Conn
-	silenced [2]bool // requests, answers: for good
+	link    *Link
+	client  net.Conn
+	target  net.Conn
+	dropped [2]bool // by direction; never reset
 }
 
-// Directions of a connection.
+// Directions of the traffic of a connection: requests and responses.
 const (
-	outward = iota
-	inward
+	toTarget = iota
+	toClient
 )
 
-// NewLink passes connections to an address on to a target, which may be empty.
+// NewLink listens on an address and forwards connections to a target, which may be empty.
 func NewLink(address, target string) (*Link, error) {
 	l := &Link{address: address, open: map[*connection]bool{}}
 	return l, l.Retarget(target)
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
 }
 
-// Retarget sends new connections elsewhere. An empty target refuses them.
+// Retarget changes the target of new connections; with an empty one they are refused.
 func (l *Link) Retarget(target string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
 	switch {
 	case target == "":
-		return l.refuse()
+		return l.stopListening()
 	case l.listener == nil:
-		return l.listen()
+		return l.startListening()
 	}
 	return nil
 }
 
-// refuse closes the listener. The lock is held.
-func (l *Link) refuse() error {
+// stopListening closes the listener, if there is one. The caller holds the lock.
+func (l *Link) stopListening() error {
 	if l.listener == nil {
 		return nil
 	}
@@ -92,37 +92,37 @@
 	return err
 }
 
-// listen takes connections from now on. The lock is held.
-func (l *Link) listen() error {
-	listener, err := listenAgain(l.address)
+// startListening opens the listener. The caller holds the lock.
+func (l *Link) startListening() error {
+	listener, err := listenWithRetry(l.address)
 	if err != nil {
-		return fmt.Errorf("a link on %s: %w", l.address, err)
+		return fmt.Errorf("listening for a link on %s: %w", l.address, err)
 	}
-	// A port that the system has drawn stays the link's.
+	// Keeps a port that the operating system has chosen for later listeners.
 	l.listener, l.address = listener, listener.Addr().String()
 	go l.accept(listener)
 	return nil
 }
 
-// listenPatience is for how long an address may still be taken that was given up before.
-const listenPatience = 2 * time.Second
+// listenRetryTime bounds how long an address may stay in use after its listener was closed.
+const listenRetryTime = 2 * time.Second
 
-// listenAgain listens on an address on which this process may just have stopped to. A process that
-// is being started holds a copy of the closed listener until its program is loaded, which takes a
-// while where a hundred are started beside each other.
-func listenAgain(address string) (net.Listener, error) {
-	give := time.Now().Add(listenPatience)
+// listenWithRetry listens on an address, and retries while it is still in use by a listener
+// that this process has just closed. A child process that is being started holds a copy of
+// the closed listener until its exec, which takes a while if a hundred start at once.
+func listenWithRetry(address string) (net.Listener, error) {
+	deadline := time.Now().Add(listenRetryTime)
 	for {
 		listener, err := net.Listen("tcp", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(give) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Harm begins a fault, also on the open connections.
-func (l *Link) Harm(fault LinkFault) {
+// Inject starts a fault, also on open connections.
+func (l *Link) Inject(fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
@@ -130,17 +130,17 @@
 		switch fault {
 		case LinkReset:
 			c.reset()
-		case LinkSilent, LinkSilentOut, LinkSilentIn:
-			c.silence(fault)
+		case LinkDropsBoth, LinkDropsRequests, LinkDropsResponses:
+			c.dropTraffic(fault)
 		}
 	}
 }
 
-// Heal ends the fault; connections that were silenced stay so.
-func (l *Link) Heal() { l.Harm(LinkFine) }
+// Clear ends the fault; connections whose traffic was dropped stay affected.
+func (l *Link) Clear() { l.Inject(LinkHealthy) }
 
-// Cut resets the open connections.
-func (l *Link) Cut() {
+// ResetConnections resets the open connections.
+func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.open {
@@ -148,81 +148,81 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the listener and resets the open connections.
 func (l *Link) Close() error {
 	err := l.Retarget("")
-	l.Cut()
+	l.ResetConnections()
 	return err
 }
 
 func (l *Link) accept(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		go l.pass(near)
+		go l.forward(client)
 	}
 }
 
-// targetTimeout bounds the connection to a target on loopback.
+// targetTimeout bounds the time to connect to a target on loopback.
 const targetTimeout = time.Second
 
-func (l *Link) pass(near net.Conn) {
+func (l *Link) forward(client net.Conn) {
 	l.mu.Lock()
 	target, fault := l.target, l.fault
 	l.mu.Unlock()
-	far, err := net.DialTimeout("tcp", target, targetTimeout)
+	targetConn, err := net.DialTimeout("tcp", target, targetTimeout)
 	if err != nil || fault == LinkReset {
-		resetConnection(near)
-		if far != nil {
-			resetConnection(far)
+		resetConnection(client)
+		if targetConn != nil {
+			resetConnection(targetConn)
 		}
 		return
 	}
-	c := &connection{link: l, near: near, far: far}
+	c := &connection{link: l, client: client, target: targetConn}
 	l.mu.Lock()
 	l.open[c] = true
-	if l.fault == LinkSilent || l.fault == LinkSilentOut || l.fault == LinkSilentIn {
-		c.silence(l.fault)
+	if l.fault == LinkDropsBoth || l.fault == LinkDropsRequests || l.fault == LinkDropsResponses {
+		c.dropTraffic(l.fault)
 	}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { c.copy(outward, far, near) })
-	both.Go(func() { c.copy(inward, near, far) })
+	both.Go(func() { c.copy(toTarget, targetConn, client) })
+	both.Go(func() { c.copy(toClient, client, targetConn) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.open, c)
 	l.mu.Unlock()
-	// Both ends have been read to their ends; a close that fails changes nothing.
-	_, _ = near.Close(), far.Close()
+	// Both directions are done; an error of a close has no effect.
+	_, _ = client.Close(), targetConn.Close()
 }
 
-// copy passes one direction on until it ends. An orderly end is passed on as such,
-// any other one as a reset, so that a broken answer does not look whole.
+// copy forwards one direction until it ends. An end of file is forwarded as such, any error
+// as a reset, so that a truncated response does not look complete.
 func (c *connection) copy(direction int, to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		silenced, delayed := c.state(direction)
+		dropped, delayed := c.state(direction)
 		if delayed {
 			time.Sleep(linkDelay)
 		}
-		if n > 0 && !silenced {
-			if _, failed := to.Write(buffer[:n]); failed != nil {
+		if n > 0 && !dropped {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				c.reset()
 				return
 			}
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, io.EOF) && silenced:
+		case errors.Is(err, io.EOF) && dropped:
 			return
 		case errors.Is(err, io.EOF):
-			closeWriting(to)
+			closeWrite(to)
 			return
 		default:
 			c.reset()
@@ -231,34 +231,34 @@
 	}
 }
 
-func (c *connection) state(direction int) (silenced, delayed bool) {
+func (c *connection) state(direction int) (dropped, delayed bool) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
-	return c.silenced[direction], c.link.fault == LinkDelayed
+	return c.dropped[direction], c.link.fault == LinkDelayed
 }
 
-// silence swallows what is sent from now on. The link's lock is held.
-func (c *connection) silence(fault LinkFault) {
-	c.silenced[outward] = c.silenced[outward] || fault != LinkSilentIn
-	c.silenced[inward] = c.silenced[inward] || fault != LinkSilentOut
+// dropTraffic drops what is sent from now on. The caller holds the link's lock.
+func (c *connection) dropTraffic(fault LinkFault) {
+	c.dropped[toTarget] = c.dropped[toTarget] || fault != LinkDropsResponses
+	c.dropped[toClient] = c.dropped[toClient] || fault != LinkDropsRequests
 }
 
 func (c *connection) reset() {
-	resetConnection(c.near)
-	resetConnection(c.far)
+	resetConnection(c.client)
+	resetConnection(c.target)
 }
 
 func resetConnection(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without lingering the close sends a reset.
+		// With a linger time of 0 the close sends a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func closeWriting(c net.Conn) {
+func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// The other end may have gone; its own direction tells.
+		// The peer may already be closed; the other direction detects that.
 		_ = tcp.CloseWrite()
 	}
 }
--- a/proof/soak/link_test.go
+++ b/proof/soak/link_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) net.Listener {
+// echoServer returns the listener of a server that echoes each line.
+func echoServer(t *testing.T) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -53,7 +53,7 @@
 	return bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriter(c))
 }
 
-func say(c *bufio.ReadWriter, text string) (string, error) {
+func exchange(c *bufio.ReadWriter, text string) (string, error) {
 	if _, err := c.WriteString(text + "\n"); err != nil {
 		return "", err
 	}
@@ -63,42 +63,43 @@
 	return c.ReadString('\n')
 }
 
-func TestALinkPassesAndResets(t *testing.T) {
-	l := linkTo(t, echo(t).Addr().String())
+// An open connection is reset by the fault, and a new one works after it.
+func TestALinkForwardsAndResets(t *testing.T) {
+	l := linkTo(t, echoServer(t).Addr().String())
 	c := dial(t, l)
-	line, err := say(c, "hello")
+	line, err := exchange(c, "hello")
 	require.NoError(t, err)
 	require.Equal(t, "hello\n", line)
-	l.Harm(LinkReset)
-	_, err = say(c, "again")
+	l.Inject(LinkReset)
+	_, err = exchange(c, "again")
 	require.Error(t, err)
-	l.Heal()
-	line, err = say(dial(t, l), "anew")
+	l.Clear()
+	line, err = exchange(dial(t, l), "anew")
 	require.NoError(t, err)
 	require.Equal(t, "anew\n", line)
 }
 
-// A connection that was silenced stays so for good, while new ones work.
-func TestASilencedConnectionStaysSilent(t *testing.T) {
-	for _, fault := range []LinkFault{LinkSilent, LinkSilentIn, LinkSilentOut} {
-		l := linkTo(t, echo(t).Addr().String())
+// A connection whose traffic was dropped stays affected after the fault, while new ones work.
+func TestADroppedConnectionDoesNotRecover(t *testing.T) {
+	for _, fault := range []LinkFault{LinkDropsBoth, LinkDropsResponses, LinkDropsRequests} {
+		l := linkTo(t, echoServer(t).Addr().String())
 		old := dial(t, l)
-		_, err := say(old, "hello")
+		_, err := exchange(old, "hello")
 		require.NoError(t, err)
-		l.Harm(fault)
-		l.Heal()
-		heard := make(chan struct{})
+		l.Inject(fault)
+		l.Clear()
+		answered := make(chan struct{})
 		go func() {
-			if _, err := say(old, "lost"); err == nil {
-				close(heard)
+			if _, err := exchange(old, "lost"); err == nil {
+				close(answered)
 			}
 		}()
-		line, err := say(dial(t, l), "anew")
+		line, err := exchange(dial(t, l), "anew")
 		require.NoError(t, err, fault)
 		require.Equal(t, "anew\n", line)
 		select {
-		case <-heard:
-			t.Fatalf("%s: the old connection still speaks", fault)
+		case <-answered:
+			t.Fatalf("%s: the old connection still works", fault)
 		default:
 		}
 	}
--- a/proof/soak/plan.go
+++ b/proof/soak/plan.go
@@ -7,192 +7,196 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
-type Kind string
+// FaultKind identifies a fault or a planned operation.
+type FaultKind string
 
-// Kinds of faults. A target is an entry for the first group, a backend server for
-// the second, and nothing for the store's.
+// Kinds of faults. The target is an entry for the first group and a backend server for
+// the second; the last group, of the store and the operators, has none.
 const (
-	EntryKilled     Kind = "entry killed"
-	EntryPaused     Kind = "entry paused"
-	EntryStopped    Kind = "entry stopped"
-	SettingsChanged Kind = "settings changed"
-	FrontLink       Kind = "link from callers"
-	StoreLink       Kind = "link to the store"
-
-	WorkerCrashed    Kind = "worker crashed"
-	WorkerLeaves     Kind = "worker leaves"
-	AddressReused    Kind = "address reused"
-	WorkerMisbehaves Kind = "worker misbehaves"
-	WorkerLink       Kind = "link to a worker"
-
-	StoreRefuses  Kind = "store refuses"
-	StoreForgets  Kind = "store forgets its history"
-	RowsLapse     Kind = "rows lapse"
-	ConfigChanges Kind = "configuration changes"
-	// StoreRestored: it comes back from a copy as old as the fault is long.
-	StoreRestored Kind = "store restored"
-	// ZoneEvacuated: the second zone is to get nothing new for as long.
-	ZoneEvacuated Kind = "zone evacuated"
+	EntryKilled     FaultKind = "entry killed"
+	EntryPaused     FaultKind = "entry paused"
+	EntryStopped    FaultKind = "entry stopped"
+	SettingsChanged FaultKind = "settings changed"
+	CallerLink      FaultKind = "link from callers"
+	StoreLink       FaultKind = "link to the store"
+
+	ServerCrashed    FaultKind = "worker crashed"
+	ServerDrains     FaultKind = "worker leaves"
+	AddressReused    FaultKind = "address reused"
+	ServerMisbehaves FaultKind = "worker misbehaves"
+	ServerLink       FaultKind = "link to a worker"
+
+	StoreRefuses     FaultKind = "store refuses"
+	StoreHistoryLost FaultKind = "store forgets its history"
+	RowsExpire       FaultKind = "rows lapse"
+	ConfigChanges    FaultKind = "configuration changes"
+	// StoreRestored restores the store from a copy whose age is the duration of the fault.
+	StoreRestored FaultKind = "store restored"
+	// ZoneEvacuated keeps new requests from the second zone for the duration of the fault.
+	ZoneEvacuated FaultKind = "zone evacuated"
 )
 
-// planned says that a kind is planned work, beside which nothing may be cut.
-func (k Kind) planned() bool {
-	return k == EntryStopped || k == SettingsChanged || k == ConfigChanges || k == WorkerLeaves || k == ZoneEvacuated
+// isPlanned returns whether a kind is a planned operation, which must not abort requests.
+func (k FaultKind) isPlanned() bool {
+	return k == EntryStopped || k == SettingsChanged || k == ConfigChanges || k == ServerDrains || k == ZoneEvacuated
 }
 
-// onEntry and onWorker say what a kind strikes.
-func (k Kind) onEntry() bool {
-	return slices.Contains([]Kind{EntryKilled, EntryPaused, EntryStopped, SettingsChanged, FrontLink, StoreLink}, k)
+// onEntry returns whether the target of a kind is an entry.
+func (k FaultKind) onEntry() bool {
+	return slices.Contains([]FaultKind{EntryKilled, EntryPaused, EntryStopped, SettingsChanged, CallerLink, StoreLink}, k)
 }
 
-func (k Kind) onWorker() bool {
-	return slices.Contains([]Kind{WorkerCrashed, WorkerLeaves, AddressReused, WorkerMisbehaves, WorkerLink}, k)
+// onServer returns whether the target of a kind is a backend server.
+func (k FaultKind) onServer() bool {
+	return slices.Contains([]FaultKind{ServerCrashed, ServerDrains, AddressReused, ServerMisbehaves, ServerLink}, k)
 }
 
-// Step is one fault.
-type Step struct {
-	At     time.Duration
-	For    time.Duration
-	Kind   Kind
-	Target int
-	// Link is what happens on a link.
-	Link LinkFault
+// ScheduledFault is one fault of a plan; At counts from the start of the run.
+type ScheduledFault struct {
+	At       time.Duration
+	Duration time.Duration
+	Kind     FaultKind
+	Target   int
+	// LinkFault applies to the kinds that target a link.
+	LinkFault LinkFault
 }
 
-// weights are how often each kind is drawn.
-var weights = []struct {
-	kind   Kind
+// faultWeights are the relative frequencies of the kinds.
+var faultWeights = []struct {
+	kind   FaultKind
 	weight int
 }{
-	{EntryKilled, 5}, {EntryPaused, 5}, {EntryStopped, 6}, {SettingsChanged, 4}, {FrontLink, 4}, {StoreLink, 6},
-	{WorkerCrashed, 5}, {WorkerLeaves, 6}, {AddressReused, 3}, {WorkerMisbehaves, 8}, {WorkerLink, 6},
-	{StoreRefuses, 3}, {StoreForgets, 2}, {RowsLapse, 2}, {ConfigChanges, 9},
+	{EntryKilled, 5}, {EntryPaused, 5}, {EntryStopped, 6}, {SettingsChanged, 4}, {CallerLink, 4}, {StoreLink, 6},
+	{ServerCrashed, 5}, {ServerDrains, 6}, {AddressReused, 3}, {ServerMisbehaves, 8}, {ServerLink, 6},
+	{StoreRefuses, 3}, {StoreHistoryLost, 2}, {RowsExpire, 2}, {ConfigChanges, 9},
 }
 
 const (
-	// meanGap is the mean time between two draws in a run of usualTargets entries
-	// and servers; larger runs are struck more often, so that each target is as
-	// often.
-	meanGap      = 500 * time.Millisecond
-	usualTargets = 12
-	// seriesShare is how many draws come as a series, of up to seriesMost
-	// strikes on one target after the other, or againShare of them on the same one
-	// again and again.
+	// meanFaultGap is the mean time between two draws in a run of baselineTargets
+	// entries and servers. Larger runs get more faults, so that the rate per target
+	// stays the same.
+	meanFaultGap    = 500 * time.Millisecond
+	baselineTargets = 12
+	// seriesShare is the share of draws that yield a series of up to maxSeries faults,
+	// seriesGap apart. In a share of repeatShare they all hit the same target, else one
+	// target after the other.
 	seriesShare = 0.3
-	againShare  = 0.4
-	seriesMost  = 4
+	repeatShare = 0.4
+	maxSeries   = 4
 	seriesGap   = 400 * time.Millisecond
-	// longestFault bounds a fault; the shortest lasts a tenth of it.
-	longestFault = 5 * time.Second
-	// firstFault leaves the daemons time to become ready.
-	firstFault = time.Second
+	// maxFaultDuration bounds a fault; the shortest lasts a tenth of it.
+	maxFaultDuration = 5 * time.Second
+	// firstFaultAt leaves the daemons time to become ready.
+	firstFaultAt = time.Second
 )
 
-// Plan draws the faults of a run, in the order of time.
-func Plan(o Options) []Step {
+// Plan draws the faults of a run from its seed, ordered by time.
+func Plan(o Options) []ScheduledFault {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
-	perGap := max(float64(o.Entries+o.Workers)/usualTargets, 1)
-	var steps []Step
-	for at := firstFault; at < o.Length; {
-		steps = append(steps, series(random, o, at)...)
-		at += time.Duration(random.ExpFloat64() * float64(meanGap) / perGap)
+	scale := max(float64(o.Entries+o.Servers)/baselineTargets, 1)
+	var faults []ScheduledFault
+	for at := firstFaultAt; at < o.FaultDuration; {
+		faults = append(faults, drawSeries(random, o, at)...)
+		at += time.Duration(random.ExpFloat64() * float64(meanFaultGap) / scale)
 	}
-	steps = append(steps, longSteps(random, o)...)
-	steps = append(steps, evacuations(o)...)
-	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	return steps
+	faults = append(faults, planLongStreamFaults(random, o)...)
+	faults = append(faults, planEvacuations(o)...)
+	slices.SortStableFunc(faults, func(a, b ScheduledFault) int { return cmp.Compare(a.At, b.At) })
+	return faults
 }
 
-// longSteps draws stops of the entries that nothing else than planned work strikes, each after the one before
-// has come to its end, and one return of the store from an older copy.
-func longSteps(random *rand.Rand, o Options) []Step {
-	if o.Long == 0 {
+// planLongStreamFaults draws one restore of the store from an older copy, and graceful
+// shutdowns of the entries that only planned operations target. The shutdowns of an entry
+// don't overlap.
+func planLongStreamFaults(random *rand.Rand, o Options) []ScheduledFault {
+	if o.LongStreamCallers == 0 {
 		return nil
 	}
-	age := min(time.Duration(random.Int64N(int64(longestFault))), o.Length-firstFault)
-	steps := []Step{{At: firstFault + time.Duration(random.Int64N(int64(o.Length-firstFault-age)+1)), For: age, Kind: StoreRestored}}
-	for entry := o.targets(EntryKilled); entry < o.Entries; entry++ {
-		at := firstFault + time.Duration(random.Int64N(int64(longestFault)))
-		for ; at < o.Length; at += stopLimit + time.Duration(random.Int64N(int64(longestFault))) {
-			steps = append(steps, Step{At: at, Kind: EntryStopped, Target: entry})
+	age := min(time.Duration(random.Int64N(int64(maxFaultDuration))), o.FaultDuration-firstFaultAt)
+	faults := []ScheduledFault{{At: firstFaultAt + time.Duration(random.Int64N(int64(o.FaultDuration-firstFaultAt-age)+1)), Duration: age, Kind: StoreRestored}}
+	for entry := o.targetCount(EntryKilled); entry < o.Entries; entry++ {
+		at := firstFaultAt + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		for ; at < o.FaultDuration; at += stopLimit + time.Duration(random.Int64N(int64(maxFaultDuration))) {
+			faults = append(faults, ScheduledFault{At: at, Kind: EntryStopped, Target: entry})
 		}
 	}
-	return steps
+	return faults
 }
 
 const (
-	// evacuationGap is the mean time between two evacuations, evacuationBeyond how much longer than changes take to be in
-	// force one lasts at the least.
-	evacuationGap    = 3 * time.Second
-	evacuationBeyond = 2 * time.Second
+	// meanEvacuationGap is the mean time between two evacuations, minEvacuationExcess the
+	// least time by which one outlasts the propagation delay of changes.
+	meanEvacuationGap   = 3 * time.Second
+	minEvacuationExcess = 2 * time.Second
 )
 
-// evacuations draws evacuations of the second zone, one after the other. They have random numbers of their own: the faults
-// of a seed stay what they were.
-func evacuations(o Options) []Step {
-	if !o.Zones {
+// planEvacuations draws consecutive evacuations of the second zone. They use a random
+// source of their own, so that they don't alter the other faults of a seed.
+func planEvacuations(o Options) []ScheduledFault {
+	if !o.MultiZone {
 		return nil
 	}
 	random := rand.New(rand.NewPCG(o.Seed, 2))
-	var steps []Step
-	for at := firstFault; at < o.Length; {
-		length := o.ChangeBound + slack + evacuationBeyond + time.Duration(random.Int64N(int64(longestFault)))
-		steps = append(steps, Step{At: at, For: length, Kind: ZoneEvacuated})
-		at += length + time.Duration(random.ExpFloat64()*float64(evacuationGap))
+	var faults []ScheduledFault
+	for at := firstFaultAt; at < o.FaultDuration; {
+		length := o.MaxPropagationDelay + schedulingSlack + minEvacuationExcess + time.Duration(random.Int64N(int64(maxFaultDuration)))
+		faults = append(faults, ScheduledFault{At: at, Duration: length, Kind: ZoneEvacuated})
+		at += length + time.Duration(random.ExpFloat64()*float64(meanEvacuationGap))
 	}
-	return steps
+	return faults
 }
 
-func series(random *rand.Rand, o Options, at time.Duration) []Step {
+// drawSeries draws a fault and, in a share of cases, repetitions on the same or the next targets.
+func drawSeries(random *rand.Rand, o Options, at time.Duration) []ScheduledFault {
 	count := 1
 	if random.Float64() < seriesShare {
-		count = 2 + random.IntN(seriesMost-1)
+		count = 2 + random.IntN(maxSeries-1)
 	}
-	first := draw(random, o)
-	again := random.Float64() < againShare
-	var steps []Step
+	first := drawFault(random, o)
+	repeat := random.Float64() < repeatShare
+	var faults []ScheduledFault
 	for i := range count {
-		step := first
-		step.At = at + time.Duration(i)*seriesGap
-		if !again {
-			step.Target = (first.Target + i) % o.targets(first.Kind)
+		fault := first
+		fault.At = at + time.Duration(i)*seriesGap
+		if !repeat {
+			fault.Target = (first.Target + i) % o.targetCount(first.Kind)
 		}
-		if step.At < o.Length {
-			step.For = min(step.For, o.Length-step.At)
-			steps = append(steps, step)
+		if fault.At < o.FaultDuration {
+			fault.Duration = min(fault.Duration, o.FaultDuration-fault.At)
+			faults = append(faults, fault)
 		}
 	}
-	return steps
+	return faults
 }
 
-// targets is how many things a kind may strike.
-func (o Options) targets(kind Kind) int {
+// targetCount returns the number of targets that a kind may hit.
+func (o Options) targetCount(kind FaultKind) int {
 	switch {
-	case o.Long > 0 && kind.onEntry() && !kind.planned():
-		// The others' stops come to their ends undisturbed: a stop lasts for longer than faults lie apart.
+	case o.LongStreamCallers > 0 && kind.onEntry() && !kind.isPlanned():
+		// Unplanned faults spare the other half, so that their shutdowns can complete: a
+		// shutdown lasts longer than the gap between faults.
 		return (o.Entries + 1) / 2
 	case kind.onEntry():
 		return o.Entries
-	case kind.onWorker():
-		return o.Workers
+	case kind.onServer():
+		return o.Servers
 	}
 	return 1
 }
 
-func draw(random *rand.Rand, o Options) Step {
-	sum := 0
-	for _, w := range weights {
-		sum += w.weight
+func drawFault(random *rand.Rand, o Options) ScheduledFault {
+	total := 0
+	for _, w := range faultWeights {
+		total += w.weight
 	}
-	kind, left := weights[0].kind, random.IntN(sum)
-	for _, w := range weights {
-		if left < w.weight {
+	kind, rest := faultWeights[0].kind, random.IntN(total)
+	for _, w := range faultWeights {
+		if rest < w.weight {
 			kind = w.kind
 			break
 		}
-		left -= w.weight
+		rest -= w.weight
 	}
-	return Step{Kind: kind, Target: random.IntN(o.targets(kind)), For: time.Duration((0.1 + 0.9*random.Float64()) * float64(longestFault)),
-		Link: linkFaults[random.IntN(len(linkFaults))]}
+	return ScheduledFault{Kind: kind, Target: random.IntN(o.targetCount(kind)), Duration: time.Duration((0.1 + 0.9*random.Float64()) * float64(maxFaultDuration)),
+		LinkFault: linkFaults[random.IntN(len(linkFaults))]}
 }
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -8,180 +8,181 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Call is one request as its caller saw it.
+// Call records one request as its caller observed it.
 type Call struct {
-	ID, Path, Key string
-	Kind          CallKind
-	Entry         int
-	Began, Ended  time.Time
-	// Wait is how long the caller said that it waits.
-	Wait time.Duration
-	// Status is 0 if no answer came.
+	ID, Path, Key      string
+	Kind               CallKind
+	Entry              int
+	StartedAt, EndedAt time.Time
+	// Timeout is the time limit that the caller announced in the request.
+	Timeout time.Duration
+	// Status is 0 if no response came.
 	Status    int
 	Signature string
 	Body      string
-	// Whole says that the answer came to its orderly end; Err why it did not.
-	Whole bool
-	Err   error
-	// Left says that the caller gave up early, at Ended.
-	Left bool
-	// Spoiled says what of the answer can't be this request's own; empty if
-	// nothing.
-	Spoiled string
-	// Marker is the configuration that a probe asked for, 0 for none.
-	Marker int
-	// Idle is for how long its connection had lain idle; 0 for a new one.
-	Idle time.Duration
-	// Fatal is the number of a request that ends servers, 0 for a sound one.
-	Fatal int
-}
-
-// CallKind is what may be done with a request.
+	// Complete tells that the response ended regularly; otherwise Err is the cause.
+	Complete bool
+	Err      error
+	// Disconnected tells that the caller gave up early, at EndedAt.
+	Disconnected bool
+	// Corruption describes content of the response that can't belong to this request.
+	Corruption string
+	// ConfigVersion is the configuration that a probe checks for, 0 for other calls.
+	ConfigVersion int
+	// ConnIdleTime is how long the connection had been idle; 0 for a new one.
+	ConnIdleTime time.Duration
+	// PoisonNumber identifies a poison request; 0 for a harmless one.
+	PoisonNumber int
+}
+
+// CallKind determines how often a request may run, or what a probe checks.
 type CallKind uint8
 
 // Kinds of calls.
 const (
-	Order  CallKind = iota // at most once
-	Read                   // any number of times
-	Stream                 // may be resumed elsewhere
-	Once                   // a stream, at most once
-	Probe                  // shows the configuration in force
-	OldKey                 // carries a key that was taken away
+	AtMostOnce       CallKind = iota // a plain request that may run at most once
+	Retryable                        // a plain request that may run any number of times
+	ResumableStream                  // a stream that may be resumed at another server
+	AtMostOnceStream                 // a stream that may run at most once
+	ConfigProbe                      // shows the current configuration of the entry
+	RevokedKeyProbe                  // carries a revoked key
 )
 
-func (k CallKind) atMostOnce() bool { return k == Order || k == Once }
-func (k CallKind) streams() bool    { return k == Stream || k == Once }
+func (k CallKind) atMostOnce() bool { return k == AtMostOnce || k == AtMostOnceStream }
+func (k CallKind) streams() bool    { return k == ResumableStream || k == AtMostOnceStream }
 
-// Run is one run of a request at a backend server.
+// Run records one execution of a request at a backend server.
 type Run struct {
-	ID, Worker, Service, Workspace, Key string
+	ID, Server, Service, Workspace, Key string
 	Slot                                int
-	Began, Ended                        time.Time
+	StartedAt, EndedAt                  time.Time
 	Status                              int
 	LastEvent                           string
 	Remaining                           time.Duration
-	// Spoiled says that the server broke or forged its answer.
-	Spoiled bool
+	// Faulty tells that the server mishandled the request, which excuses an incomplete response.
+	Faulty bool
 }
 
-// Arrival is a request that reached a backend server, run or not.
+// Arrival records that a request reached a backend server, whether it was run or not.
 type Arrival struct {
-	ID, Worker, Service string
+	ID, Server, Service string
 	At                  time.Time
 }
 
-// Interval is a time in which a fault struck.
+// Interval is the time during which a fault was injected; To is zero while it lasts.
 type Interval struct {
-	Kind     Kind
+	Kind     FaultKind
 	Target   int
 	From, To time.Time
 }
 
-// ConfigChange is a version that the store has acknowledged.
+// ConfigChange records when the store acknowledged a version of the configuration.
 type ConfigChange struct {
 	Version int
 	At      time.Time
 }
 
-// Records is everything that was seen. The fields may be read once all has ended.
+// Records collects everything that callers and servers observed in a run. Its fields may be
+// read without the lock only after the run.
 type Records struct {
 	mu sync.Mutex
-	// ChangeBound is that of the run's options.
-	ChangeBound time.Duration
+	// MaxPropagationDelay is copied from the options of the run.
+	MaxPropagationDelay time.Duration
 
 	Calls    []Call
 	Runs     []*Run
 	Arrivals []Arrival
 	Faults   []Interval
 	Configs  []ConfigChange
-	// Leaving is when the store acknowledged that a server leaves.
-	Leaving map[string]time.Time
-	// Starts are when each entry's processes were started.
+	// DrainingSince is when the store acknowledged that a server drains, by server ID.
+	DrainingSince map[string]time.Time
+	// Starts are the start times of the processes of each entry.
 	Starts map[int][]time.Time
-	// Ends are the ends of servers under fatal requests, in the order of time.
-	Ends []End
-	// Lives are the lives of backend servers, by their names.
-	Lives map[string]*Life
-	// Exits are the ends that were asked for by a planned stop or by nothing.
+	// Crashes are the crashes of servers under poison requests, ordered by time.
+	Crashes []Crash
+	// Servers are the lifetimes of backend servers by ID.
+	Servers map[string]*ServerLifetime
+	// Exits are exits of daemons after a graceful shutdown, or without a signal from the run.
 	Exits []Exit
-	// Evacuations are the spans from the store's acknowledgement that the second zone is evacuated until it is taken back.
+	// Evacuations last from the store's acknowledgement that the second zone is evacuated
+	// until just before the evacuation is revoked.
 	Evacuations []Interval
-	// Calm is when the last fault was over.
-	Calm time.Time
-	// Reserved are the reservations that stand at the end, by server.
-	Reserved map[string]int
-	// Failure is why the run itself could not go on, if it couldn't.
-	Failure error
-	// Held are the spans in which servers set memory aside, Used the first uses by id.
-	Held []standin.Held
-	Used map[string]time.Time
-}
-
-// Life is how long a backend server could be reached; To is zero while it can.
-type Life struct {
+	// FaultsEndedAt is when the last fault was over; the recovery phase starts then.
+	FaultsEndedAt time.Time
+	// LeftoverReservations are the numbers of reservations at the end, by server ID.
+	LeftoverReservations map[string]int
+	// Err joins the errors that kept the run itself from being carried out.
+	Err error
+	// ReservationSpans are the times during which servers reserved memory, FirstUsedAt the
+	// times of the first use by reservation ID.
+	ReservationSpans []standin.Held
+	FirstUsedAt      map[string]time.Time
+}
+
+// ServerLifetime is the time in which a backend server was reachable; To is zero while it is.
+type ServerLifetime struct {
 	Service  string
 	From, To time.Time
-	// Zone is the server's, Cold until when it is cold.
-	Zone string
-	Cold time.Time
+	// The server is cold until ColdUntil.
+	Zone      string
+	ColdUntil time.Time
 }
 
-// covers says whether the server could be reached at a time.
-func (l *Life) covers(at time.Time) bool {
+// wasReachable returns whether the server could be reached at a time.
+func (l *ServerLifetime) wasReachable(at time.Time) bool {
 	return !l.From.After(at) && (l.To.IsZero() || l.To.After(at))
 }
 
-// isAlive says whether a backend server can be reached.
-func (r *Records) isAlive(worker string) bool {
+// isAlive returns whether a backend server can be reached now.
+func (r *Records) isAlive(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	life := r.Lives[worker]
-	return life != nil && life.To.IsZero()
+	lifetime := r.Servers[server]
+	return lifetime != nil && lifetime.To.IsZero()
 }
 
-// endedServers are the backend servers that can't be reached any more.
-func (r *Records) endedServers() []string {
+// stoppedServers returns the IDs of backend servers that are no longer reachable.
+func (r *Records) stoppedServers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for id, life := range r.Lives {
-		if !life.To.IsZero() {
+	for id, lifetime := range r.Servers {
+		if !lifetime.To.IsZero() {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Exit is the end of a process that was asked to stop.
+// Exit records the exit of a process after a graceful shutdown, or by itself.
 type Exit struct {
-	Entry int
-	Code  int
-	Began time.Time
-	Took  time.Duration
-	// ByItself says that nothing asked for it.
-	ByItself bool
+	Entry           int
+	Code            int
+	StopRequestedAt time.Time
+	Took            time.Duration
+	// Unrequested tells that the run had sent no signal that terminates the process.
+	Unrequested bool
 }
 
 func newRecords() *Records {
-	return &Records{Leaving: map[string]time.Time{}, Starts: map[int][]time.Time{}, Reserved: map[string]int{}, Used: map[string]time.Time{}, Lives: map[string]*Life{}}
+	return &Records{DrainingSince: map[string]time.Time{}, Starts: map[int][]time.Time{}, LeftoverReservations: map[string]int{}, FirstUsedAt: map[string]time.Time{}, Servers: map[string]*ServerLifetime{}}
 }
 
-// lives notes that a backend server can be reached, gone that it can't any more.
-func (r *Records) lives(worker, service string) {
+func (r *Records) recordServer(server, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Lives[worker] = &Life{Service: service, From: time.Now()}
+	r.Servers[server] = &ServerLifetime{Service: service, From: time.Now()}
 }
 
-// located notes where a backend server is and for how long it is cold.
-func (r *Records) located(worker, zone string, cold time.Duration) {
+func (r *Records) recordLocation(server, zone string, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Lives[worker].Zone, r.Lives[worker].Cold = zone, r.Lives[worker].From.Add(cold)
+	r.Servers[server].Zone, r.Servers[server].ColdUntil = zone, r.Servers[server].From.Add(cold)
 }
 
-// evacuated notes that the second zone is evacuated and returns what notes that it is about to be taken back.
-func (r *Records) evacuated() func() {
+// recordEvacuation records the start of an evacuation of the second zone, and returns a
+// function that records its end.
+func (r *Records) recordEvacuation() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.Evacuations)
@@ -193,66 +194,66 @@
 	}
 }
 
-func (r *Records) gone(worker string) {
+func (r *Records) recordServerGone(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if life := r.Lives[worker]; life != nil && life.To.IsZero() {
-		life.To = time.Now()
+	if lifetime := r.Servers[server]; lifetime != nil && lifetime.To.IsZero() {
+		lifetime.To = time.Now()
 	}
 }
 
-func (r *Records) call(c Call) {
+func (r *Records) recordCall(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Calls = append(r.Calls, c)
 }
 
-func (r *Records) arrival(a Arrival) {
+func (r *Records) recordArrival(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Arrivals = append(r.Arrivals, a)
 }
 
-func (r *Records) run(run *Run) {
+func (r *Records) recordRun(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Runs = append(r.Runs, run)
 }
 
-// ranFatal notes a run under which its server ends.
-func (r *Records) ranFatal(id string, slot int, w *standin.Worker) {
+// recordPoisonRun records the run of a poison request, under which its server crashes.
+func (r *Records) recordPoisonRun(id string, slot int, w *standin.Worker) {
 	now := time.Now()
-	r.run(&Run{ID: id, Worker: w.ID, Service: w.Service, Workspace: "press", Slot: slot, Began: now, Ended: now, Remaining: time.Nanosecond, Spoiled: true})
+	r.recordRun(&Run{ID: id, Server: w.ID, Service: w.Service, Workspace: "press", Slot: slot, StartedAt: now, EndedAt: now, Remaining: time.Nanosecond, Faulty: true})
 }
 
-func (r *Records) end(e End) {
+func (r *Records) recordCrash(e Crash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Ends = append(r.Ends, e)
+	r.Crashes = append(r.Crashes, e)
 }
 
-func (r *Records) failure(err error) {
+func (r *Records) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Failure = errors.Join(r.Failure, err)
+	r.Err = errors.Join(r.Err, err)
 }
 
-// ended notes how a run ended.
-func (r *Records) ended(run *Run, status int) {
+// recordRunEnd records the end and the status of a run.
+func (r *Records) recordRunEnd(run *Run, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Ended, run.Status = time.Now(), status
+	run.EndedAt, run.Status = time.Now(), status
 }
 
-// spoiled notes that a run's answer is broken or forged.
-func (r *Records) spoiled(run *Run) {
+// recordFaulty records that the server misbehaves in a run.
+func (r *Records) recordFaulty(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Spoiled = true
+	run.Faulty = true
 }
 
-// fault notes a fault's beginning and returns what notes its end.
-func (r *Records) fault(kind Kind, target int) func() {
+// recordFault records the start of a fault and returns a function that records its end.
+func (r *Records) recordFault(kind FaultKind, target int) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.Faults)
@@ -264,27 +265,27 @@
 	}
 }
 
-func (r *Records) configured(version int) {
+func (r *Records) recordConfig(version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Configs = append(r.Configs, ConfigChange{version, time.Now()})
 }
 
-func (r *Records) leaves(worker string) {
+func (r *Records) recordDraining(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.Leaving[worker]; !ok {
-		r.Leaving[worker] = time.Now()
+	if _, ok := r.DrainingSince[server]; !ok {
+		r.DrainingSince[server] = time.Now()
 	}
 }
 
-func (r *Records) started(entry int) {
+func (r *Records) recordStart(entry int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Starts[entry] = append(r.Starts[entry], time.Now())
 }
 
-func (r *Records) exited(e Exit) {
+func (r *Records) recordExit(e Exit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Exits = append(r.Exits, e)
@@ -296,27 +297,26 @@
 	return len(r.Calls), len(r.Runs)
 }
 
-// calm notes that the last fault is over.
-func (r *Records) calm() {
+func (r *Records) recordFaultsEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Calm = time.Now()
+	r.FaultsEndedAt = time.Now()
 }
 
-// reserved notes what is left of reservations at the end, and those that there were.
-func (r *Records) reserved(left map[string]int, held []standin.Held) {
+// recordReservations records the reservations that are left at the end, and all spans.
+func (r *Records) recordReservations(leftover map[string]int, spans []standin.Held) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Reserved, r.Held = left, held
+	r.LeftoverReservations, r.ReservationSpans = leftover, spans
 }
 
-// used notes the first use of reservations.
-func (r *Records) used(ids []string) {
+// recordFirstUse records the first use of reservations; later uses are ignored.
+func (r *Records) recordFirstUse(ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		if r.Used[id].IsZero() {
-			r.Used[id] = time.Now()
+		if r.FirstUsedAt[id].IsZero() {
+			r.FirstUsedAt[id] = time.Now()
 		}
 	}
 }
--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -13,20 +13,20 @@
 	"arbutusdeck/proof/removal"
 )
 
-// broken is a promise, and the change that takes its safeguard out of the program. The
-// soak must then find that it is broken.
-type broken struct {
-	promise string
-	change  removal.Change
+// safeguardRemoval is a guarantee and the source change that removes its safeguard. The soak
+// must then find a violation of the guarantee.
+type safeguardRemoval struct {
+	guarantee string
+	change    removal.Change
 }
 
 func without(file, old, new string) removal.Change {
 	return removal.Change{File: file, Old: old, New: new}
 }
 
-// removals cover the promises that a program can be made to break. The remaining ones
-// are shown red on records alone.
-var removals = []broken{
+// removals cover the guarantees that a source change can violate. The checks of the others
+// are tested on records alone.
+var removals = []safeguardRemoval{
 	{"at most once", without("core/execution/forward.go", "		return true\n	}\n	return false\n", "		return true\n	}\n	return true\n")},
 	{"not run is true", without("core/execution/forward.go", "	f.mayHaveRun = true\n	return f.decide(now, f.mayRetry(result)", "	return f.decide(now, f.mayRetry(result)")},
 	{"the whole answer to its own request", without("entry/gateway/try.go", "	if answer.ID != \"\" && answer.ID != e.info.ID {", "	if false {")},
@@ -50,48 +50,48 @@
 	{"no process ends by itself", without("entry/gateway/settingsloop.go", "	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds", "	os.Exit(1)\n	s.log.WithFields(logrus.Fields{\"seeds\": settings.Seeds")},
 }
 
-// The removals are played by hand and seldom. Meanwhile a safeguard is moved or changed, and the row
-// that takes it out names text that is not there.
+// The removals are run manually and seldom. A safeguard that is moved or changed meanwhile leaves
+// its row with text that no longer occurs in the file.
 func TestTheTextOfEveryRemovalStandsOnce(t *testing.T) {
-	top, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	for _, r := range removals {
-		_, err := removal.Overlay(top, t.TempDir(), r.change)
-		assert.NoError(t, err, r.promise)
+		_, err := removal.Overlay(root, t.TempDir(), r.change)
+		assert.NoError(t, err, r.guarantee)
 	}
 }
 
-// BenchmarkRemovals plays up to removalSeeds seeds without each safeguard, until the
-// promise is found broken. It is played by hand: each removal takes half a minute.
+// BenchmarkRemovals runs up to removalSeeds seeds without each safeguard, until a violation of
+// its guarantee is found. It is run manually: each removal takes half a minute.
 func BenchmarkRemovals(b *testing.B) {
-	top, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../..")
 	require.NoError(b, err)
 	for _, r := range removals {
-		b.Run(r.promise, func(b *testing.B) {
-			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.promise, r.change.File, r.red(b, top))
+		b.Run(r.guarantee, func(b *testing.B) {
+			fmt.Fprintf(os.Stderr, "%-40s %-36s %s\n", r.guarantee, r.change.File, r.findViolation(b, root))
 		})
 	}
 }
 
-// removalSeeds and removalLength bound the search for one broken promise.
+// removalSeeds and removalLength bound the search for one violation.
 const (
 	removalSeeds  = 4
 	removalLength = 20 * time.Second
 )
 
-func (r broken) red(b *testing.B, top string) string {
-	overlay, err := removal.Overlay(top, b.TempDir(), r.change)
+func (r safeguardRemoval) findViolation(b *testing.B, root string) string {
+	overlay, err := removal.Overlay(root, b.TempDir(), r.change)
 	require.NoError(b, err)
 	binary := build(b, overlay)
 	for seed := range uint64(removalSeeds) {
-		report, err := Play(Options{Seed: seed, Length: removalLength, Entries: 5, Workers: 9, Fatal: 4, FatalHold: DefaultFatalHold, Long: 2, Binary: binary, Folder: b.TempDir(), Timed: true})
+		report, err := Execute(Options{Seed: seed, FaultDuration: removalLength, Entries: 5, Servers: 9, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay, LongStreamCallers: 2, Binary: binary, Folder: b.TempDir(), CheckTiming: true})
 		require.NoError(b, err)
 		for _, f := range report.Findings {
-			if f.Promise == r.promise {
+			if f.Guarantee == r.guarantee {
 				return fmt.Sprintf("seed %d: %s", seed, f.Detail)
 			}
 		}
 	}
-	b.Errorf("%s: nothing is found without the safeguard in %s", r.promise, r.change.File)
+	b.Errorf("%s: no violation found without the safeguard in %s", r.guarantee, r.change.File)
 	return "not found"
 }
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -12,131 +12,132 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Report is the outcome of a run.
+// Report summarizes a run.
 type Report struct {
-	Seed     uint64
-	Steps    []Step
-	Calls    int
-	Answered int
-	Runs     int
-	// Ended is how many servers have ended under fatal requests.
-	Ended    int
+	Seed      uint64
+	Faults    []ScheduledFault
+	Calls     int
+	Succeeded int
+	Runs      int
+	// Crashes is the number of crashes of servers under poison requests.
+	Crashes  int
 	Findings []Finding
 }
 
-// Failed says that a promise was broken.
+// Failed returns whether a guarantee was violated.
 func (r Report) Failed() bool { return len(r.Findings) > 0 }
 
-// Play plays one seed. An error means that the run itself could not be carried out.
-func Play(o Options) (Report, error) {
-	report := Report{Seed: o.Seed, Steps: Plan(o)}
+// Execute runs the plan of one seed and checks its records. An error means that the run
+// itself could not be carried out; violated guarantees are findings of the report.
+func Execute(o Options) (Report, error) {
+	report := Report{Seed: o.Seed, Faults: Plan(o)}
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
-		return report, fmt.Errorf("the folder of a run: %w", err)
+		return report, fmt.Errorf("creating the folder of the run: %w", err)
 	}
-	w, err := newWorld(o)
+	tb, err := newTestbed(o)
 	if err != nil {
-		w.close()
+		tb.close()
 		return report, err
 	}
-	err = errors.Join(w.play(report.Steps), w.records.Failure)
-	report.Findings = Check(w.records, o.Timed)
+	err = errors.Join(tb.run(report.Faults), tb.records.Err)
+	report.Findings = Check(tb.records, o.CheckTiming)
 	if report.Failed() {
-		err = errors.Join(err, w.keep(report.Findings))
+		err = errors.Join(err, tb.saveFindings(report.Findings))
 	}
-	report.Calls, report.Runs = w.records.counts()
-	report.Ended = len(w.records.Ends)
-	for _, c := range w.records.Calls {
+	report.Calls, report.Runs = tb.records.counts()
+	report.Crashes = len(tb.records.Crashes)
+	for _, c := range tb.records.Calls {
 		if c.Status == 200 {
-			report.Answered++
+			report.Succeeded++
 		}
 	}
 	return report, err
 }
 
-// keep writes what struck and what was found beside the logs of the processes.
-func (w *world) keep(findings []Finding) error {
-	text := w.records.faultLines()
+// saveFindings writes the faults and the findings to a file next to the logs of the processes.
+func (tb *testbed) saveFindings(findings []Finding) error {
+	text := tb.records.describeFaults()
 	for _, f := range findings {
-		text += fmt.Sprintf("%s: %s\n", f.Promise, f.Detail)
+		text += fmt.Sprintf("%s: %s\n", f.Guarantee, f.Detail)
 	}
-	if err := os.WriteFile(filepath.Join(w.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
-		return fmt.Errorf("the findings: %w", err)
+	if err := os.WriteFile(filepath.Join(tb.options.Folder, "findings.txt"), []byte(text), 0o600); err != nil {
+		return fmt.Errorf("writing the findings: %w", err)
 	}
 	return nil
 }
 
-// play lets callers come, faults strike and the system recover, and ends all.
-func (w *world) play(steps []Step) error {
+// run starts the callers, injects the faults of the plan, lets the system recover and closes
+// the testbed.
+func (tb *testbed) run(plan []ScheduledFault) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers, faults sync.WaitGroup
-	w.call(ctx, &callers)
-	failures := make(chan error, len(steps)+1)
-	began, next := time.Now(), time.Now().Add(progressGap)
-	for _, step := range steps {
-		time.Sleep(time.Until(began.Add(step.At)))
-		if time.Now().After(next) {
-			w.progress(time.Since(began))
-			next = time.Now().Add(progressGap)
+	tb.startCallers(ctx, &callers)
+	failures := make(chan error, len(plan)+1)
+	started, nextProgress := time.Now(), time.Now().Add(progressInterval)
+	for _, fault := range plan {
+		time.Sleep(time.Until(started.Add(fault.At)))
+		if time.Now().After(nextProgress) {
+			tb.reportProgress(time.Since(started))
+			nextProgress = time.Now().Add(progressInterval)
 		}
 		faults.Go(func() {
-			if err := w.strike(step); err != nil {
+			if err := tb.inject(fault); err != nil {
 				failures <- err
 			}
 		})
 	}
 	faults.Wait()
-	if err := w.awaitReady(); err != nil {
+	if err := tb.awaitReady(); err != nil {
 		failures <- err
 	}
-	w.records.calm()
-	time.Sleep(CalmTime)
+	tb.records.recordFaultsEnded()
+	time.Sleep(RecoveryTime)
 	cancel()
 	callers.Wait()
-	w.awaitMemory()
-	w.close()
+	tb.awaitRelease()
+	tb.close()
 	close(failures)
 	return <-failures
 }
 
-// progressGap is the time between two lines of progress.
-const progressGap = 5 * time.Second
+const progressInterval = 5 * time.Second
 
-func (w *world) progress(since time.Duration) {
-	if w.options.Progress == nil {
+func (tb *testbed) reportProgress(since time.Duration) {
+	if tb.options.Progress == nil {
 		return
 	}
-	calls, runs := w.records.counts()
-	_, _ = fmt.Fprintf(w.options.Progress, "seed %d: %s, %d calls, %d runs\n", w.options.Seed, since.Round(time.Second), calls, runs)
+	calls, runs := tb.records.counts()
+	_, _ = fmt.Fprintf(tb.options.Progress, "seed %d: %s, %d calls, %d runs\n", tb.options.Seed, since.Round(time.Second), calls, runs)
 }
 
-// memoryBound is how long reservations may stand after the last request: the longest
-// hold and a few orders.
-const memoryBound = 8 * time.Second
+// maxReleaseTime bounds how long reservations may remain after the last request: the longest
+// reservation timeout and a few orders.
+const maxReleaseTime = 8 * time.Second
 
-// awaitMemory notes the reservations that stay after the last request.
-func (w *world) awaitMemory() {
-	give := time.Now().Add(memoryBound)
+// awaitRelease waits for the release of all reservations, and records those that remain.
+func (tb *testbed) awaitRelease() {
+	deadline := time.Now().Add(maxReleaseTime)
 	for {
-		left := map[string]int{}
-		for _, s := range w.slots {
+		leftover := map[string]int{}
+		for _, s := range tb.slots {
 			if n := len(s.current().Reserved()); n > 0 {
-				left[s.current().ID] = n
+				leftover[s.current().ID] = n
 			}
 		}
-		if len(left) == 0 || time.Now().After(give) {
-			w.records.reserved(left, w.heldSpans())
+		if len(leftover) == 0 || time.Now().After(deadline) {
+			tb.records.recordReservations(leftover, tb.reservationSpans())
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// heldSpans are the reservations that there were at the servers that run at the end.
-func (w *world) heldSpans() []standin.Held {
-	var held []standin.Held
-	for _, s := range w.slots {
-		held = append(held, s.current().HeldSpans()...)
+// reservationSpans returns the reservations that were made at the servers that run at the end.
+func (tb *testbed) reservationSpans() []standin.Held {
+	var spans []standin.Held
+	for _, s := range tb.slots {
+		spans = append(spans, s.current().HeldSpans()...)
 	}
-	return held
+	return spans
 }
--- a/proof/soak/soak_test.go
+++ b/proof/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// build makes the entry's program, with the sources of an overlay if there is one.
+// build builds the entry daemon, with an overlay of its sources unless that is empty.
 func build(t testing.TB, overlay string) string {
 	binary := filepath.Join(t.TempDir(), "arbutus-entry")
 	command := exec.Command("go", "build", "-o", binary, "-overlay", overlay, "arbutusdeck/entry/cmd/arbutus-entry")
@@ -22,25 +22,25 @@
 	return binary
 }
 
-// The same seed strikes the same things at the same moments.
-func TestAPlanRepeats(t *testing.T) {
-	o := Options{Seed: 7, Length: 20 * time.Second, Entries: 5, Workers: 9}
+// A seed determines the plan: its kinds, targets and times.
+func TestASeedDeterminesThePlan(t *testing.T) {
+	o := Options{Seed: 7, FaultDuration: 20 * time.Second, Entries: 5, Servers: 9}
 	require.Equal(t, Plan(o), Plan(o))
 	require.Greater(t, len(Plan(o)), 10)
 	o.Seed = 8
-	require.NotEqual(t, Plan(Options{Seed: 7, Length: o.Length, Entries: 5, Workers: 9}), Plan(o))
+	require.NotEqual(t, Plan(Options{Seed: 7, FaultDuration: o.FaultDuration, Entries: 5, Servers: 9}), Plan(o))
 	for _, step := range Plan(o) {
-		require.LessOrEqual(t, step.At+step.For, o.Length)
+		require.LessOrEqual(t, step.At+step.Duration, o.FaultDuration)
 	}
 }
 
-// kept reads the runs that tests play: one that covers much, and those that once
-// broke a promise.
-func kept(t *testing.T) []Options {
+// savedRuns reads the runs of testdata/seeds.txt: one that covers all groups of faults, and
+// those that once had findings.
+func savedRuns(t *testing.T) []Options {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, file.Close()) }()
-	var found []Options
+	var runs []Options
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "#") {
@@ -48,61 +48,61 @@
 		}
 		var o Options
 		var seconds int
-		var bound, hold string
-		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Workers, &seconds, &bound, &o.Fatal, &hold, &o.Long, &o.Zones)
+		var bound, delay string
+		_, err := fmt.Sscan(lines.Text(), &o.Seed, &o.Entries, &o.Servers, &seconds, &bound, &o.PoisonRequests, &delay, &o.LongStreamCallers, &o.MultiZone)
 		require.NoError(t, err, lines.Text())
-		o.FatalHold, err = time.ParseDuration(hold)
+		o.MaxCrashDelay, err = time.ParseDuration(delay)
 		require.NoError(t, err, lines.Text())
-		o.Length = time.Duration(seconds) * time.Second
-		o.ChangeBound, err = time.ParseDuration(bound)
+		o.FaultDuration = time.Duration(seconds) * time.Second
+		o.MaxPropagationDelay, err = time.ParseDuration(bound)
 		require.NoError(t, err, lines.Text())
-		found = append(found, o)
+		runs = append(runs, o)
 	}
 	require.NoError(t, lines.Err())
-	return found
+	return runs
 }
 
-// Entries, servers, links and the store are struck for some seconds. Callers keep to
-// their connections meanwhile; what they and the servers saw must agree with every
-// promise that rests on no time.
+// Faults hit entries, servers, links and the store for some seconds, while callers reuse their
+// connections. What the callers and the servers observe must satisfy every guarantee that bounds
+// no time.
 func TestSeededRunsKeepEveryPromise(t *testing.T) {
 	binary := build(t, "")
-	runs := kept(t)
-	// The same faults where two entries read the store for all.
+	runs := savedRuns(t)
+	// The same faults, while two entries read the store for all.
 	shared := runs[0]
-	shared.ChangeBound, shared.Entries = 4*time.Second, 5
-	// The same faults while two requests come again and again that end servers.
-	fatal := runs[0]
-	fatal.Fatal = 2
-	// The same, whose servers end a while after they have begun them, and many of whose callers leave.
-	held := fatal
-	held.FatalHold = DefaultFatalHold
-	// The same, while streams outlast most stops.
+	shared.MaxPropagationDelay, shared.Entries = 4*time.Second, 5
+	// The same faults, with two poison requests.
+	poisoned := runs[0]
+	poisoned.PoisonRequests = 2
+	// The same, with servers that crash after a delay, and callers that disconnect before.
+	delayed := poisoned
+	delayed.MaxCrashDelay = DefaultMaxCrashDelay
+	// The first run, with streams that outlast most graceful shutdowns.
 	long := runs[0]
-	long.Long = 1
-	// The same, while one of two zones is evacuated now and then and servers come back cold.
+	long.LongStreamCallers = 1
+	// The first run, with evacuations of one of two zones, and servers that start cold.
 	zoned := runs[0]
-	zoned.Zones = true
-	for _, o := range append(runs, shared, fatal, held, long, zoned) {
-		t.Run(fmt.Sprint(o.Seed, " ", o.ChangeBound, " ", o.Fatal, " ", o.FatalHold, " ", o.Long, " ", o.Zones), func(t *testing.T) {
+	zoned.MultiZone = true
+	for _, o := range append(runs, shared, poisoned, delayed, long, zoned) {
+		t.Run(fmt.Sprint(o.Seed, " ", o.MaxPropagationDelay, " ", o.PoisonRequests, " ", o.MaxCrashDelay, " ", o.LongStreamCallers, " ", o.MultiZone), func(t *testing.T) {
 			t.Parallel()
-			keepsEveryPromise(t, o, binary)
+			requireNoFindings(t, o, binary)
 		})
 	}
 }
 
-func keepsEveryPromise(t *testing.T, o Options, binary string) {
+func requireNoFindings(t *testing.T, o Options, binary string) {
 	o.Binary, o.Folder = binary, t.TempDir()
-	report, err := Play(o)
+	report, err := Execute(o)
 	require.NoError(t, err)
 	require.Empty(t, report.Findings)
-	require.Positive(t, report.Answered)
+	require.Positive(t, report.Succeeded)
 }
 
-// Two requests end the same two servers of a service, up to the fifth time, some of it after all other
-// faults. The check of the calm part once took sends that the users allow for too many; and once, beside
-// busy processes, half of the requests were not served after the last fault.
-func TestASeedWhoseServersEndInTheCalmPart(t *testing.T) {
-	o := Options{Seed: 30120415, Entries: 6, Workers: 9, Length: 15 * time.Second, ChangeBound: 4 * time.Second, Fatal: 4, FatalHold: DefaultFatalHold}
-	keepsEveryPromise(t, o, build(t, ""))
+// Two poison requests crash the same two servers of a service up to five times, some of them in the
+// recovery phase. The check of that phase must not count allowed sends as findings, and at least
+// half of the requests must succeed after the last fault, also beside busy processes.
+func TestASeedWhoseServersCrashInTheRecoveryPhase(t *testing.T) {
+	o := Options{Seed: 30120415, Entries: 6, Servers: 9, FaultDuration: 15 * time.Second, MaxPropagationDelay: 4 * time.Second, PoisonRequests: 4, MaxCrashDelay: DefaultMaxCrashDelay}
+	requireNoFindings(t, o, build(t, ""))
 }
