--- a/entry/gateway/world_test.go
+++ b/entry/gateway/world_test.go
@@ -20,8 +20,8 @@
 	"arbutusdeck/platform/standin"
 )
 
-// patience bounds waits for something that has to happen.
-const patience = 20 * time.Second
+// testTimeout bounds waits for something that has to happen.
+const testTimeout = 20 * time.Second
 
 var nextHost atomic.Int32
 
@@ -32,16 +32,16 @@
 	return fmt.Sprintf("127.%d.%d.%d", 80+pid%100, (pid/100+n/250)%250, 1+n%250)
 }
 
-// world is one entry or several, their servers and the platform's store, all on loopback.
-type world struct {
+// testbed is one entry or several, their servers and the platform's store, all on loopback.
+type testbed struct {
 	t       *testing.T
 	store   *standin.Store
 	workers []*standin.Worker
 	version int
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: standin.NewStore(), version: 1}
+func newTestbed(t *testing.T) *testbed {
+	w := &testbed{t: t, store: standin.NewStore(), version: 1}
 	t.Cleanup(func() {
 		w.store.Refuse(http.StatusServiceUnavailable)
 		w.store.CloseClientConnections()
@@ -51,21 +51,21 @@
 }
 
 // worker adds a backend server. It must be set up before its row is written.
-func (w *world) worker(id, service string, script http.HandlerFunc) *standin.Worker {
+func (w *testbed) worker(id, service string, script http.HandlerFunc) *standin.Worker {
 	worker := standin.NewWorker(id, service)
 	worker.Script = script
-	w.list(worker)
+	w.addRow(worker)
 	return worker
 }
 
-// list writes a backend server's row, and ends it with the test.
-func (w *world) list(worker *standin.Worker) {
+// addRow writes a backend server's row, and ends it with the test.
+func (w *testbed) addRow(worker *standin.Worker) {
 	w.t.Cleanup(worker.Close)
 	w.store.Put(worker.Row("ready"))
 	w.workers = append(w.workers, worker)
 }
 
-func (w *world) configure(change func(map[string]any)) {
+func (w *testbed) configure(change func(map[string]any)) {
 	w.version++
 	configuration := standin.Configuration(w.version)
 	if change != nil {
@@ -74,7 +74,7 @@
 	w.store.Put("op/config", configuration)
 }
 
-func (w *world) settings(seeds ...string) Settings {
+func (w *testbed) settings(seeds ...string) Settings {
 	host := loopbackHost()
 	return Settings{Name: "entry", Zone: "here", ListenAddress: host + ":7801", ReadyAddress: host + ":7802", PeerAddress: host + ":7803",
 		MetricsAddress: host + ":7804", Store: w.store.Address(), Seeds: seeds, MemoryMB: 200, Processors: 2,
@@ -83,14 +83,14 @@
 }
 
 // start runs an entry until the test ends.
-func (w *world) start(settings Settings) *Server {
+func (w *testbed) start(settings Settings) *Server {
 	s := New(Options{Settings: settings, Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
-	w.run(s)
+	w.startServer(s)
 	return s
 }
 
-// run starts an entry that ends with the test.
-func (w *world) run(s *Server) {
+// startServer starts an entry that ends with the test.
+func (w *testbed) startServer(s *Server) {
 	t := &tomb.Tomb{}
 	t.Go(func() error {
 		<-t.Dying()
@@ -104,22 +104,22 @@
 }
 
 // serve runs an entry and waits until it is ready.
-func (w *world) serve() *Server {
+func (w *testbed) serve() *Server {
 	s := w.start(w.settings())
-	w.eventually("the entry is ready", func() bool { return s.manager.State() == lifecycle.Serving && w.known(s) })
+	w.eventually("the entry is ready", func() bool { return s.manager.State() == lifecycle.Serving && w.isCurrent(s) })
 	return s
 }
 
-// known says whether the entry knows all workers and the newest configuration.
-func (w *world) known(s *Server) bool {
+// isCurrent says whether the entry knows all workers and the newest configuration.
+func (w *testbed) isCurrent(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.directory.All()) == len(w.workers) && s.table.Load() != nil && s.table.Load().Version() == uint64(w.version)
 }
 
-func (w *world) eventually(what string, holds func() bool) {
+func (w *testbed) eventually(what string, holds func() bool) {
 	w.t.Helper()
-	require.Eventually(w.t, holds, patience, 5*time.Millisecond, what)
+	require.Eventually(w.t, holds, testTimeout, 5*time.Millisecond, what)
 }
 
 type reply struct {
@@ -142,11 +142,11 @@
 	return reply{response.StatusCode, string(body), standin.Signature(response), response.Header, err}
 }
 
-func (w *world) call(s *Server, method, path string, tokens int, body string) reply {
+func (w *testbed) call(s *Server, method, path string, tokens int, body string) reply {
 	return call(standin.Call(s.settings.ListenAddress, method, path, fmt.Sprintf("%x", time.Now().UnixNano()), tokens, body))
 }
 
-func (w *world) runs() int {
+func (w *testbed) runCount() int {
 	count := 0
 	for _, worker := range w.workers {
 		count += len(worker.Runs())
