--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -104,7 +104,7 @@
 		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultLimit),
 		Log: process.NewLineLogger(lines, settings.LogLevel, "arbutus-entry", settings.Name),
 	})
-	if err := process.Main(ctx, daemon, daemon.StopLimit()); err != nil {
+	if err := process.Main(ctx, daemon, daemon.ShutdownTimeout()); err != nil {
 		return fmt.Errorf("arbutus-entry: %w", err)
 	}
 	return nil
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -115,7 +115,7 @@
 	second = w.start(w.settings(first.settings.PeerAddress))
 	w.eventually("the second serves", func() bool { return second.manager.State() == lifecycle.Serving })
 	w.eventually("the first hears it", func() bool {
-		wait, known := first.peers.timeToNextServing(time.Now(), first.StopLimit())
+		wait, known := first.peers.timeToNextServing(time.Now(), first.ShutdownTimeout())
 		return known && wait == 0
 	})
 	return first, second
@@ -170,7 +170,7 @@
 	defer second.manager.End()
 	second.manager.Drain()
 	w.eventually("the first hears of the second's stop", func() bool { return returnAfter() > time.Second })
-	require.Less(t, returnAfter(), 2*first.StopLimit())
+	require.Less(t, returnAfter(), 2*first.ShutdownTimeout())
 }
 
 // A server that went down resets every connection. One entry meets it; the others of the
--- a/entry/gateway/settings.go
+++ b/entry/gateway/settings.go
@@ -30,8 +30,8 @@
 	MemoryMB int64 `yaml:"memoryMB" validate:"gt=0"`
 	// Processors is how many threads run Go code at once.
 	Processors int `yaml:"processors" validate:"gte=1"`
-	// StopLimit is the time from SIGTERM to SIGKILL.
-	StopLimit config.Duration `yaml:"stopLimit" validate:"gt=0"`
+	// ShutdownTimeout is the time from SIGTERM to SIGKILL.
+	ShutdownTimeout config.Duration `yaml:"stopLimit" validate:"gt=0"`
 	// RetryRatio, RetryExtra and RetryWindow bound the sends to a further
 	// server, summed over all entries: in any window, RetryRatio times the
 	// requests plus RetryExtra.
--- a/entry/gateway/stop.go
+++ b/entry/gateway/stop.go
@@ -37,13 +37,13 @@
 // Where entries are restarted in turn faster than they drain, all of them may be stopping;
 // a caller that comes back at once is refused again and has no try left.
 func (s *Server) shutdownRetryAfter(now time.Time) time.Duration {
-	wait, known := s.peers.timeToNextServing(now, s.StopLimit())
+	wait, known := s.peers.timeToNextServing(now, s.ShutdownTimeout())
 	if known && wait == 0 {
 		return otherEntryDelay
 	}
 	own := peering.StartTime + peering.BalancerTime
 	if since := s.stopping.Load(); since != nil {
-		own += max(since.Add(s.StopLimit()).Sub(now), 0)
+		own += max(since.Add(s.ShutdownTimeout()).Sub(now), 0)
 	}
 	if !known || own < wait {
 		wait = own
@@ -59,15 +59,15 @@
 	if since == nil {
 		return 0
 	}
-	if wait, known := s.peers.timeToNextServing(now, s.StopLimit()); !known || wait > 0 {
+	if wait, known := s.peers.timeToNextServing(now, s.ShutdownTimeout()); !known || wait > 0 {
 		return 0
 	}
-	return max(since.Add(s.StopLimit()).Sub(now), time.Nanosecond)
+	return max(since.Add(s.ShutdownTimeout()).Sub(now), time.Nanosecond)
 }
 
-// StopLimit is how long a planned stop waits for open requests.
-func (s *Server) StopLimit() time.Duration {
-	return max(s.settings.StopLimit.D()-shutdownMargin, shutdownMargin)
+// ShutdownTimeout is how long a planned stop waits for open requests.
+func (s *Server) ShutdownTimeout() time.Duration {
+	return max(s.settings.ShutdownTimeout.D()-shutdownMargin, shutdownMargin)
 }
 
 // shutdownRefusal refuses a request because this entry stops.
--- a/proof/soak/daemon.go
+++ b/proof/soak/daemon.go
@@ -202,7 +202,7 @@
 	at := func(port int) string { return fmt.Sprintf("%s:%d", host, port) }
 	return gateway.Settings{Name: fmt.Sprintf("entry-%03d", index), Zone: "here", ListenAddress: at(portCallers), ReadyAddress: at(portReady),
 		PeerAddress: at(portPeers), MetricsAddress: at(portMetrics), Store: store, Seeds: seeds, MemoryMB: 200, Processors: 1,
-		StopLimit: config.Duration(stopLimit), RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: config.Duration(retryWindow),
+		ShutdownTimeout: config.Duration(stopLimit), RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: config.Duration(retryWindow),
 		ApplyLimit: config.Duration(changeBound), DrainLimit: config.Duration(changeBound), ReservationIdle: config.Duration(reservationIdle), LogRate: gateway.DefaultLogRate}
 }
 
