--- a/entry/gateway/settings.go
+++ b/entry/gateway/settings.go
@@ -62,9 +62,9 @@
 	DefaultLogRate = 200
 	// DefaultLogBuffer is how many lines wait for a slow reader.
 	DefaultLogBuffer = 1024
-	// DefaultLimit is the shortest limit of changes that the users' deployments have; every
+	// DefaultChangeLimit is the shortest limit of changes that the users' deployments have; every
 	// entry reads the store then.
-	DefaultLimit = 2 * time.Second
+	DefaultChangeLimit = 2 * time.Second
 )
 
 func (s *Settings) applyDefaults() {
@@ -75,10 +75,10 @@
 		s.LogLevel = "info"
 	}
 	if s.ApplyLimit == 0 {
-		s.ApplyLimit = config.Duration(DefaultLimit)
+		s.ApplyLimit = config.Duration(DefaultChangeLimit)
 	}
 	if s.DrainLimit == 0 {
-		s.DrainLimit = config.Duration(DefaultLimit)
+		s.DrainLimit = config.Duration(DefaultChangeLimit)
 	}
 }
 
