--- a/entry/cmd/arbutus-entry/main.go
+++ b/entry/cmd/arbutus-entry/main.go
@@ -101,7 +101,7 @@
 	}
 	lines := process.NewLineWriter(os.Stdout, gateway.DefaultLogBuffer, rate)
 	daemon := gateway.New(gateway.Options{
-		Settings: settings, SettingsPath: path, Lines: lines, Trail: audit.NewTrail(nil, audit.DefaultLimit),
+		Settings: settings, SettingsPath: path, LogWriter: lines, Trail: audit.NewTrail(nil, audit.DefaultLimit),
 		Log: process.NewLineLogger(lines, settings.LogLevel, "arbutus-entry", settings.Name),
 	})
 	if err := process.Main(ctx, daemon, daemon.ShutdownTimeout()); err != nil {
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -43,7 +43,7 @@
 	// fixed settings.
 	SettingsPath string
 	Log          *logrus.Entry
-	Lines        *process.LineWriter
+	LogWriter    *process.LineWriter
 	Trail        *audit.Trail
 }
 
@@ -216,8 +216,8 @@
 func (s *Server) Start(t *tomb.Tomb) error {
 	s.tomb = t
 	s.applyRuntime(s.settings)
-	if s.options.Lines != nil {
-		t.Go(func() error { return s.options.Lines.Run(t.Dying()) })
+	if s.options.LogWriter != nil {
+		t.Go(func() error { return s.options.LogWriter.Run(t.Dying()) })
 	}
 	s.log.WithFields(logrus.Fields{"incarnation": s.incarnation, "pid": os.Getpid(), "zone": s.settings.Zone,
 		"listen": s.settings.ListenAddress, "store": s.settings.Store, "linkMbps": s.settings.LinkMbps, "seeds": s.settings.Seeds}).Info("started")
@@ -256,9 +256,9 @@
 func (s *Server) metricsRouter() http.Handler {
 	router := bunrouter.New()
 	router.GET("/metrics", func(w http.ResponseWriter, _ bunrouter.Request) error {
-		if s.options.Lines != nil {
+		if s.options.LogWriter != nil {
 			s.counters.linesDropped.Clear()
-			s.counters.linesDropped.Inc(s.options.Lines.Dropped())
+			s.counters.linesDropped.Inc(s.options.LogWriter.Dropped())
 		}
 		return admin.WriteMetrics(w, s.registry)
 	})
