--- a/entry/gateway/connections_test.go
+++ b/entry/gateway/connections_test.go
@@ -79,7 +79,7 @@
 
 // The entry closes a connection as idle at the moment at which a request comes on it. What has come is
 // not read, so that nothing runs for a caller that can get no answer.
-func TestARequestThatCrossesTheCloseIsNotRead(t *testing.T) {
+func TestARequestThatRacesWithTheIdleCloseIsNotRead(t *testing.T) {
 	near, far := net.Pipe()
 	c := &callerConnection{Conn: near}
 	c.setState(stateIdle)
@@ -92,7 +92,7 @@
 }
 
 // A caller begins a request and never ends it. Its connection is not held for ever.
-func TestARequestThatNeverArrivesEndsItsConnection(t *testing.T) {
+func TestIncompleteHeadersCloseTheConnection(t *testing.T) {
 	c := &callerConnection{}
 	c.setState(stateIdle)
 	require.True(t, c.startRequest())
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -91,7 +91,7 @@
 // A service with too few servers to be divided joins the configuration and leaves it again.
 // Entries that all keep to their zone would otherwise go on telling all others of each of
 // their requests, until the servers of another service change.
-func TestAServiceThatLeavesEndsItsShareOfTheDivision(t *testing.T) {
+func TestARemovedServiceNoLongerPreventsLocalRouting(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there")
@@ -110,7 +110,7 @@
 
 // A divided service leaves the configuration, its servers have not yet. Other zones would
 // hear for good that this one has no room, and send it none of their requests.
-func TestAServiceThatLeavesTakesNoRoom(t *testing.T) {
+func TestARemovedServiceDoesNotCountForTheHeadroom(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(standin.AddEngineService("second"))
 	w.addZones("here", "there")
@@ -164,7 +164,7 @@
 
 // A zone places a request for another one. Two of its entries are told of it, and pass it on: its other entries would send
 // prompts of their own to the same servers.
-func TestNewsOfAPlaceReachAllEntriesOfItsZone(t *testing.T) {
+func TestAPlacementIsRelayedToAllEntriesOfItsZone(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there")
@@ -214,7 +214,7 @@
 
 // The entry that was asked answers too late, or its answer is lost. What it has booked is
 // given back, or it would keep a server from its own callers until the request's time is over.
-func TestAPlaceThatIsNotHeardOfIsGivenBack(t *testing.T) {
+func TestAPlacementWithoutAReplyIsCancelled(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there")
@@ -231,7 +231,7 @@
 
 // The servers of another zone that were named for a prompt refuse its reservations. The entry
 // that named them has the prompt in its book, though it was never sent.
-func TestAPlaceWhoseMemoryIsRefusedIsGivenBack(t *testing.T) {
+func TestAPlacementWhoseReservationFailsIsCancelled(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there")
@@ -252,7 +252,7 @@
 
 // Nobody of another zone can be asked. A server there whose work is not known is better than
 // a refusal, also for a second try at once.
-func TestWithoutServersAndNeighboursAnyServerServes(t *testing.T) {
+func TestWithoutLocalServersAnyServerServes(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there", "yonder")
@@ -279,7 +279,7 @@
 
 // A platform starts, and its servers come one by one. The first few of a zone don't make a part: hundreds of entries told
 // each other of all zones twice a second that they live, until there were enough.
-func TestAListThatGrowsDoesNotMakeAllZonesNear(t *testing.T) {
+func TestAGrowingServerListDoesNotMakeAllZonesLocal(t *testing.T) {
 	s := newUnstartedEntry(t)
 	s.peers.group = peering.New(s.settings.PeerAddress, "here", "i", nil)
 	far := peering.Message{From: "127.0.0.1:2", Zone: "there"}
--- a/entry/gateway/ended_test.go
+++ b/entry/gateway/ended_test.go
@@ -42,7 +42,7 @@
 // An engine breaks a stream off, once because its process ends and once though it lives. For
 // the caller both are the same; who looks for a request under which servers end needs the
 // lines to tell them apart, and to name the request alike in all its attempts.
-func TestTheLineOfABrokenTryTellsWhetherItsServerHasEnded(t *testing.T) {
+func TestTheLogLineOfABrokenAttemptTellsWhetherItsServerCrashed(t *testing.T) {
 	var names []any
 	for _, c := range []struct {
 		name    string
@@ -69,7 +69,7 @@
 // connection up in silence. The caller, who has waited long, goes to another server at once; that
 // the first one has ended is found out beside it. A request that ends servers would otherwise go
 // on behind such a link.
-func TestAnEndThatWasSilentIsFoundOutBesideTheRequest(t *testing.T) {
+func TestACrashWithoutAResetIsDetectedConcurrently(t *testing.T) {
 	f := newPoisonFleet(t, 1, "plain", 2, nil)
 	s := f.entries[0]
 	ended := f.workers[0]
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -21,7 +21,7 @@
 
 // Two entries choose for the same worker. Each has to know what the other sent
 // there, or both would take it for idle.
-func TestEntriesTellEachOtherOfTheirDispatches(t *testing.T) {
+func TestEntriesExchangeTheirDispatches(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	release := make(chan struct{})
@@ -61,7 +61,7 @@
 
 // An entry starts while another one has a request under way. It was not there when the
 // other told of it; without being told anew it would take the server for free.
-func TestAStartedEntryIsToldOfWhatIsOpen(t *testing.T) {
+func TestAStartedEntryLearnsOfOpenDispatches(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	release := make(chan struct{})
@@ -84,7 +84,7 @@
 
 // Two entries can't hear each other. Each sends short prompts to its own servers only,
 // though both believe all servers to be idle.
-func TestEntriesThatDoNotHearEachOtherUseDifferentServers(t *testing.T) {
+func TestPartitionedEntriesUseDifferentServers(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) }
@@ -124,7 +124,7 @@
 // An entry stops, and a request comes whose answer would take longer than the entry still lives. It is
 // refused, since another entry serves. Once that one stops as well it is taken: an answer that may be cut
 // off is better than none.
-func TestAnEntryThatStopsRefusesWhatOutlastsIt(t *testing.T) {
+func TestAStoppingEntryRefusesRequestsThatOutlastIt(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) })
@@ -147,7 +147,7 @@
 // Entries are restarted in turn faster than they drain: both are stopping and refuse new
 // requests. A caller that was told to come back at once met the other one's refusal, and had
 // no try left. It is told when an entry will be there; while another one serves, at once.
-func TestARefusalDuringAStopNamesTheReturnOfAnEntry(t *testing.T) {
+func TestTheRetryAfterDuringShutdownIsTheNextEntrysStart(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "engines", nil)
@@ -175,7 +175,7 @@
 
 // A server that went down resets every connection. One entry meets it; the others of the
 // zone leave it alone from then on, and no caller's request finds out once more.
-func TestAServerThatOneEntryFindsDownIsLeftAloneByAll(t *testing.T) {
+func TestAnUnreachableServerIsAvoidedByAllEntries(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	down := w.worker("i-1", "plain", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -203,7 +203,7 @@
 // All entries start at once and know a seed of another zone only. It tells each of them of
 // those that were there before; until the next heartbeat nobody else would hear of it, and
 // all would send their callers' first requests to the same servers.
-func TestAFoundNeighbourIsGreetedAtOnce(t *testing.T) {
+func TestADiscoveredPeerIsContactedAtOnce(t *testing.T) {
 	w := newTestbed(t)
 	s := New(Options{Settings: w.settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
 	listen := func() net.PacketConn {
@@ -227,7 +227,7 @@
 
 // An entry begins to serve before it has heard of most others, and would spend many times its part of the retries that
 // all of them share.
-func TestABudgetIsDividedAmongThoseThatBecomeKnown(t *testing.T) {
+func TestARetryBudgetIsDividedByTheKnownEntries(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -35,7 +35,7 @@
 // Operators evacuate a zone. Requests of every kind went on reaching its servers, since no entry read that they should
 // not, among them those of entries that don't read the store themselves, and of one that starts meanwhile. What is under
 // way there ends by itself, and the zone is used again once it is taken back.
-func TestAnEvacuatedZoneGetsNothingNew(t *testing.T) {
+func TestAnEvacuatedZoneGetsNoNewRequests(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
@@ -129,7 +129,7 @@
 }
 
 // The store comes back from a copy that was made before a zone was evacuated. The operators don't know that it is lost.
-func TestAnEvacuationOutlivesTheStoresReturnFromAnOlderCopy(t *testing.T) {
+func TestAnEvacuationOutlivesARestoredStore(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.workerIn("there", "plain", "plain", nil)
@@ -146,7 +146,7 @@
 }
 
 // An entry of another zone names a server for a request before it has heard that the server's zone is evacuated.
-func TestAPlaceInAnEvacuatedZoneIsNotUsed(t *testing.T) {
+func TestAPlacementInAnEvacuatedZoneIsNotUsed(t *testing.T) {
 	s := newUnstartedEntry(t)
 	s.directory.Upsert(directory.Server{ID: "i-1", Service: "engines", Address: "127.0.0.1:1", Zone: "there", Slots: 1, Revision: 2})
 	_, ok := s.choiceFrom(peering.Place{Server: "i-1"})
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -36,9 +36,9 @@
 		{Records: []quarantine.Record{{Fingerprint: quarantine.Fingerprint{1}, Ended: []uint64{1, 2, 3}, Age: time.Second}, {Cleared: 9}}}}
 }
 
-// FuzzMessagesOfEntries lets an entry take any message. Each one goes to all entries: one that ended
+// FuzzPeerMessages lets an entry take any message. Each one goes to all entries: one that ended
 // the process that takes it would end them all, and again after their start.
-func FuzzMessagesOfEntries(f *testing.F) {
+func FuzzPeerMessages(f *testing.F) {
 	for _, m := range seedMessages() {
 		data, err := peering.Encode(m)
 		require.NoError(f, err)
@@ -106,7 +106,7 @@
 // An entry of another version, or one with a fault, tells of requests with numbers that make no
 // sense, gives places with more parts than servers, and asks for places for such requests. The
 // process must live: what ends one entry would end all, since all are told.
-func TestNoMessageOfAnEntryEndsTheProcess(t *testing.T) {
+func TestNoPeerMessageCrashesTheProcess(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newUnstartedEntry(t)
 		s.forceLocalRouting()
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 	"arbutusdeck/platform/standin"
 )
 
-func TestARequestIsForwardedToTheLetter(t *testing.T) {
+func TestARequestIsForwardedUnchanged(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "plain", nil)
@@ -50,7 +50,7 @@
 
 // A starting entry knows no configuration yet. It must not say that a route or a
 // key does not exist: callers would not come back.
-func TestWithoutAConfigurationTheAnswerIsNotNow(t *testing.T) {
+func TestWithoutAConfigurationRequestsAreRefusedAsUnavailable(t *testing.T) {
 	w := newTestbed(t)
 	s := w.start(w.settings())
 	r := w.call(s, http.MethodGet, "/read/", 0, "")
@@ -65,7 +65,7 @@
 
 // Callers whose entries had all failed came back as these started, were refused for want of a configuration, and
 // had no try left. It came a tenth of a second later.
-func TestARequestWaitsForAnEntryThatStarts(t *testing.T) {
+func TestARequestWaitsForAStartingEntry(t *testing.T) {
 	w := newTestbed(t)
 	s := w.start(w.settings())
 	result := make(chan reply, 1)
@@ -80,7 +80,7 @@
 
 // The caller of an order gets 502 at once. The worker ran it and the connection
 // broke before the answer; another run could charge it twice.
-func TestAnOrderWhoseAnswerIsLostRunsOnce(t *testing.T) {
+func TestAnOrderWhoseResponseIsLostRunsOnce(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for _, id := range []string{"i-1", "i-2"} {
@@ -96,7 +96,7 @@
 
 // One worker says that it did not run the order: it goes to the other. When both
 // say so the caller is told that nothing ran and when to come back.
-func TestAnOrderThatWasNotRunGoesElsewhere(t *testing.T) {
+func TestAnOrderThatWasNotExecutedIsRetriedElsewhere(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	first, second := w.worker("i-1", "plain", nil), w.worker("i-2", "plain", nil)
@@ -116,7 +116,7 @@
 // An idempotent request meets a worker that fails, one that shortens its answer,
 // one that answers with another request's and one whose success is not signed: its
 // caller gets the whole answer of a sound one.
-func TestAnIdempotentRequestGetsAWholeAnswer(t *testing.T) {
+func TestAnIdempotentRequestGetsACompleteResponse(t *testing.T) {
 	for name, script := range map[string]http.HandlerFunc{
 		"fails": func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(500) },
 		"shortens": func(out http.ResponseWriter, _ *http.Request) {
@@ -149,7 +149,7 @@
 
 // A worker breaks off in the midst of the fourth event. The caller gets events one
 // to eight once each, under the headers of the first worker.
-func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestABrokenStreamIsResumedAtAnotherServer(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	breaks := standin.BreaksFirst(8, 3)
@@ -177,7 +177,7 @@
 
 // Both workers break the stream: the caller must see a broken answer, not one that
 // looks complete.
-func TestAStreamThatCanNotGoOnDoesNotLookComplete(t *testing.T) {
+func TestAStreamThatCannotResumeDoesNotLookComplete(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for _, id := range []string{"i-1", "i-2"} {
@@ -193,7 +193,7 @@
 // The only server of a service answers an idempotent request with a failure of its own.
 // Another try is allowed, but there is nobody to send it to. The caller gets the
 // server's answer, with its signature, in place of a failure of the entry's.
-func TestAServersOwnFailureIsDeliveredIfNoOtherServerIsLeft(t *testing.T) {
+func TestAServersErrorResponseIsDeliveredIfNoOtherServerIsLeft(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", func(out http.ResponseWriter, _ *http.Request) {
@@ -210,7 +210,7 @@
 
 // A key is taken away while its caller keeps a connection open: the next request on
 // it is refused. An older configuration that arrives late does not bring it back.
-func TestATakenKeyStaysTaken(t *testing.T) {
+func TestARevokedKeyStaysRevoked(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
@@ -226,7 +226,7 @@
 	require.Equal(t, 401, w.call(s, http.MethodGet, "/read/", 0, "").status)
 }
 
-func TestARefusedConfigurationLeavesTheLastGoodOne(t *testing.T) {
+func TestARejectedConfigurationLeavesTheCurrentOne(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
@@ -239,7 +239,7 @@
 	require.Equal(t, 200, w.call(s, http.MethodGet, "/read/", 0, "").status)
 }
 
-func TestALeavingServerGetsNothingMore(t *testing.T) {
+func TestADrainingServerGetsNoNewRequests(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	leaving := w.worker("i-1", "plain", nil)
@@ -274,7 +274,7 @@
 }
 
 // The caller closes its connection: the worker must not go on for nobody.
-func TestACallerThatLeavesEndsTheWork(t *testing.T) {
+func TestACallerThatDisconnectsCancelsItsRequest(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	started, ended := make(chan struct{}), make(chan struct{})
@@ -300,7 +300,7 @@
 
 // A planned stop: the balancer is told at once, a request that is open finishes,
 // and new ones on open connections are still served for a while.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestAGracefulShutdownAbortsNothing(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	release, started := make(chan struct{}), make(chan struct{})
@@ -346,7 +346,7 @@
 
 // A caller names more answer tokens than there are. With the prompt's they overflowed, and the
 // request fitted any server; while it ran, its server seemed to have all memory free.
-func TestARequestForMoreTokensThanThereAreIsRefused(t *testing.T) {
+func TestARequestWithAnOverflowingTokenCountIsRefused(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "engines", nil)
--- a/entry/gateway/held_test.go
+++ b/entry/gateway/held_test.go
@@ -51,7 +51,7 @@
 
 // A caller sends its body a byte at a time. It held its request for as long as it liked; now it is told with the end of
 // its time that nothing has run.
-func TestACallerThatSendsItsBodySlowlyIsEndedWithItsTime(t *testing.T) {
+func TestASlowRequestBodyEndsAtTheDeadline(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "plain", nil)
@@ -67,7 +67,7 @@
 
 // Many enormous prompts come at once to a small host. Together they took more memory than the process may have, and it
 // was killed with everything that it served. What does not fit is refused at once, as not run, and the room comes back.
-func TestEnormousPromptsTogetherStayWithinTheMemory(t *testing.T) {
+func TestRequestBodiesStayWithinTheMemoryLimit(t *testing.T) {
 	for name, length := range map[string]int64{"lengths are told": 3 << 20, "in chunks": -1} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestbed(t)
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -126,7 +126,7 @@
 // twice, until all have ended, and whatever else they ran is cut. It has to be refused as not run
 // once three servers have ended under it, also by entries that have never seen it. All other
 // requests, those of its caller and the same one of another workspace, are served.
-func TestARequestThatEndsServersIsNotSentOnWithoutEnd(t *testing.T) {
+func TestARequestThatCrashesServersIsQuarantined(t *testing.T) {
 	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
 	for _, c := range []struct {
 		name, method, path, service string
@@ -164,7 +164,7 @@
 
 // One entry, and the request comes a second time: its first try is the third end. The attempt is
 // over then, though its route allows a second try, and its caller is not told that it didn't run.
-func TestAnAttemptIsNotSentOnAfterTheThirdEnd(t *testing.T) {
+func TestARequestIsNotRetriedAfterTheThirdCrash(t *testing.T) {
 	f := newPoisonFleet(t, 1, "plain", 8, nil)
 	for range 3 {
 		r := f.send(f.entries[0], http.MethodGet, "/read/x", "key-1", poisonBody)
@@ -182,7 +182,7 @@
 // the caller has left, or the entry has gone on to another server since the first event was overdue.
 // The entry has closed the connection itself and hears of no end. The request comes again, to any
 // entry, and must be refused once three servers have ended under it; one more may be running it then.
-func TestAnEndThatNobodyWaitsForIsFoundOut(t *testing.T) {
+func TestACrashAfterCancellationIsDetected(t *testing.T) {
 	const most = 4
 	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
 	for _, c := range []struct {
@@ -260,7 +260,7 @@
 
 // Two suspects come at the same moment, and all other servers have more work than they can do in the
 // request's time. The second one is sent to the server of the first, rather than refused.
-func TestASuspectIsNotRefusedForTheSakeOfAnother(t *testing.T) {
+func TestASuspectIsNotRefusedBecauseOfAnother(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for i := range 2 {
@@ -285,7 +285,7 @@
 
 // Servers break off each answer to a request, and live: they fail, or the links do. A request that
 // servers bear must not be refused for it, however often it comes.
-func TestARequestWhoseServersLiveIsNotRefused(t *testing.T) {
+func TestARequestWhoseServersDoNotCrashIsNotRefused(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for i := range 6 {
@@ -300,7 +300,7 @@
 
 // Servers leave as planned, and end while they still run the same request. They end by
 // themselves: the request must not be refused.
-func TestALeavingServersEndIsNotChargedToWhatItRuns(t *testing.T) {
+func TestTheExitOfADrainingServerIsNotAttributedToItsRequests(t *testing.T) {
 	f := newPoisonFleet(t, 1, "plain", 6, nil)
 	s := f.entries[0]
 	for _, worker := range f.workers[:4] {
@@ -336,7 +336,7 @@
 
 // The datagram in which one entry tells another one of a request is lost. Their heartbeats show
 // that they know different things, and the other one refuses the request as well.
-func TestARecordThatIsLostIsToldAgain(t *testing.T) {
+func TestALostRecordIsSentAgain(t *testing.T) {
 	f := newPoisonFleet(t, 2, "plain", 1, nil)
 	record := crashRecord("a", "b", "c")
 	f.entries[0].mu.Lock()
@@ -347,7 +347,7 @@
 
 // Entries of a large fleet tell each other of requests within their zone only. A request that
 // ends servers comes at any entry: those of other zones have to refuse it as well, at once.
-func TestEntriesOfOtherZonesAreToldOfRequestsThatEndServers(t *testing.T) {
+func TestEntriesOfOtherZonesGetQuarantineRecords(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.addZones("here", "there")
@@ -364,7 +364,7 @@
 
 // A request was there when two servers ended, and is then answered in whole: it didn't end them.
 // All entries forget what they believed of it, or a third end by chance would have it refused.
-func TestARequestThatIsAnsweredIsCleared(t *testing.T) {
+func TestACompletedRequestIsCleared(t *testing.T) {
 	f := newPoisonFleet(t, 2, "plain", 1, nil)
 	record := crashRecord("a", "b")
 	for _, s := range f.entries {
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -54,7 +54,7 @@
 
 // Four entries of a zone: one of them watches the store, and the others learn from it of a
 // server that comes, one that leaves and a configuration. Callers meet the same everywhere.
-func TestFewEntriesReadTheStoreAndAllKnow(t *testing.T) {
+func TestFewEntriesReadTheStoreAndAllAreCurrent(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	first := w.worker("i-1", "plain", nil)
@@ -79,7 +79,7 @@
 
 // Entries start before the store holds a configuration. Those that read don't serve then; they did not count as readers, and
 // ever more entries read until there was one.
-func TestFewEntriesReadAStoreThatHoldsNothingYet(t *testing.T) {
+func TestFewEntriesReadAnEmptyStore(t *testing.T) {
 	w := newTestbed(t)
 	w.store.Put("op/other", struct{}{})
 	var entries []*Server
@@ -105,7 +105,7 @@
 
 // A datagram with changes is lost. The entry must not believe that its list is complete up
 // to the later revision: it fetches the reader's view when it hears of that revision.
-func TestALostUpdateIsNoticed(t *testing.T) {
+func TestALostUpdateIsDetected(t *testing.T) {
 	w := newTestbed(t)
 	s := New(Options{Settings: w.settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)}) // not started
 	row := func(id string, revision uint64) directory.Server {
@@ -127,7 +127,7 @@
 
 // Many rows change at once. They go out in parts that fit a packet, and each part begins
 // where the one before it ends.
-func TestUpdatesAreToldInPartsWithoutGaps(t *testing.T) {
+func TestUpdatesAreSentInPartsWithoutGaps(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	s := w.start(w.settings())
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -32,7 +32,7 @@
 
 // A worker is leaving, crashes and is back under its identifier. Its callers would be
 // refused for as long as it lives if the new start were taken for the leaving one.
-func TestAWorkerThatIsBackAfterItsLeavingGetsRequests(t *testing.T) {
+func TestARestartedServerGetsRequestsAfterDraining(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "plain", nil)
@@ -54,7 +54,7 @@
 // A worker crashes while it writes an answer, and is back under its identifier before the
 // entry notices. The request is over there; counted for the new start, it would keep others
 // off a server that is idle, until its time has passed.
-func TestWorkOfADeadStartDoesNotCountForTheNextOne(t *testing.T) {
+func TestLoadOfAnOldIncarnationDoesNotCountForTheNext(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	release, started := make(chan struct{}), make(chan struct{})
@@ -93,7 +93,7 @@
 
 // Another entry's news of a dead start arrives late, or its news of a new start before the
 // row: the one counts for nobody, the other for the new start.
-func TestNewsOfStartsArriveInAnyOrder(t *testing.T) {
+func TestLoadUpdatesOfIncarnationsArriveInAnyOrder(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "engines", nil)
@@ -116,7 +116,7 @@
 
 // A server that holds a part of a prompt in a reservation crashes and is back. The
 // reservation is gone there; a renewal would set memory aside that no request uses.
-func TestAReservationIsNotRenewedAtANewStart(t *testing.T) {
+func TestAReservationIsNotRenewedAtANewIncarnation(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "engines", nil)
@@ -140,7 +140,7 @@
 
 // While the store is away a worker crashes and is back; a peer has heard of it. A view of
 // an entry that doesn't know births must not take the server away.
-func TestAPeersViewTellsOfANewStart(t *testing.T) {
+func TestAPeersViewContainsANewIncarnation(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "plain", nil)
@@ -157,7 +157,7 @@
 
 // A row is written over by somebody else. The entry must not use what it names, keeps the
 // other servers, and uses the server again after its own next row.
-func TestARowOfAnotherWriterTakesTheServerOutUntilItsNextRow(t *testing.T) {
+func TestAnUnreadableRowRemovesTheServerUntilItsNextRow(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	worker := w.worker("i-1", "plain", nil)
--- a/entry/gateway/reservation_test.go
+++ b/entry/gateway/reservation_test.go
@@ -62,7 +62,7 @@
 
 // A long prompt is divided over four workers, one of which is dead. The first one
 // refuses and names it; the next try keeps the first one and leaves out the dead.
-func TestADeadHelperIsLeftOut(t *testing.T) {
+func TestACrashedHelperIsExcluded(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	var dead atomic.Pointer[standin.Worker]
@@ -83,7 +83,7 @@
 
 // Three of four workers refuse their parts of the memory: what the other one granted
 // is given back at once, and nothing is run.
-func TestRefusedMemoryIsGivenBackByAll(t *testing.T) {
+func TestAFailedReservationIsReleasedAtAllServers(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for i := range 4 {
@@ -103,7 +103,7 @@
 // renews the memory but never begins to write. Without a bound the memory of all holders
 // would be kept from others until the caller leaves. The entry ends the try, gives the
 // memory back, and another worker answers.
-func TestMemoryThatIsNotUsedIsGivenBack(t *testing.T) {
+func TestUnusedMemoryIsReleased(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	var hung atomic.Pointer[string]
@@ -131,7 +131,7 @@
 
 // An entry stands still while its request's server hangs, and can't release what it has reserved. Its orders have said
 // already when the memory lapses: it would else be kept from others beyond the time allowed without use.
-func TestUnusedMemoryLapsesWithoutARelease(t *testing.T) {
+func TestUnusedMemoryExpiresWithoutARelease(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for i := range 8 {
@@ -159,7 +159,7 @@
 }
 
 // The first event comes shortly before unused memory lapses, and the answer takes long. The memory is renewed at once.
-func TestMemoryInUseIsHeldOn(t *testing.T) {
+func TestReservedMemoryInUseIsRenewed(t *testing.T) {
 	idle := 4 * time.Second
 	r := &reservation{ttl: 2 * time.Second, unusedDeadline: time.Now().Add(unusedTTL(idle)), firstEvent: make(chan struct{})}
 	late := time.Now().Add(unusedTimeout(idle))
@@ -197,7 +197,7 @@
 
 // The last prompt of an entry that stops is answered. The entry stays until its memory is given back, which
 // would else be kept from others for as long as it is held.
-func TestAStopWaitsUntilMemoryIsGivenBack(t *testing.T) {
+func TestAShutdownWaitsForReleases(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	for i := range 3 {
--- a/entry/gateway/restored_test.go
+++ b/entry/gateway/restored_test.go
@@ -10,7 +10,7 @@
 // The store comes back from an older copy. What it has lost stays in force: a server that has come since, one
 // that has left since and a configuration. Its revisions are given out again; changes that are made then are
 // taken in all the same.
-func TestAStoreThatComesBackFromAnOlderCopy(t *testing.T) {
+func TestAStoreRestoredFromABackup(t *testing.T) {
 	for name, passes := range map[string]bool{"it is read at once": false, "it has passed its revisions again": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,7 +59,7 @@
 // The store comes back from an older copy, and a server that it has lost is not written again: it has ended.
 // It is given the time in which living ones are back, and no more. One that had left is back once it is written
 // anew.
-func TestAServerThatARestoredStoreHasLost(t *testing.T) {
+func TestAServerMissingFromARestoredStore(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	left := w.worker("left", "plain", nil)
--- a/entry/gateway/silence_test.go
+++ b/entry/gateway/silence_test.go
@@ -25,7 +25,7 @@
 // A backend server or the store is cut off and sends no reset. The kernel ends the
 // connection only if a user timeout is set; keep-alive probes make it look where nothing
 // is sent. The user timeout goes before the number of probes, so both have to be short.
-func TestConnectionsToServersEndInSilence(t *testing.T) {
+func TestConnectionsToUnresponsiveServersAreClosed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, listener.Close()) }()
@@ -49,7 +49,7 @@
 
 // The store accepts connections and never answers: nothing comes, not even a reset. An
 // entry that starts then gets configuration and servers from another entry and serves.
-func TestASilentStoreIsPassedOver(t *testing.T) {
+func TestAnEntryStartsDespiteAnUnresponsiveStore(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
@@ -114,7 +114,7 @@
 
 // The host was suspended for three seconds. What was booked is over by now, or has gone
 // on without this process; choices must not rest on it.
-func TestASuspendedHostForgetsLoads(t *testing.T) {
+func TestASuspendedHostResetsItsLoadTable(t *testing.T) {
 	s := New(Options{Settings: newTestbed(t).settings(), Log: process.Quiet(), Trail: audit.NewTrail(nil, 100)})
 	now := time.Now()
 	s.detectPause(now)
@@ -128,7 +128,7 @@
 
 // The time that counts while the host is suspended goes on like the monotonic one and
 // does not follow the time of day.
-func TestBoottimeGoesOn(t *testing.T) {
+func TestBoottimeIsMonotonic(t *testing.T) {
 	before := boottime(time.Now())
 	after := boottime(time.Now().Add(-time.Hour))
 	require.False(t, after.Before(before), fmt.Sprint(before, after))
--- a/entry/gateway/stall_test.go
+++ b/entry/gateway/stall_test.go
@@ -40,7 +40,7 @@
 // started one shows it idle. A short prompt goes there and gets no first event; its caller
 // would leave after two seconds. The entry breaks the try off when the event is overdue, and
 // another server answers within the caller's patience.
-func TestAShortPromptLeavesAStalledServer(t *testing.T) {
+func TestAShortPromptIsRedispatchedFromAStalledServer(t *testing.T) {
 	w := newTestbed(t)
 	w.hangingWorkers(3)
 	s := w.serve()
@@ -53,7 +53,7 @@
 }
 
 // What may not run twice, and what the shared budget has no room for, stays where it is.
-func TestWhatMayNotRunTwiceStaysAtAStalledServer(t *testing.T) {
+func TestARequestThatMayNotRetryStaysAtAStalledServer(t *testing.T) {
 	for _, c := range []struct {
 		name, path    string
 		ratio, budget float64
@@ -77,7 +77,7 @@
 // Two requests wait at stalled servers at the same time, and the budget has room for one more
 // send. One moves and is answered; the other one stays where it is. Broken off as well, it
 // would end without an answer though its server may still give one.
-func TestNobodyIsBrokenOffWithoutABudgetForTheNextTry(t *testing.T) {
+func TestNoRequestIsRedispatchedWithoutRetryBudget(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	var asked atomic.Int32
--- a/entry/gateway/stop_test.go
+++ b/entry/gateway/stop_test.go
@@ -21,7 +21,7 @@
 
 // The limit of a stop passes while a request lies at a server that has not answered. Its caller gets
 // a final answer, which does not say that it wasn't run.
-func TestAtTheLimitOfAStopCallersGetAFinalAnswer(t *testing.T) {
+func TestCallersGetAFinalResponseAtTheShutdownTimeout(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "engines", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -37,7 +37,7 @@
 }
 
 // The limit of a stop passes while a request's body is still on its way. It is refused as not run.
-func TestAtTheLimitOfAStopNoBodyIsWaitedFor(t *testing.T) {
+func TestTheShutdownTimeoutEndsTheWaitForABody(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
--- a/entry/gateway/viewcache_test.go
+++ b/entry/gateway/viewcache_test.go
@@ -81,7 +81,7 @@
 
 // The neighbours that have the list don't bring it in time: many fetch it at once over their links. A starting entry asked
 // them again and again, and did not serve for half a minute on a fleet of 300 entries and 3,000 servers.
-func TestAStartingEntryIsNotHeldUpByItsNeighbours(t *testing.T) {
+func TestAStartingEntryIsNotDelayedByItsPeers(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
