--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -85,7 +85,7 @@
 		require.Equal(t, 200, w.call(here, http.MethodPost, "/stream/", 2000, "x").status)
 	}
 	require.Equal(t, 5, w.runsIn("here"))
-	require.True(t, there.hasDispatches(0)(), "entries of other zones are not told")
+	require.True(t, there.hasDispatches(0)(), "entries of other zones get no load updates")
 }
 
 // A service with too few servers for zone-local routing is added to the configuration and removed
@@ -225,7 +225,7 @@
 	there.handlePlacementRequest(time.Now(), here.settings.PeerAddress, ask)
 	require.True(t, there.hasDispatches(1)())
 	ask.Dispatch.ID = "lost"
-	require.Empty(t, here.peers.requestPlacement(t.Context(), "127.0.0.1:1", ask).Server, "nobody is there")
+	require.Empty(t, here.peers.requestPlacement(t.Context(), "127.0.0.1:1", ask).Server, "no entry listens there")
 	there.applyLoadUpdates(time.Now(), peering.Message{From: here.settings.PeerAddress, Ended: []string{"late"}}, false)
 	require.True(t, there.hasDispatches(0)())
 }
--- a/entry/gateway/ended_test.go
+++ b/entry/gateway/ended_test.go
@@ -35,7 +35,7 @@
 			return line.Data
 		}
 	}
-	require.Fail(t, "no line of the try")
+	require.Fail(t, "no log line of the attempt")
 	return nil
 }
 
@@ -77,6 +77,6 @@
 	e := &exchange{s: s, r: standin.Call(s.settings.ListenAddress, http.MethodGet, "/read/x", "a", 0, "")}
 	result := attemptResult{connErr: os.ErrDeadlineExceeded}
 	e.checkCrash(t.Context(), placement.Choice{Server: directory.Server{ID: ended.ID, Address: ended.Address()}}, &result)
-	require.False(t, result.serverCrashed, "nobody waits for it")
-	f.eventually("it is remembered", func() bool { return !s.tracksNoRequests() })
+	require.False(t, result.serverCrashed, "the attempt does not wait for it")
+	f.eventually("it is tracked", func() bool { return !s.tracksNoRequests() })
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -33,7 +33,7 @@
 	t.Cleanup(end)
 	first := w.serve()
 	second := w.start(w.newSettings(first.settings.PeerAddress))
-	w.eventually("the second knows the worker", func() bool { return w.isCurrent(second) })
+	w.eventually("the second knows the server", func() bool { return w.isCurrent(second) })
 	w.eventually("they know each other", func() bool {
 		first.peers.mu.Lock()
 		defer first.peers.mu.Unlock()
@@ -73,7 +73,7 @@
 	first := w.serve()
 	done := make(chan reply, 1)
 	go func() { done <- w.call(first, http.MethodPost, "/stream/", 2000, "x") }()
-	w.eventually("the request is under way", func() bool { return len(worker.Runs()) == 1 })
+	w.eventually("the request is open", func() bool { return len(worker.Runs()) == 1 })
 	second := w.start(w.newSettings(first.settings.PeerAddress))
 	w.eventually("the started entry tracks it", second.hasDispatches(1))
 	end()
@@ -136,7 +136,7 @@
 		return call(standin.Asking(request, 2000, 8000)).status
 	}
 	require.Equal(t, http.StatusServiceUnavailable, long())
-	require.Equal(t, 200, w.call(first, http.MethodPost, "/stream/", 2000, "x").status, "a short answer is over before")
+	require.Equal(t, 200, w.call(first, http.MethodPost, "/stream/", 2000, "x").status, "a short response ends before")
 	second.manager.Join()
 	defer second.manager.End()
 	second.manager.Drain()
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -311,7 +311,7 @@
 		standin.Events(out, r, 3, 0)
 	})
 	w.worker("i-2", "plain", nil)
-	t.Cleanup(end) // before the workers close, which waits for their requests
+	t.Cleanup(end) // before the servers close, which waits for their requests
 	s := w.serve()
 	done := make(chan reply, 1)
 	go func() { done <- w.call(s, http.MethodPost, "/stream/", 2000, "x") }()
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -144,7 +144,7 @@
 				last = f.send(f.entries[i%len(f.entries)], c.method, c.path, "key-1", poisonBody)
 				time.Sleep(propagationTime)
 			}
-			require.LessOrEqual(t, f.crashedCount(), maxCrashed, "servers that have ended")
+			require.LessOrEqual(t, f.crashedCount(), maxCrashed, "servers that have crashed")
 			require.Equal(t, http.StatusServiceUnavailable, last.status, last.body)
 			require.Equal(t, "notRun", problemOf(t, last).Run)
 			require.NotEmpty(t, last.header.Get("Retry-After"))
@@ -200,7 +200,7 @@
 				last = f.sendWithin(c.leave, f.entries[i%2], http.MethodPost, "/stream/x", "key-1", poisonBody, 2000)
 				time.Sleep(time.Second)
 			}
-			require.LessOrEqual(t, f.crashedCount(), most, "servers that have ended")
+			require.LessOrEqual(t, f.crashedCount(), most, "servers that have crashed")
 			require.Equal(t, execution.CodeQuarantined, problemOf(t, last).Code)
 		})
 	}
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -90,7 +90,7 @@
 		entries = append(entries, w.start(settings))
 		seeds = []string{entries[0].settings.PeerAddress}
 	}
-	w.eventually("somebody reads", func() bool { return countReaders(entries) > 0 })
+	w.eventually("an entry reads", func() bool { return countReaders(entries) > 0 })
 	for range 20 {
 		time.Sleep(100 * time.Millisecond)
 		require.LessOrEqual(t, countReaders(entries), 2)
--- a/entry/gateway/reservation_test.go
+++ b/entry/gateway/reservation_test.go
@@ -170,7 +170,7 @@
 	select {
 	case <-r.firstEvent:
 	default:
-		require.Fail(t, "nothing renews it")
+		require.Fail(t, "no renewal follows")
 	}
 }
 
