--- a/entry/gateway/connections.go
+++ b/entry/gateway/connections.go
@@ -21,7 +21,7 @@
 type callerConnection struct {
 	net.Conn
 	mu sync.Mutex
-	// state is the use of the connection, since its start time.
+	// state is what the connection is used for, and since is when it entered that state.
 	state connectionState
 	since time.Time
 }
--- a/entry/gateway/front.go
+++ b/entry/gateway/front.go
@@ -92,7 +92,7 @@
 }
 
 // admit matches the route, authenticates the workspace and reads the body. It returns false after
-// responding to a request that is rejected.
+// responding to a request that is refused.
 func (e *exchange) admit() bool {
 	e.table = e.s.table.Load()
 	if e.table == nil {
--- a/entry/gateway/readers.go
+++ b/entry/gateway/readers.go
@@ -121,7 +121,7 @@
 	return p.group.Source(now)
 }
 
-// fetchFrom applies the view of an entry of the zone; false if that fails.
+// fetchFrom fetches and applies the view of an entry of the zone; false if that fails.
 func (p *peerTransport) fetchFrom(source string) bool {
 	if err := p.fetch(source, true); err != nil {
 		p.s.log.WithError(err).WithField("peer", source).Warn("fetching the view of a local peer failed")
--- a/entry/gateway/reservation.go
+++ b/entry/gateway/reservation.go
@@ -17,7 +17,8 @@
 	// reservationTTL is how long a reservation lasts unless it is renewed, and the longest time
 	// that memory stays reserved for an entry that died.
 	reservationTTL = 3500 * time.Millisecond
-	// reservationRenewInterval allows two renewals to be lost.
+	// reservationRenewInterval is the period of renewals: two may be lost before the reservation
+	// expires.
 	reservationRenewInterval = time.Second
 	// orderTimeout bounds an order to a backend server.
 	orderTimeout = 600 * time.Millisecond
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -12,7 +12,7 @@
 	"arbutusdeck/core/routes"
 )
 
-// run attempts the request at servers until it is concluded.
+// run sends the request to one server after the other until it is concluded.
 func (e *exchange) run() {
 	e.draw = e.s.randomFloat()
 	e.service = e.table.Service(e.route.Choose(e.draw))
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -98,7 +98,8 @@
 	loadTable    *placement.Book
 	// cold limits the request rate of servers that are still cold.
 	cold *coldstart.Limiter
-	// lastServerAddedAt is when an update last added a server to the list.
+	// lastServerAddedAt is when a change, as opposed to a full read, last added a server to the
+	// list.
 	lastServerAddedAt time.Time
 	// localRouting says for each engine service whether entries use only the servers of their zone.
 	localRouting map[string]parts.Division
--- a/entry/gateway/settings.go
+++ b/entry/gateway/settings.go
@@ -60,8 +60,8 @@
 	DefaultLogRate = 200
 	// DefaultLogBuffer bounds the lines that wait for a slow log reader.
 	DefaultLogBuffer = 1024
-	// DefaultChangeLimit is the shortest ApplyLimit or DrainLimit of the supported deployments.
-	// With it every entry reads the store itself.
+	// DefaultChangeLimit is the shortest limit of changes in the supported deployments. With it
+	// every entry reads the store itself.
 	DefaultChangeLimit = 2 * time.Second
 )
 
@@ -98,9 +98,9 @@
 	// storeTimeout bounds a call to the store, and a watch beyond its wait. The store responds in
 	// milliseconds, and in up to some 250 ms while it is slow.
 	storeTimeout = time.Second
-	// watchWait bounds one long poll of a watch. Each call costs, but a watch that the store has
-	// silently dropped is detected only when the wait ends, and a configuration has to apply two
-	// seconds after it was acknowledged by a store that has been healthy for three.
+	// watchWait bounds one long poll of a watch. Each call adds load to the store, but a watch that
+	// the store has silently dropped is detected only when the wait ends, and a configuration has
+	// to apply two seconds after it was acknowledged by a store that has been healthy for three.
 	watchWait = 2 * time.Second
 	// storeRetryMin and storeRetryMax bound the backoff after a failed call.
 	storeRetryMin = 100 * time.Millisecond
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -29,7 +29,7 @@
 	firstEventAt time.Time
 	// connErr is the error that broke the connection to the server; nil if it did not break.
 	connErr error
-	// cancelledHere says that this entry cancelled the attempt.
+	// cancelledHere says that this entry, not the server, ended the attempt.
 	cancelledHere bool
 	// serverCrashed says that the server's process was gone when the attempt had ended.
 	serverCrashed bool
