--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -201,7 +201,7 @@
 		p.s.traffic.add(direction{sent: true}, kind, local, local*bytes)
 	}
 	if remote > 0 {
-		p.s.traffic.add(direction{sent: true, far: true}, kind, remote, remote*bytes)
+		p.s.traffic.add(direction{sent: true, remote: true}, kind, remote, remote*bytes)
 	}
 }
 
@@ -249,7 +249,7 @@
 			p.s.log.WithError(err).Warn("decoding a peer message failed")
 			continue
 		}
-		p.s.traffic.add(direction{far: m.Zone != p.s.settings.Zone}, m.Kind(), 1, n+datagramHeaders)
+		p.s.traffic.add(direction{remote: m.Zone != p.s.settings.Zone}, m.Kind(), 1, n+datagramHeaders)
 		p.handleMessage(time.Now(), m)
 	}
 }
--- a/entry/gateway/platformloop.go
+++ b/entry/gateway/platformloop.go
@@ -17,8 +17,8 @@
 )
 
 // storeLoop keeps the configuration and the list of servers current. An entry that has to read the
-// store reads both completely, and then watches for changes until the history is compacted; the
-// others get the changes from those that read.
+// store reads both completely, and then watches for changes until the history from its revision is
+// unavailable; the others get the changes from those that read.
 func (s *Server) storeLoop() error {
 	ctx := s.tomb.Context(context.Background())
 	s.bootstrapFromPeers(ctx)
@@ -38,7 +38,7 @@
 		case err == nil:
 			continue // other entries read from now on
 		case errors.Is(err, platform.ErrHistoryGone):
-			s.log.Warn("the store has compacted its history past the known revision; reading the full state")
+			s.log.Warn("the store's history from the known revision is unavailable; reading the full state")
 			s.resetPosition()
 			continue
 		}
--- a/entry/gateway/traffic.go
+++ b/entry/gateway/traffic.go
@@ -23,7 +23,7 @@
 
 // direction of a message, and whether its peer is in another zone.
 type direction struct {
-	sent, far bool
+	sent, remote bool
 }
 
 var directionNames = map[direction]string{{true, false}: "sent.near", {true, true}: "sent.far", {false, false}: "received.near", {false, true}: "received.far"}
--- a/entry/gateway/view.go
+++ b/entry/gateway/view.go
@@ -45,7 +45,7 @@
 		p.mu.Lock()
 		remote := p.group.Zone(peer) != p.s.settings.Zone
 		p.mu.Unlock()
-		p.s.traffic.add(direction{far: remote}, kindView, 1, len(file.Content))
+		p.s.traffic.add(direction{remote: remote}, kindView, 1, len(file.Content))
 		p.s.applyView(v, peer, withServers)
 	}
 	return nil
