--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -13,7 +13,7 @@
 	{"an evacuation outlives an older copy of the store", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
 	{"a lost evacuation is fetched", "entry/gateway/view.go", "	evacuations := s.applyViewEvacuations(v)\n", "	var evacuations []evacuation.State\n", gatewayPkg, "TestALostEvacuation"},
 	{"an entry of an earlier version takes no zone back", "entry/gateway/evacuation.go", "v.Evacuations == nil || ", "", gatewayPkg, "TestALostEvacuation"},
-	{"a place in an evacuated zone is not used", "entry/gateway/crossing.go", " || !s.directory.TakesWork(server)", "", gatewayPkg, "TestAPlacementInAnEvacuatedZoneIsNotUsed"},
+	{"a place in an evacuated zone is not used", "entry/gateway/crosszone.go", " || !s.directory.TakesWork(server)", "", gatewayPkg, "TestAPlacementInAnEvacuatedZoneIsNotUsed"},
 	{"an entry sends a cold server one request a second", "core/coldstart/limiter.go", "	if !known.sent.IsZero() && now.Sub(known.sent) < interval {", "	if false {", coldstartPkg, "TestAnEntrySends|TestNoCold"},
 	{"few entries send to a cold server", "core/coldstart/limiter.go", "	return known.place < Senders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
 	{"room is left for entries that know too few", "core/coldstart/limiter.go", "const knownShare = 0.5", "const knownShare = 1", coldstartPkg, "TestNoCold"},
@@ -23,8 +23,8 @@
 
 // memoryMutations remove the bounds on what callers make an entry hold.
 var memoryMutations = []mutation{
-	{"a caller that does not read is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetWriteDeadline, e.deadline.Add(responseWriteSlack))\n", "", gatewayPkg, "TestACallerThatDoesNotRead"},
-	{"a caller that sends slowly is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetReadDeadline, e.deadline)\n", "", gatewayPkg, "TestASlowRequestBodyEndsAtTheDeadline"},
+	{"a caller that does not read is ended", "entry/gateway/body.go", "	e.setDeadline((*http.ResponseController).SetWriteDeadline, e.deadline.Add(responseWriteSlack))\n", "", gatewayPkg, "TestACallerThatDoesNotRead"},
+	{"a caller that sends slowly is ended", "entry/gateway/body.go", "	e.setDeadline((*http.ResponseController).SetReadDeadline, e.deadline)\n", "", gatewayPkg, "TestASlowRequestBodyEndsAtTheDeadline"},
 	{"bodies together are bounded", "core/admission/bytes.go", "	if b.held+count > b.limit {\n", "	if false {\n", gatewayPkg, "TestRequestBodiesStayWithinTheMemoryLimit"},
-	{"the room of a body comes back", "entry/gateway/front.go", "	defer e.bodyBuffer.release()\n", "", gatewayPkg, "TestRequestBodiesStayWithinTheMemoryLimit"},
+	{"the room of a body comes back", "entry/gateway/handler.go", "	defer e.bodyBuffer.release()\n", "", gatewayPkg, "TestRequestBodiesStayWithinTheMemoryLimit"},
 }
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -23,7 +23,7 @@
 	{"lists that all know are not told", "core/peering/beats.go", "g.members[address].sum != sum {", "(true || g.members[address].sum != sum) {", peeringPkg, "TestAllAreToldOfAll"},
 	{"few read the store first", "core/peering/start.go", "place < startReaders<<min(waited/readTurn, maxTurns)", "place < 1000", peeringPkg, "TestWhereAllStartAtOnce"},
 	{"calls at a start do not grow", "core/peering/start.go", "place < startReaders<<min(waited/readTurn, maxTurns)", "place < 1000", fleetPkg, "TestCallsOfTheStore"},
-	{"a starting entry is not held up by its neighbours", "entry/gateway/readers.go", "		if source != \"\" && (s.readStore(ctx) == nil || !s.sleep(storeRetryMin)) {\n			return\n		}\n", "", gatewayPkg, "TestAStartingEntryIsNotDelayedByItsPeers"},
+	{"a starting entry is not held up by its neighbours", "entry/gateway/storereaders.go", "		if source != \"\" && (s.readStore(ctx) == nil || !s.sleep(storeRetryMin)) {\n			return\n		}\n", "", gatewayPkg, "TestAStartingEntryIsNotDelayedByItsPeers"},
 	{"a view that many fetch is encoded once", "entry/gateway/viewcache.go", "ok && now.Sub(cached.at) < viewTTL {", "ok && now.Before(cached.at) {", gatewayPkg, "TestAViewThatMany"},
 	{"no second entry of a zone reads beside the first", "core/peering/readers.go", "	readersPerZone = 1\n", "	readersPerZone = 2\n", peeringPkg, "TestOneEntryOfAZone"},
 	{"more read the store with the time", "core/peering/start.go", "startReaders<<min(waited/readTurn, maxTurns)", "startReaders", peeringPkg, "TestWhereAllStartAtOnce"},
@@ -33,7 +33,7 @@
 	{"a source that has no list is not waited for", "core/peering/start.go", "now.Sub(g.listKnown) < time.Duration(level)*readTurn", "level > 0", peeringPkg, "TestAnEntryDoesNotWait"},
 	{"readers need not serve to count", "core/peering/readers.go", "(!m.serving.IsZero() || m.store.Reads)", "!m.serving.IsZero()", peeringPkg, "TestReadersThatDoNotServe"},
 	{"those that stop hand nothing on", "core/peering/readers.go", "!m.isHeard(now) || m.stopping {", "!m.isHeard(now) {", peeringPkg, "TestReadersThatDoNotServe"},
-	{"first readers are heard at once", "entry/gateway/platformloop.go", "		s.peers.broadcastState()\n", "", gatewayPkg, "TestFewEntriesReadAnEmptyStore"},
+	{"first readers are heard at once", "entry/gateway/storeloop.go", "		s.peers.broadcastState()\n", "", gatewayPkg, "TestFewEntriesReadAnEmptyStore"},
 	{"an empty store is read by few", "core/peering/readers.go", "	if m.store.Reads {\n		return m.staleness(now) <= g.reading.staleAfter()\n	}\n", "", fleetPkg, "TestFewReadAStoreThat"},
 	{"a lonely entry asks again", "core/peering/start.go", "func (g *Group) Lonely() bool { return g.heardFirst.IsZero() }", "func (g *Group) Lonely() bool { return false }", peeringPkg, "TestAnEntryThatHearsNo"},
 }
