--- a/entry/gateway/settings.go
+++ b/entry/gateway/settings.go
@@ -30,8 +30,8 @@
 	MemoryMB int64 `yaml:"memoryMB" validate:"gt=0"`
 	// Processors bounds the threads that run Go code at once (GOMAXPROCS).
 	Processors int `yaml:"processors" validate:"gte=1"`
-	// ShutdownTimeout is the time from SIGTERM to SIGKILL.
-	ShutdownTimeout config.Duration `yaml:"stopLimit" validate:"gt=0"`
+	// StopLimit is the time from SIGTERM to SIGKILL.
+	StopLimit config.Duration `yaml:"stopLimit" validate:"gt=0"`
 	// RetryRatio, RetryExtra and RetryWindow bound the retries at further servers, summed over all
 	// entries: in any window, RetryRatio times the requests plus RetryExtra.
 	RetryRatio  float64         `yaml:"retryRatio" validate:"gte=0"`
--- a/entry/gateway/shutdown.go
+++ b/entry/gateway/shutdown.go
@@ -66,7 +66,7 @@
 
 // ShutdownTimeout returns how long a graceful shutdown waits for open requests.
 func (s *Server) ShutdownTimeout() time.Duration {
-	return max(s.settings.ShutdownTimeout.D()-shutdownMargin, shutdownMargin)
+	return max(s.settings.StopLimit.D()-shutdownMargin, shutdownMargin)
 }
 
 // shutdownRefusal returns the refusal of a request because this entry stops.
--- a/entry/gateway/testbed_test.go
+++ b/entry/gateway/testbed_test.go
@@ -78,7 +78,7 @@
 	host := loopbackHost()
 	return Settings{Name: "entry", Zone: "here", ListenAddress: host + ":7801", ReadyAddress: host + ":7802", PeerAddress: host + ":7803",
 		MetricsAddress: host + ":7804", Store: w.store.Address(), Seeds: seeds, MemoryMB: 200, Processors: 2,
-		ShutdownTimeout: config.Duration(5 * time.Second), RetryRatio: 0.2, RetryExtra: 100, RetryWindow: config.Duration(10 * time.Second),
+		StopLimit: config.Duration(5 * time.Second), RetryRatio: 0.2, RetryExtra: 100, RetryWindow: config.Duration(10 * time.Second),
 		ReservationIdle: config.Duration(9 * time.Second)}
 }
 
--- a/proof/processes/forward_test.go
+++ b/proof/processes/forward_test.go
@@ -71,7 +71,7 @@
 	host := forwardingHost()
 	settings := gateway.Settings{Name: fmt.Sprintf("forward-%d", index), Zone: "here", ListenAddress: host + ":7801", ReadyAddress: host + ":7802",
 		PeerAddress: host + ":7803", MetricsAddress: host + ":7804", Store: f.store.Address(), MemoryMB: cmp.Or(spec.memoryMB, 200), Processors: spec.processors,
-		ShutdownTimeout: config.Duration(spec.stopLimit), RetryRatio: 0.2, RetryExtra: 100, RetryWindow: config.Duration(10 * time.Second),
+		StopLimit: config.Duration(spec.stopLimit), RetryRatio: 0.2, RetryExtra: 100, RetryWindow: config.Duration(10 * time.Second),
 		ReservationIdle: config.Duration(9 * time.Second)}
 	if index > 0 {
 		settings.Seeds = []string{f.entries[0].PeerAddress}
--- a/proof/soak/daemon.go
+++ b/proof/soak/daemon.go
@@ -202,7 +202,7 @@
 	at := func(port int) string { return fmt.Sprintf("%s:%d", host, port) }
 	return gateway.Settings{Name: fmt.Sprintf("entry-%03d", index), Zone: "here", ListenAddress: at(portCallers), ReadyAddress: at(portReady),
 		PeerAddress: at(portPeers), MetricsAddress: at(portMetrics), Store: store, Seeds: seeds, MemoryMB: 200, Processors: 1,
-		ShutdownTimeout: config.Duration(stopLimit), RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: config.Duration(retryWindow),
+		StopLimit: config.Duration(stopLimit), RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: config.Duration(retryWindow),
 		ApplyLimit: config.Duration(changeBound), DrainLimit: config.Duration(changeBound), ReservationIdle: config.Duration(reservationIdle), LogRate: gateway.DefaultLogRate}
 }
 
