--- a/host/cmd/arbutus-host/main.go
+++ b/host/cmd/arbutus-host/main.go
@@ -1,4 +1,4 @@
-// Command arbutus-host is the host daemon: one runs beside each backend server.
+// Command arbutus-host runs the host daemon of one backend server.
 package main
 
 import (
--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine calls the model engines and the plain services of one backend
-// server by their published HTTP protocol.
+// Package engine is the HTTP client for the model engines and plain services of
+// one backend server.
 package engine
 
 import (
@@ -20,21 +20,21 @@
 	"arbutusdeck/core/orders"
 )
 
-// Errors of Client; they are wrapped with the cause.
+// Errors returned by Client, wrapped with the cause.
 var (
-	// ErrNotSent: no byte reached the engine, so nothing ran.
+	// ErrNotSent means that no byte reached the engine, so nothing ran.
 	ErrNotSent = errors.New("engine not reached")
-	// ErrBusy: the engine refused the stream before running it.
-	ErrBusy = errors.New("engine refused for now")
-	// ErrFailed: the engine failed, or its answer broke off.
+	// ErrBusy means that the engine refused the stream before running it.
+	ErrBusy = errors.New("engine temporarily unavailable")
+	// ErrFailed means that the engine failed or its response was truncated.
 	ErrFailed = errors.New("engine failed")
-	// ErrFenced: the engine has seen a higher fencing number.
+	// ErrFenced means that the engine has seen a higher fencing token.
 	ErrFenced = errors.New("fenced off")
-	// ErrThrottled: the weight store refused for now.
+	// ErrThrottled means that the weight store is rate limiting.
 	ErrThrottled = errors.New("weight store throttled")
 )
 
-// Headers of the engines' protocol.
+// Request headers of the engine protocol.
 const (
 	HeaderStream   = "X-Stream-Id"
 	HeaderPriority = "X-Priority"
@@ -42,13 +42,13 @@
 	HeaderFence    = "X-Fencing-Token"
 )
 
-// Client calls one engine or plain service.
+// Client calls one engine or plain service. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client for a base URL, as in http://127.0.0.1:8000.
+// NewClient returns a client for a base URL such as http://127.0.0.1:8000.
 func NewClient(base string) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -58,37 +58,38 @@
 	return &Client{base: base, http: &http.Client{Transport: transport}}
 }
 
-// Call is one request to run.
+// Call describes one request to an engine or plain service.
 type Call struct {
-	// Model says that the callee is a model engine: it takes stream headers,
-	// and its error statuses mean that there is no answer.
+	// Model reports whether the target is a model engine. Engines get stream
+	// headers, and their error statuses are returned as errors.
 	Model       bool
 	Method      string
 	Path        string
 	ContentType string
 	Stream      string
 	Priority    int
-	// Group lists the engines that serve the prompt together.
+	// Group lists the engines that serve the prompt together, comma-separated.
 	Group string
-	// Fence is sent to services that check it; zero sends none.
+	// Fence is the fencing token; zero sends none.
 	Fence  uint64
 	Body   io.Reader
 	Length int64
 }
 
-// Head is the beginning of an answer.
+// Head holds the status and headers of a response that callers need.
 type Head struct {
 	Status      int
 	ContentType string
 }
 
-// chunkSize is the largest piece of an answer that is handed on at once.
+// chunkSize bounds one chunk of a response, in bytes.
 const chunkSize = 32 << 10
 
-// Run makes the call and hands the answer on in pieces, as they come. Errors
-// wrap ErrNotSent, ErrBusy or ErrFailed. A plain service's own error status is
-// no error here: it is the answer.
-func (c *Client) Run(ctx context.Context, call Call, piece func(head Head, data []byte)) error {
+// Run sends the request and passes each chunk of the response to onChunk as it
+// arrives; an empty body yields one call with no data. Errors wrap ErrNotSent,
+// ErrBusy or ErrFailed. An error status of a plain service is not an error: it
+// is passed on as the response.
+func (c *Client) Run(ctx context.Context, call Call, onChunk func(head Head, data []byte)) error {
 	request, err := c.request(ctx, call)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrNotSent, err)
@@ -103,7 +104,7 @@
 			return err
 		}
 	}
-	return copyPieces(response, piece)
+	return readChunks(response, onChunk)
 }
 
 func (c *Client) request(ctx context.Context, call Call) (*http.Request, error) {
@@ -128,7 +129,8 @@
 	return request, nil
 }
 
-// callError tells a connection that was never made from one that broke.
+// callError returns ErrNotSent if the connection was never established, else
+// ErrFailed.
 func callError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -147,32 +149,33 @@
 	return nil
 }
 
-func copyPieces(response *http.Response, piece func(head Head, data []byte)) error {
+func readChunks(response *http.Response, onChunk func(head Head, data []byte)) error {
 	head := Head{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}
 	buffer := make([]byte, chunkSize)
 	sent := false
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			piece(head, bytes.Clone(buffer[:n]))
+			onChunk(head, bytes.Clone(buffer[:n]))
 			sent = true
 		}
 		if errors.Is(err, io.EOF) {
 			if !sent {
-				piece(head, nil)
+				onChunk(head, nil)
 			}
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: the answer broke off: %v", ErrFailed, err)
+			return fmt.Errorf("%w: response truncated: %v", ErrFailed, err)
 		}
 	}
 }
 
-// goneTimeout bounds the look whether an engine is there. It runs on the same host.
+// goneTimeout bounds the liveness probe of an engine, which runs on the same host.
 const goneTimeout = 100 * time.Millisecond
 
-// Gone says whether the engine's process has ended: its host refuses connections to its address.
+// Gone reports whether the engine's process has crashed, that is, whether its
+// host refuses connections to its address.
 func (c *Client) Gone(ctx context.Context) bool {
 	base, err := url.Parse(c.base)
 	if err != nil {
@@ -186,12 +189,12 @@
 	return c.control(ctx, http.MethodDelete, "/v1/streams/"+url.PathEscape(stream), nil, nil)
 }
 
-// Pause stops a stream and keeps its memory.
+// Pause suspends a stream; its memory stays allocated.
 func (c *Client) Pause(ctx context.Context, stream string) error {
 	return c.control(ctx, http.MethodPost, "/v1/streams/"+url.PathEscape(stream)+"/pause", nil, nil)
 }
 
-// Resume lets a paused stream go on.
+// Resume continues a paused stream.
 func (c *Client) Resume(ctx context.Context, stream string) error {
 	return c.control(ctx, http.MethodPost, "/v1/streams/"+url.PathEscape(stream)+"/resume", nil, nil)
 }
@@ -200,12 +203,12 @@
 	Priority int `json:"priority"`
 }
 
-// SetPriority changes a stream's priority; lower goes first.
+// SetPriority changes a stream's priority; lower values are served first.
 func (c *Client) SetPriority(ctx context.Context, stream string, priority int) error {
 	return c.control(ctx, http.MethodPost, "/v1/streams/"+url.PathEscape(stream)+"/priority", priorityBody{priority}, nil)
 }
 
-// State is what an engine reports of itself.
+// State is an engine's report of its configuration and its streams.
 type State struct {
 	Model    string       `json:"model"`
 	Version  string       `json:"version"`
@@ -216,19 +219,19 @@
 	Streams  []StreamInfo `json:"streams"`
 }
 
-// StreamInfo is one stream that an engine holds.
+// StreamInfo describes one stream that occupies engine memory.
 type StreamInfo struct {
 	ID     string `json:"id"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Observed translates the state for the reconciler.
+// Observed converts the state for the order reconciler.
 func (s State) Observed() orders.Observed {
 	return orders.Observed{State: orders.Wanted{Model: s.Model, Version: s.Version, Adapters: s.Adapters, Role: s.Role},
 		Fence: s.Fence, Busy: s.Busy}
 }
 
-// Held translates the streams for the memory recovery.
+// Held converts the streams for the recovery of memory leases.
 func (s State) Held(engine string) []memory.EngineStream {
 	var held []memory.EngineStream
 	for _, stream := range s.Streams {
@@ -237,7 +240,7 @@
 	return held
 }
 
-// State reads what the engine reports.
+// State fetches the engine's state.
 func (c *Client) State(ctx context.Context) (State, error) {
 	var state State
 	err := c.control(ctx, http.MethodGet, "/v1/state", nil, &state)
@@ -252,36 +255,36 @@
 	Role     string   `json:"role"`
 }
 
-// Order asks the engine to become as wanted and waits until it is. Errors wrap
-// ErrFenced, ErrThrottled, ErrNotSent or ErrFailed.
+// Order asks the engine to change to the desired state and waits until it has.
+// Errors wrap ErrFenced, ErrThrottled, ErrNotSent or ErrFailed.
 func (c *Client) Order(ctx context.Context, order orders.Order) error {
 	body := orderBody{Fence: order.Fence, Model: order.Wanted.Model, Version: order.Wanted.Version,
 		Adapters: order.Wanted.Adapters, Role: order.Wanted.Role}
 	return c.control(ctx, http.MethodPost, "/v1/orders", body, nil)
 }
 
-// CacheEvent is one change of an engine's prefix cache. Events come late and
-// with gaps.
+// CacheEvent is one change of an engine's prefix cache. Events may be delayed
+// or missing.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents reads the events after a sequence.
+// CacheEvents fetches the events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	err := c.control(ctx, http.MethodGet, fmt.Sprintf("/v1/cache-events?after=%d", after), nil, &events)
 	return events, err
 }
 
-// Load is an engine's report of its own load. It lags behind.
+// Load is an engine's report of its own load. It lags behind the true load.
 type Load struct {
 	Running    int   `json:"running"`
 	UsedTokens int64 `json:"usedTokens"`
 }
 
-// Load reads the engine's lagging report.
+// Load fetches the engine's load report.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var load Load
 	err := c.control(ctx, http.MethodGet, "/v1/load", nil, &load)
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// controlTimeout bounds one control call to an engine.
+	// controlTimeout bounds one control request to an engine.
 	controlTimeout = 2 * time.Second
-	// partTimeout bounds one call for a part of a group reservation.
+	// partTimeout bounds one request for a part of a group reservation.
 	partTimeout = 2 * time.Second
 )
 
-// carryOut does what the core decided. It is called without the lock.
+// carryOut executes the core's effects. The lock must not be held.
 func (s *Server) carryOut(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -48,9 +48,9 @@
 	}
 }
 
-// control calls an engine in the background. A call that fails is not repeated:
-// pause, resume and priority only shape the order of work, and what a cancel
-// leaves behind is found as an orphan.
+// control sends a control request to an engine in the background. A failed
+// request is not retried: pause, resume and priority only affect the order of
+// work, and a stream that survives a failed cancel is later found as an orphan.
 func (s *Server) control(name string, call func(ctx context.Context, e *engine.Client) error) {
 	client := s.engines[name]
 	if client == nil {
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 		defer cancel()
 		if err := call(ctx, client); err != nil {
-			s.Log.WithError(err).WithField("engine", name).Warn("a control call to the engine failed")
+			s.Log.WithError(err).WithField("engine", name).Warn("engine control request failed")
 		}
 	}()
 }
@@ -100,8 +100,8 @@
 	return s.Dialer.Host(s.Store.Current().Servers[server].Address)
 }
 
-// giveBackPart releases a part. A release that is lost is made good by the end
-// of the part's lease.
+// giveBackPart releases one part of a group reservation, here or at another
+// host. If the release is lost, the part's lease expires.
 func (s *Server) giveBackPart(e backend.GiveBackPart) {
 	if e.Part.Server == s.Name() {
 		s.mu.Lock()
@@ -114,6 +114,6 @@
 	defer cancel()
 	_, err := s.member(e.Part.Server).Release(ctx, &wire.ReleaseRequest{Envelope: s.Envelope(), Reservation: e.Reservation})
 	if err != nil {
-		s.Log.WithError(err).WithField("server", e.Part.Server).Warn("a part's release was lost; its lease will end")
+		s.Log.WithError(err).WithField("server", e.Part.Server).Warn("release of a reservation part failed; its lease will expire")
 	}
 }
--- a/host/server/offer.go
+++ b/host/server/offer.go
@@ -11,10 +11,10 @@
 	"arbutusdeck/core/wire"
 )
 
-// hostService answers the other daemons' unary calls.
+// hostService implements the unary RPCs for other daemons.
 type hostService struct{ s *Server }
 
-// Offer decides on an attempt; see backend.Core.
+// Offer accepts or refuses an attempt; see backend.Core.
 func (h hostService) Offer(_ context.Context, m *wire.OfferRequest) (*wire.OfferReply, error) {
 	s := h.s
 	s.HeardRevision(m.Envelope)
@@ -44,7 +44,8 @@
 	}
 }
 
-// Cancel ends an attempt; NotRun comes with a tombstone.
+// Cancel stops an attempt and returns its outcome. NotRun leaves a tombstone,
+// so that the attempt can't start later.
 func (h hostService) Cancel(_ context.Context, m *wire.CancelRequest) (*wire.CancelReply, error) {
 	s := h.s
 	s.HeardRevision(m.Envelope)
@@ -70,7 +71,7 @@
 	return wire.FromLoad(now, s.core.Load(now, pool))
 }
 
-// Reserve leases one engine's memory to a group reservation.
+// Reserve leases memory of one engine to a group reservation.
 func (h hostService) Reserve(_ context.Context, m *wire.ReserveRequest) (*wire.ReserveReply, error) {
 	s := h.s
 	s.HeardRevision(m.Envelope)
@@ -89,7 +90,7 @@
 	return reply, nil
 }
 
-// Release gives a group reservation back.
+// Release frees the part of a group reservation that this host holds.
 func (h hostService) Release(_ context.Context, m *wire.ReleaseRequest) (*wire.ReleaseReply, error) {
 	s := h.s
 	s.HeardRevision(m.Envelope)
--- a/host/server/reports.go
+++ b/host/server/reports.go
@@ -10,16 +10,16 @@
 	"arbutusdeck/host/engine"
 )
 
-// EngineReport is what an engine tells of itself beyond its state. Load lags and
-// cache events come late and with gaps, so nothing is decided by them: they are
-// for operators to hold against what the daemon has booked.
+// EngineReport is an engine's self-reported load and cache size. Load lags and
+// cache events may be delayed or missing, so no decision depends on them:
+// operators compare them with the daemon's own accounting.
 type EngineReport struct {
 	Running        int   `json:"running"`
 	UsedTokens     int64 `json:"usedTokens"`
 	CachedPrefixes int   `json:"cachedPrefixes"`
 }
 
-// reports keeps the last report of each engine.
+// reports holds the latest report of each engine.
 type reports struct {
 	registry metrics.Registry
 
@@ -28,20 +28,21 @@
 	cache map[string]*cacheView
 }
 
-// cacheView is the prefix cache of one engine as its events tell it.
+// cacheView is the prefix cache of one engine, rebuilt from its events.
 type cacheView struct {
 	after    uint64
 	prefixes map[uint64]bool
 }
 
-// maxPrefixes bounds a cacheView: with events missing, evictions may never come.
+// maxPrefixes bounds a cacheView: an eviction event may be lost, so entries
+// might never be removed.
 const maxPrefixes = 10_000
 
 func newReports(registry metrics.Registry) *reports {
 	return &reports{registry: registry, last: map[string]EngineReport{}, cache: map[string]*cacheView{}}
 }
 
-// read asks one engine for its reports. An engine that has none is left out.
+// read fetches the report of one engine. An engine without reports is omitted.
 func (r *reports) read(ctx context.Context, name string, client *engine.Client) {
 	load, err := client.Load(ctx)
 	if err != nil {
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -12,27 +12,29 @@
 	"arbutusdeck/host/engine"
 )
 
-// run is the answer of one accepted attempt. The server's lock guards it, but
-// for the body, which belongs to the goroutine that calls the engine.
+// run is the state of one accepted attempt and its response. The server's lock
+// guards it, except for body, which belongs to the goroutine that calls the
+// engine.
 type run struct {
 	offer  backend.Offer
 	writer *execution.FrameWriter
 	body   *body
 	call   engine.Call
 	cancel context.CancelFunc
-	// changed is closed and replaced with each new frame.
+	// changed is closed and replaced when a frame is added.
 	changed chan struct{}
-	// accepted is when the offer was taken on; begun is set with the first
-	// piece of the answer.
+	// accepted is when the offer was accepted; begun is set by the first chunk
+	// of the response.
 	accepted time.Time
 	begun    bool
-	// released is set once the daemon's stop need not wait for the attempt:
-	// its last frame is out, or nobody came for it.
+	// released is set once a graceful shutdown need not wait for the attempt:
+	// its last frame was sent, or its stream can no longer be resumed.
 	released bool
 	keep     answerBuffer
 }
 
-// answerBuffer keeps the answer of a keyed attempt for resends, up to a limit.
+// answerBuffer holds the response of an attempt with an idempotency key, so that
+// it can be replayed. A response above the limit is not kept.
 type answerBuffer struct {
 	head engine.Head
 	data []byte
@@ -56,22 +58,22 @@
 	return &run{offer: offer, accepted: time.Now(), changed: make(chan struct{}), writer: execution.NewFrameWriter(offer.Request, offer.Attempt)}
 }
 
-// signal wakes the streams that wait for frames.
+// signal wakes the streams that are waiting for frames.
 func (r *run) signal() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// body is the prompt on its way from the entry's connection to the engine. done
-// is closed when the engine's call needs it no more, so that the handler that
-// owns the connection may return.
+// body is a prompt that is streamed from the entry's connection to the engine.
+// done is closed when the engine call no longer reads it, so that the handler
+// that owns the connection may return.
 type body struct {
 	reader io.Reader
 	length int64
 	done   chan struct{}
 }
 
-// start calls the engine for an attempt.
+// start runs an attempt at its engine in the background.
 func (s *Server) start(e backend.Start) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.mu.Lock()
@@ -100,8 +102,8 @@
 	return client.Run(ctx, call, func(head engine.Head, data []byte) { s.piece(r, head, data) })
 }
 
-// clientOf returns the client of the engine or plain service that runs an attempt; nil if there is
-// none.
+// clientOf returns the client for the engine or plain service of an attempt, or
+// nil if there is none.
 func (s *Server) clientOf(r *run, engineName string) *engine.Client {
 	if r.offer.Service != "" {
 		return s.services[r.offer.Service]
@@ -109,10 +111,10 @@
 	return s.engines[engineName]
 }
 
-// fence returns the fencing number for a plain service that checks it, or 0. It
-// grows with each start of the daemon: a call of a killed predecessor that
-// arrives late is refused, as the successor's number is higher. The host's clock
-// must not go back between two starts.
+// fence returns the fencing token for a plain service that checks it, else 0.
+// The token is the daemon's start time in milliseconds: a late call of a killed
+// predecessor carries a lower token and is refused. The host's clock must not go
+// back between two starts.
 func (s *Server) fence(service string) uint64 {
 	if service == "" || !s.Store.Current().Services[service].ChecksFencing {
 		return 0
@@ -120,7 +122,7 @@
 	return uint64(s.core.Began().UnixMilli())
 }
 
-// piece takes in a piece of the answer. Only the first one is news to the core.
+// piece appends a chunk of the response. The core is told of the first one only.
 func (s *Server) piece(r *run, head engine.Head, data []byte) {
 	var effects []backend.Effect
 	s.mu.Lock()
@@ -138,7 +140,7 @@
 	s.carryOut(effects)
 }
 
-// finish ends an attempt with the outcome that the engine's call shows.
+// finish records the outcome of an attempt from the result of its engine call.
 func (s *Server) finish(r *run, engineName string, err error) {
 	outcome, refusal := outcomeOf(err)
 	if errors.Is(err, engine.ErrFailed) && s.clientOf(r, engineName).Gone(context.Background()) {
@@ -148,14 +150,14 @@
 	effects := s.core.Finish(time.Now(), r.offer.Attempt, outcome, refusal, r.keep.answer())
 	s.mu.Unlock()
 	if err != nil {
-		s.Log.WithError(err).WithField("attempt", r.offer.Attempt).WithField("engine", engineName).Warn("the run failed")
-		// The stream may live on in the engine if only the connection broke.
+		s.Log.WithError(err).WithField("attempt", r.offer.Attempt).WithField("engine", engineName).Warn("attempt failed")
+		// If only the connection broke, the engine may still run the stream.
 		s.control(engineName, func(ctx context.Context, e *engine.Client) error { return e.Cancel(ctx, string(r.offer.Attempt)) })
 	}
 	s.carryOut(effects)
 }
 
-// outcomeOf turns an engine's error into an outcome with its reason.
+// outcomeOf maps the error of an engine call to an outcome and its refusal.
 func outcomeOf(err error) (execution.Outcome, execution.Refusal) {
 	switch {
 	case err == nil:
@@ -168,8 +170,8 @@
 	return execution.Failed, execution.Refusal{Code: execution.CodeEngineFailed, Detail: "the engine failed during the run"}
 }
 
-// ended closes an attempt's answer. Its frames stay for as long as the stream
-// may be resumed.
+// ended closes the stream of an attempt. Its frames are kept for StreamLease, in
+// which the stream may be resumed.
 func (s *Server) ended(e backend.Ended) {
 	if e.Outcome == execution.Finished {
 		s.counters.finished.Inc(1)
@@ -187,7 +189,8 @@
 	time.AfterFunc(s.options.Backend.Ledger.StreamLease, func() { s.forget(e.Attempt) })
 }
 
-// forget drops an ended attempt's frames once nobody can resume its stream.
+// forget drops the frames of an ended attempt whose stream can no longer be
+// resumed.
 func (s *Server) forget(id execution.AttemptID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +200,8 @@
 	delete(s.runs, id)
 }
 
-// release lets a planned stop go on without this attempt.
+// release lets a graceful shutdown proceed without this attempt. The lock must
+// be held.
 func (s *Server) release(r *run) {
 	if r.released {
 		return
@@ -206,7 +210,7 @@
 	s.Manager().End()
 }
 
-// stopRun ends a run that is under way.
+// stopRun cancels the engine call of an attempt, if one is running.
 func (s *Server) stopRun(id execution.AttemptID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -24,10 +24,10 @@
 	"arbutusdeck/host/engine"
 )
 
-// dialTimeout bounds the opening of a connection to another daemon.
+// dialTimeout bounds connecting to another daemon.
 const dialTimeout = time.Second
 
-// Options are the parts of a Server.
+// Options configure a Server.
 type Options struct {
 	Settings Settings
 	Log      *logrus.Entry
@@ -37,7 +37,7 @@
 	Sync     config.SyncOptions
 }
 
-// DefaultOptions returns options for settings.
+// DefaultOptions returns the production options for the given settings.
 func DefaultOptions(settings Settings, log *logrus.Entry, trail *audit.Trail) Options {
 	options := Options{
 		Settings: settings,
@@ -53,8 +53,8 @@
 	return options
 }
 
-// Server is one host daemon. Its lock guards the core: every decision over the
-// server's engines is made by one writer, in order.
+// Server is the host daemon. Its lock guards the core and the runs, so that all
+// decisions about the server's engines are serialized.
 type Server struct {
 	*process.Base
 	options  Options
@@ -75,7 +75,7 @@
 	firstToken                                                     metrics.Timer
 }
 
-// New returns a daemon that Start starts.
+// New returns a daemon that is not yet started; see Start.
 func New(options Options) *Server {
 	s := &Server{
 		options:  options,
@@ -115,8 +115,9 @@
 	}
 }
 
-// Start listens and serves under the tomb. The fixed address is what makes this
-// daemon the only one for its engines: a second one can't bind it.
+// Start opens the listeners and runs the daemon's goroutines under the tomb. The
+// fixed peer address also keeps a second daemon from managing the same engines,
+// as it can't bind the address.
 func (s *Server) Start(t *tomb.Tomb) error {
 	s.tomb = t
 	listener, err := process.Listen(s.options.Settings.PeerAddress)
@@ -147,7 +148,7 @@
 	return router
 }
 
-// adopt brings a new snapshot into force.
+// adopt applies a new configuration snapshot.
 func (s *Server) adopt(snapshot *config.Snapshot) {
 	now := time.Now()
 	s.mu.Lock()
@@ -159,8 +160,9 @@
 	}
 }
 
-// readHosts takes in the platform's list: a host that is said to leave takes no
-// new work, once the list can't be telling of the daemon before this one.
+// readHosts applies the platform's list of hosts: if it marks this host as
+// draining, the host accepts no new work. A list that may still describe the
+// previous incarnation of the daemon is ignored.
 func (s *Server) readHosts(hosts []platform.Host) {
 	for _, host := range hosts {
 		if host.Server == s.Name() && host.Leaving && s.Manager().State() == lifecycle.Serving {
@@ -180,7 +182,7 @@
 		Why: "the host list says so", Source: "list"})
 }
 
-// changeState brings the daemon's state into the core.
+// changeState passes the daemon's lifecycle state on to the core.
 func (s *Server) changeState(to lifecycle.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/host/server/settings.go
+++ b/host/server/settings.go
@@ -1,19 +1,20 @@
-// Package server is the host daemon: thin adapters that drive the decision cores
-// for the engines and plain services of one backend server.
+// Package server implements the host daemon of one backend server: it connects
+// the decision core in core/backend to the network, the clock and the engines.
 package server
 
 import (
 	"arbutusdeck/core/process"
 )
 
-// Settings are the host daemon's own settings.
+// Settings holds the settings of a host daemon.
 type Settings struct {
 	process.Settings `yaml:",inline"`
-	// Engines are the base URLs of the local engines, by the names that the
-	// configuration gives them.
+	// Engines maps the names of the local engines in the configuration to their
+	// base URLs.
 	Engines map[string]string `yaml:"engines" validate:"dive,url"`
-	// Services are the base URLs of the local plain services, by name.
+	// Services maps the names of the local plain services to their base URLs.
 	Services map[string]string `yaml:"services" validate:"dive,url"`
-	// SchedulingPolicy is isolating or fcfs, the baseline.
+	// SchedulingPolicy is isolating or fcfs (the baseline); empty selects the
+	// default.
 	SchedulingPolicy string `yaml:"schedulingPolicy" validate:"omitempty,oneof=isolating fcfs"`
 }
--- a/host/server/status.go
+++ b/host/server/status.go
@@ -6,7 +6,7 @@
 	"arbutusdeck/core/admin"
 )
 
-// sections are the host daemon's own parts of the status.
+// sections returns the status sections that only the host daemon has.
 func (s *Server) sections() map[string]admin.Section {
 	return map[string]admin.Section{
 		"ledger":  s.locked(func(time.Time) any { return s.core.Ledger() }),
--- a/host/server/stream.go
+++ b/host/server/stream.go
@@ -13,13 +13,13 @@
 	"arbutusdeck/host/engine"
 )
 
-// openStream takes the prompt of an offered attempt and answers with its frames.
-// The body is not buffered here: it flows on to the engine once the attempt is
-// dispatched.
+// openStream receives the prompt of an accepted attempt and responds with its
+// frames. The body is not buffered: it is streamed to the engine once the
+// attempt is dispatched.
 func (s *Server) openStream(w http.ResponseWriter, request bunrouter.Request) error {
 	id := execution.AttemptID(request.Param("attempt"))
 	now := time.Now()
-	// The answer begins while the engine may still be reading the prompt.
+	// The response may start before the engine has read the whole prompt.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	return execution.Incarnation(request.Header.Get(wire.HeaderIncarnation))
 }
 
-// refuseUnknown refuses the stream of an attempt that is not held here.
+// refuseUnknown refuses the stream of an attempt that has no run here.
 func (s *Server) refuseUnknown(w http.ResponseWriter, id execution.AttemptID, now time.Time, request bunrouter.Request) error {
 	s.mu.Lock()
 	outcome, refusal, _ := s.core.OpenStream(now, id, target(request))
@@ -66,8 +66,8 @@
 	return fallback
 }
 
-// releaseBody waits until the engine's call has let go of the request's body,
-// which may not be read after the handler has returned.
+// releaseBody waits until the engine call no longer reads the request's body,
+// which must not be read after the handler returns.
 func (s *Server) releaseBody(r *run) {
 	id := r.offer.Attempt
 	s.mu.Lock()
@@ -88,7 +88,8 @@
 	return wire.WriteFrame(w, m)
 }
 
-// resumeStream goes on with the frames of an attempt whose stream broke.
+// resumeStream sends the remaining frames of an attempt whose stream was
+// interrupted.
 func (s *Server) resumeStream(w http.ResponseWriter, request bunrouter.Request) error {
 	id := execution.AttemptID(request.Param("attempt"))
 	from, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
@@ -107,8 +108,8 @@
 	return s.sendFrames(w, request, r, from)
 }
 
-// sendFrames writes frames as they come until the last one is out or the
-// connection breaks.
+// sendFrames writes frames, starting at sequence number from, until the last one
+// is sent or the connection fails. Between frames it sends heartbeats.
 func (s *Server) sendFrames(w http.ResponseWriter, request bunrouter.Request, r *run, from uint64) error {
 	w.Header().Set("Content-Type", wire.FrameType)
 	controller := http.NewResponseController(w)
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// tickInterval is how often leases and slices are looked at.
+	// tickInterval is the period of checks for expired leases and time slices.
 	tickInterval = 25 * time.Millisecond
-	// pauseLimit is the gap between ticks that counts as a pause.
+	// pauseLimit is the gap between ticks from which the process counts as
+	// having been paused.
 	pauseLimit = 2 * time.Second
-	// observeInterval is how often engines are asked for their state.
+	// observeInterval is the polling period for engine states.
 	observeInterval = time.Second
 )
 
@@ -34,8 +35,8 @@
 	}
 }
 
-// tick looks for a pause first: after one, everything that this process believed
-// has run out, and it must not act on it.
+// tick advances the core. It checks for a pause of the process first: after one,
+// everything that the process knew is stale and must not be acted on.
 func (s *Server) tick(now time.Time) {
 	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.Loop.Ready() {
 		s.Manager().Serve()
@@ -54,7 +55,7 @@
 	s.carryOut(effects)
 }
 
-// endLoop ends all attempts once the stop has come to its limit.
+// endLoop aborts all attempts once a graceful shutdown has reached its time limit.
 func (s *Server) endLoop() error {
 	select {
 	case <-s.Manager().Ending().Done():
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// engineLoop observes the engines, cancels what nobody owns and sends orders.
+// engineLoop polls the engines, cancels orphaned streams and sends due orders.
 func (s *Server) engineLoop() error {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
@@ -91,7 +92,7 @@
 	asked := time.Now()
 	state, err := client.State(ctx)
 	if err != nil {
-		s.Log.WithError(err).WithField("engine", name).Warn("the engine does not tell its state")
+		s.Log.WithError(err).WithField("engine", name).Warn("could not fetch the engine's state")
 		return
 	}
 	s.mu.Lock()
