--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// goneTimeout bounds the liveness probe of an engine, which runs on the same host.
-const goneTimeout = 100 * time.Millisecond
+// probeTimeout bounds the liveness probe of an engine, which runs on the same host.
+const probeTimeout = 100 * time.Millisecond
 
 // Gone reports whether the engine's process has crashed, that is, whether its
 // host refuses connections to its address.
@@ -181,7 +181,7 @@
 	if err != nil {
 		return false
 	}
-	return netopts.Refuses(ctx, base.Host, goneTimeout)
+	return netopts.Refuses(ctx, base.Host, probeTimeout)
 }
 
 // Cancel ends a stream. It is idempotent.
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -17,16 +17,16 @@
 	partTimeout = 2 * time.Second
 )
 
-// carryOut executes the core's effects. The lock must not be held.
-func (s *Server) carryOut(effects []backend.Effect) {
+// executeEffects executes the core's effects. The lock must not be held.
+func (s *Server) executeEffects(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case backend.Start:
-			s.start(e)
+			s.startRun(e)
 		case backend.StopRun:
 			s.stopRun(e.Attempt)
 		case backend.Ended:
-			s.ended(e)
+			s.closeStream(e)
 		case backend.Pause:
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error { return c.Pause(ctx, string(e.Attempt)) })
 		case backend.Resume:
@@ -36,9 +36,9 @@
 				return c.SetPriority(ctx, string(e.Attempt), e.Priority)
 			})
 		case backend.AskPart:
-			go s.askPart(e)
+			go s.requestPart(e)
 		case backend.GiveBackPart:
-			go s.giveBackPart(e)
+			go s.releasePart(e)
 		case backend.CancelOrphan:
 			s.cancelOrphan(e)
 		case backend.LeaseExpired:
@@ -71,48 +71,48 @@
 	s.control(e.Stream.Engine, func(ctx context.Context, c *engine.Client) error { return c.Cancel(ctx, e.Stream.ID) })
 }
 
-func (s *Server) auditMemory(subject, why string) {
-	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Why: why, Source: "host"})
+func (s *Server) auditMemory(subject, reason string) {
+	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Why: reason, Source: "host"})
 }
 
-func (s *Server) askPart(ask backend.AskPart) {
-	granted := s.reservePart(ask)
+func (s *Server) requestPart(request backend.AskPart) {
+	granted := s.reservePart(request)
 	s.mu.Lock()
-	effects := s.core.PartAnswered(time.Now(), ask, granted)
+	effects := s.core.PartAnswered(time.Now(), request, granted)
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
-func (s *Server) reservePart(ask backend.AskPart) bool {
-	if ask.Part.Server == s.Name() {
+func (s *Server) reservePart(request backend.AskPart) bool {
+	if request.Part.Server == s.Name() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.core.HoldPart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
+		return s.core.HoldPart(time.Now(), request.Reservation, request.Part, request.Expires) == nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
-	reply, err := s.member(ask.Part.Server).Reserve(ctx, &wire.ReserveRequest{Envelope: s.Envelope(), Reservation: ask.Reservation,
-		Engine: ask.Part.Engine, Tokens: ask.Part.Tokens, ExpiresUnixMs: ask.Expires.UnixMilli()})
+	reply, err := s.hostClient(request.Part.Server).Reserve(ctx, &wire.ReserveRequest{Envelope: s.Envelope(), Reservation: request.Reservation,
+		Engine: request.Part.Engine, Tokens: request.Part.Tokens, ExpiresUnixMs: request.Expires.UnixMilli()})
 	return err == nil && reply.Granted
 }
 
-func (s *Server) member(server string) wire.HostDaemon {
+func (s *Server) hostClient(server string) wire.HostDaemon {
 	return s.Dialer.Host(s.Store.Current().Servers[server].Address)
 }
 
-// giveBackPart releases one part of a group reservation, here or at another
+// releasePart releases one part of a group reservation, here or at another
 // host. If the release is lost, the part's lease expires.
-func (s *Server) giveBackPart(e backend.GiveBackPart) {
+func (s *Server) releasePart(e backend.GiveBackPart) {
 	if e.Part.Server == s.Name() {
 		s.mu.Lock()
 		effects := s.core.ReleasePart(time.Now(), e.Reservation)
 		s.mu.Unlock()
-		s.carryOut(effects)
+		s.executeEffects(effects)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
-	_, err := s.member(e.Part.Server).Release(ctx, &wire.ReleaseRequest{Envelope: s.Envelope(), Reservation: e.Reservation})
+	_, err := s.hostClient(e.Part.Server).Release(ctx, &wire.ReleaseRequest{Envelope: s.Envelope(), Reservation: e.Reservation})
 	if err != nil {
 		s.Log.WithError(err).WithField("server", e.Part.Server).Warn("release of a reservation part failed; its lease will expire")
 	}
--- a/host/server/offer.go
+++ b/host/server/offer.go
@@ -31,10 +31,10 @@
 	if reply.Verdict != execution.Accepted {
 		s.counters.refused.Inc(1)
 	}
-	answer := wire.FromResult(reply.OfferResult)
-	answer.Envelope, answer.Load = s.Envelope(), wire.FromLoad(now, reply.Load)
-	answer.DemandShare, answer.DemandKnown = reply.DemandShare, reply.DemandKnown
-	return answer, nil
+	message := wire.FromResult(reply.OfferResult)
+	message.Envelope, message.Load = s.Envelope(), wire.FromLoad(now, reply.Load)
+	message.DemandShare, message.DemandKnown = reply.DemandShare, reply.DemandKnown
+	return message, nil
 }
 
 func offerOf(m *wire.OfferRequest) backend.Offer {
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	outcome, effects := s.core.Cancel(time.Now(), wire.ToCancel(m))
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	return &wire.CancelReply{Envelope: s.Envelope(), Outcome: wire.ToOutcome(outcome)}, nil
 }
 
@@ -97,6 +97,6 @@
 	s.mu.Lock()
 	effects := s.core.ReleasePart(time.Now(), m.Reservation)
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	return &wire.ReleaseReply{Envelope: s.Envelope()}, nil
 }
--- a/host/server/reports.go
+++ b/host/server/reports.go
@@ -30,8 +30,8 @@
 
 // cacheView is the prefix cache of one engine, rebuilt from its events.
 type cacheView struct {
-	after    uint64
-	prefixes map[uint64]bool
+	lastSequence uint64
+	prefixes     map[uint64]bool
 }
 
 // maxPrefixes bounds a cacheView: an eviction event may be lost, so entries
@@ -42,8 +42,8 @@
 	return &reports{registry: registry, last: map[string]EngineReport{}, cache: map[string]*cacheView{}}
 }
 
-// read fetches the report of one engine. An engine without reports is omitted.
-func (r *reports) read(ctx context.Context, name string, client *engine.Client) {
+// fetch fetches the report of one engine. An engine without reports is omitted.
+func (r *reports) fetch(ctx context.Context, name string, client *engine.Client) {
 	load, err := client.Load(ctx)
 	if err != nil {
 		return
@@ -54,7 +54,7 @@
 		view = &cacheView{prefixes: map[uint64]bool{}}
 		r.cache[name] = view
 	}
-	after := view.after
+	after := view.lastSequence
 	r.mu.Unlock()
 	events, err := client.CacheEvents(ctx, after)
 	if err != nil {
@@ -62,15 +62,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	view.take(events)
+	view.apply(events)
 	r.last[name] = EngineReport{Running: load.Running, UsedTokens: load.UsedTokens, CachedPrefixes: len(view.prefixes)}
 	metrics.GetOrRegisterGauge("engine."+name+".used.tokens", r.registry).Update(load.UsedTokens)
 	metrics.GetOrRegisterGauge("engine."+name+".cached.prefixes", r.registry).Update(int64(len(view.prefixes)))
 }
 
-func (v *cacheView) take(events []engine.CacheEvent) {
+func (v *cacheView) apply(events []engine.CacheEvent) {
 	for _, event := range events {
-		v.after = max(v.after, event.Sequence)
+		v.lastSequence = max(v.lastSequence, event.Sequence)
 		if event.Evicted {
 			delete(v.prefixes, event.Prefix)
 			continue
@@ -82,7 +82,7 @@
 	}
 }
 
-func (r *reports) all() map[string]EngineReport {
+func (r *reports) latest() map[string]EngineReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.last)
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -18,63 +18,63 @@
 type run struct {
 	offer  backend.Offer
 	writer *execution.FrameWriter
-	body   *body
+	body   *promptBody
 	call   engine.Call
 	cancel context.CancelFunc
 	// changed is closed and replaced when a frame is added.
 	changed chan struct{}
-	// accepted is when the offer was accepted; begun is set by the first chunk
+	// accepted is when the offer was accepted; responding is set by the first chunk
 	// of the response.
-	accepted time.Time
-	begun    bool
+	accepted   time.Time
+	responding bool
 	// released is set once a graceful shutdown need not wait for the attempt:
 	// its last frame was sent, or its stream can no longer be resumed.
 	released bool
-	keep     answerBuffer
+	response responseBuffer
 }
 
-// answerBuffer holds the response of an attempt with an idempotency key, so that
+// responseBuffer holds the response of an attempt with an idempotency key, so that
 // it can be replayed. A response above the limit is not kept.
-type answerBuffer struct {
-	head engine.Head
-	data []byte
-	over bool
+type responseBuffer struct {
+	head     engine.Head
+	data     []byte
+	tooLarge bool
 }
 
-func (b *answerBuffer) add(head engine.Head, data []byte, limit int) {
+func (b *responseBuffer) add(head engine.Head, data []byte, limit int) {
 	b.head = head
-	if b.over || len(b.data)+len(data) > limit {
-		b.over, b.data = true, nil
+	if b.tooLarge || len(b.data)+len(data) > limit {
+		b.tooLarge, b.data = true, nil
 		return
 	}
 	b.data = append(b.data, data...)
 }
 
-func (b *answerBuffer) answer() execution.Answer {
-	return execution.Answer{Kept: !b.over, ContentType: b.head.ContentType, Status: b.head.Status, Body: b.data}
+func (b *responseBuffer) answer() execution.Answer {
+	return execution.Answer{Kept: !b.tooLarge, ContentType: b.head.ContentType, Status: b.head.Status, Body: b.data}
 }
 
 func newRun(offer backend.Offer) *run {
 	return &run{offer: offer, accepted: time.Now(), changed: make(chan struct{}), writer: execution.NewFrameWriter(offer.Request, offer.Attempt)}
 }
 
-// signal wakes the streams that are waiting for frames.
-func (r *run) signal() {
+// notify wakes the streams that are waiting for frames.
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// body is a prompt that is streamed from the entry's connection to the engine.
+// promptBody is a prompt that is streamed from the entry's connection to the engine.
 // done is closed when the engine call no longer reads it, so that the handler
 // that owns the connection may return.
-type body struct {
+type promptBody struct {
 	reader io.Reader
 	length int64
 	done   chan struct{}
 }
 
-// start runs an attempt at its engine in the background.
-func (s *Server) start(e backend.Start) {
+// startRun runs an attempt at its engine in the background.
+func (s *Server) startRun(e backend.Start) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.mu.Lock()
 	r := s.runs[e.Attempt]
@@ -98,8 +98,8 @@
 	call.Stream, call.Priority = string(r.offer.Attempt), e.Priority
 	call.Group = strings.Join(e.Group, ",")
 	call.Model = r.offer.Service == ""
-	call.Fence = s.fence(r.offer.Service)
-	return client.Run(ctx, call, func(head engine.Head, data []byte) { s.piece(r, head, data) })
+	call.Fence = s.fencingToken(r.offer.Service)
+	return client.Run(ctx, call, func(head engine.Head, data []byte) { s.addChunk(r, head, data) })
 }
 
 // clientOf returns the client for the engine or plain service of an attempt, or
@@ -111,33 +111,33 @@
 	return s.engines[engineName]
 }
 
-// fence returns the fencing token for a plain service that checks it, else 0.
+// fencingToken returns the fencing token for a plain service that checks it, else 0.
 // The token is the daemon's start time in milliseconds: a late call of a killed
 // predecessor carries a lower token and is refused. The host's clock must not go
 // back between two starts.
-func (s *Server) fence(service string) uint64 {
+func (s *Server) fencingToken(service string) uint64 {
 	if service == "" || !s.Store.Current().Services[service].ChecksFencing {
 		return 0
 	}
 	return uint64(s.core.Began().UnixMilli())
 }
 
-// piece appends a chunk of the response. The core is told of the first one only.
-func (s *Server) piece(r *run, head engine.Head, data []byte) {
+// addChunk appends a chunk of the response. The core is told of the first one only.
+func (s *Server) addChunk(r *run, head engine.Head, data []byte) {
 	var effects []backend.Effect
 	s.mu.Lock()
-	if !r.begun {
-		r.begun = true
+	if !r.responding {
+		r.responding = true
 		s.counters.firstToken.UpdateSince(r.accepted)
 		effects = s.core.FirstToken(time.Now(), r.offer.Attempt)
 	}
 	r.writer.Write(data, head.ContentType, head.Status)
 	if !r.offer.Key.None() {
-		r.keep.add(head, data, s.options.Backend.Ledger.MaxAnswer)
+		r.response.add(head, data, s.options.Backend.Ledger.MaxAnswer)
 	}
-	r.signal()
+	r.notify()
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
 // finish records the outcome of an attempt from the result of its engine call.
@@ -147,14 +147,14 @@
 		refusal = execution.Refusal{Code: execution.CodeEngineEnded, Detail: "the engine ended during the run"}
 	}
 	s.mu.Lock()
-	effects := s.core.Finish(time.Now(), r.offer.Attempt, outcome, refusal, r.keep.answer())
+	effects := s.core.Finish(time.Now(), r.offer.Attempt, outcome, refusal, r.response.answer())
 	s.mu.Unlock()
 	if err != nil {
 		s.Log.WithError(err).WithField("attempt", r.offer.Attempt).WithField("engine", engineName).Warn("attempt failed")
 		// If only the connection broke, the engine may still run the stream.
 		s.control(engineName, func(ctx context.Context, e *engine.Client) error { return e.Cancel(ctx, string(r.offer.Attempt)) })
 	}
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
 // outcomeOf maps the error of an engine call to an outcome and its refusal.
@@ -170,9 +170,9 @@
 	return execution.Failed, execution.Refusal{Code: execution.CodeEngineFailed, Detail: "the engine failed during the run"}
 }
 
-// ended closes the stream of an attempt. Its frames are kept for StreamLease, in
+// closeStream closes the stream of an attempt. Its frames are kept for StreamLease, in
 // which the stream may be resumed.
-func (s *Server) ended(e backend.Ended) {
+func (s *Server) closeStream(e backend.Ended) {
 	if e.Outcome == execution.Finished {
 		s.counters.finished.Inc(1)
 	} else {
@@ -185,13 +185,13 @@
 		return
 	}
 	r.writer.End(e.Outcome, e.Refusal)
-	r.signal()
-	time.AfterFunc(s.options.Backend.Ledger.StreamLease, func() { s.forget(e.Attempt) })
+	r.notify()
+	time.AfterFunc(s.options.Backend.Ledger.StreamLease, func() { s.dropRun(e.Attempt) })
 }
 
-// forget drops the frames of an ended attempt whose stream can no longer be
+// dropRun drops the frames of an ended attempt whose stream can no longer be
 // resumed.
-func (s *Server) forget(id execution.AttemptID) {
+func (s *Server) dropRun(id execution.AttemptID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.runs[id]; r != nil {
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -64,10 +64,10 @@
 	reports  *reports
 	tomb     *tomb.Tomb
 
-	mu    sync.Mutex
-	core  *backend.Core
-	runs  map[execution.AttemptID]*run
-	pause *membership.PauseDetector
+	mu            sync.Mutex
+	core          *backend.Core
+	runs          map[execution.AttemptID]*run
+	pauseDetector *membership.PauseDetector
 }
 
 type counters struct {
@@ -78,28 +78,28 @@
 // New returns a daemon that is not yet started; see Start.
 func New(options Options) *Server {
 	s := &Server{
-		options:  options,
-		engines:  clients(options.Settings.Engines),
-		services: clients(options.Settings.Services),
-		core:     backend.New(time.Now(), options.Backend),
-		runs:     map[execution.AttemptID]*run{},
-		pause:    membership.NewPauseDetector(pauseLimit),
+		options:       options,
+		engines:       newClients(options.Settings.Engines),
+		services:      newClients(options.Settings.Services),
+		core:          backend.New(time.Now(), options.Backend),
+		runs:          map[execution.AttemptID]*run{},
+		pauseDetector: membership.NewPauseDetector(pauseLimit),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnAdopt: s.adopt, OnHosts: s.readHosts, OnState: s.changeState,
+		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnAdopt: s.applySnapshot, OnHosts: s.applyHostList, OnState: s.setState,
 	})
 	s.counters = newCounters(s.Registry)
 	s.reports = newReports(s.Registry)
 	return s
 }
 
-func clients(urls map[string]string) map[string]*engine.Client {
-	found := map[string]*engine.Client{}
+func newClients(urls map[string]string) map[string]*engine.Client {
+	clients := map[string]*engine.Client{}
 	for name, url := range urls {
-		found[name] = engine.NewClient(url)
+		clients[name] = engine.NewClient(url)
 	}
-	return found
+	return clients
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -133,7 +133,7 @@
 	t.Go(func() error { return s.Loop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.engineLoop)
-	t.Go(s.endLoop)
+	t.Go(s.abortLoop)
 	return nil
 }
 
@@ -148,30 +148,30 @@
 	return router
 }
 
-// adopt applies a new configuration snapshot.
-func (s *Server) adopt(snapshot *config.Snapshot) {
+// applySnapshot applies a new configuration snapshot.
+func (s *Server) applySnapshot(snapshot *config.Snapshot) {
 	now := time.Now()
 	s.mu.Lock()
-	unnamed := s.core.Configure(now, snapshot)
+	unnamedSlots := s.core.Configure(now, snapshot)
 	s.mu.Unlock()
-	for _, slot := range unnamed {
+	for _, slot := range unnamedSlots {
 		s.Audit(audit.Event{Area: audit.Configuration, Subject: slot, Refused: true,
 			Why: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
 	}
 }
 
-// readHosts applies the platform's list of hosts: if it marks this host as
+// applyHostList applies the platform's list of hosts: if it marks this host as
 // draining, the host accepts no new work. A list that may still describe the
 // previous incarnation of the daemon is ignored.
-func (s *Server) readHosts(hosts []platform.Host) {
+func (s *Server) applyHostList(hosts []platform.Host) {
 	for _, host := range hosts {
 		if host.Server == s.Name() && host.Leaving && s.Manager().State() == lifecycle.Serving {
-			s.leave()
+			s.drain()
 		}
 	}
 }
 
-func (s *Server) leave() {
+func (s *Server) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core.Draining() || time.Since(s.core.Began()) < membership.ListLag {
@@ -182,8 +182,8 @@
 		Why: "the host list says so", Source: "list"})
 }
 
-// changeState passes the daemon's lifecycle state on to the core.
-func (s *Server) changeState(to lifecycle.State) {
+// setState passes the daemon's lifecycle state on to the core.
+func (s *Server) setState(to lifecycle.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch to {
--- a/host/server/stream.go
+++ b/host/server/stream.go
@@ -29,29 +29,29 @@
 		s.mu.Unlock()
 		return s.refuseUnknown(w, id, now, request)
 	}
-	outcome, refusal, effects := s.core.OpenStream(now, id, target(request))
+	outcome, refusal, effects := s.core.OpenStream(now, id, targetIncarnation(request))
 	if refusal != nil {
 		s.mu.Unlock()
 		return s.refuseStream(w, id, outcome, *refusal)
 	}
-	r.body = &body{reader: request.Body, length: request.ContentLength, done: make(chan struct{})}
+	r.body = &promptBody{reader: request.Body, length: request.ContentLength, done: make(chan struct{})}
 	r.call = engine.Call{Method: headerOr(request.Header, wire.HeaderMethod, http.MethodPost), Path: request.Header.Get(wire.HeaderPath),
 		ContentType: request.Header.Get("Content-Type")}
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	err := s.sendFrames(w, request, r, 1)
 	s.releaseBody(r)
 	return err
 }
 
-func target(request bunrouter.Request) execution.Incarnation {
+func targetIncarnation(request bunrouter.Request) execution.Incarnation {
 	return execution.Incarnation(request.Header.Get(wire.HeaderIncarnation))
 }
 
 // refuseUnknown refuses the stream of an attempt that has no run here.
 func (s *Server) refuseUnknown(w http.ResponseWriter, id execution.AttemptID, now time.Time, request bunrouter.Request) error {
 	s.mu.Lock()
-	outcome, refusal, _ := s.core.OpenStream(now, id, target(request))
+	outcome, refusal, _ := s.core.OpenStream(now, id, targetIncarnation(request))
 	s.mu.Unlock()
 	if refusal == nil {
 		outcome, refusal = execution.Unknown, &execution.Refusal{Code: execution.CodeTombstone, Detail: "the attempt has ended"}
@@ -74,7 +74,7 @@
 	effects := s.core.BodyLost(time.Now(), id)
 	running := s.core.Running(id)
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	if running {
 		<-r.body.done
 	}
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -42,7 +42,7 @@
 		s.Manager().Serve()
 	}
 	s.mu.Lock()
-	gap := s.pause.Tick(now.Round(0))
+	gap := s.pauseDetector.Tick(now.Round(0))
 	if gap > 0 {
 		s.core.Awoke(now)
 	}
@@ -52,11 +52,11 @@
 		s.Loop.Restart()
 		s.AuditPause(gap)
 	}
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
-// endLoop aborts all attempts once a graceful shutdown has reached its time limit.
-func (s *Server) endLoop() error {
+// abortLoop aborts all attempts once a graceful shutdown has reached its time limit.
+func (s *Server) abortLoop() error {
 	select {
 	case <-s.Manager().Ending().Done():
 	case <-s.tomb.Dying():
@@ -65,7 +65,7 @@
 	s.mu.Lock()
 	effects := s.core.End(time.Now())
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	return nil
 }
 
@@ -89,17 +89,17 @@
 func (s *Server) observe(name string, client *engine.Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	state, err := client.State(ctx)
 	if err != nil {
 		s.Log.WithError(err).WithField("engine", name).Warn("could not fetch the engine's state")
 		return
 	}
 	s.mu.Lock()
-	effects := s.core.ObserveEngine(asked, name, state.Observed(), state.Held(name))
+	effects := s.core.ObserveEngine(requestedAt, name, state.Observed(), state.Held(name))
 	s.mu.Unlock()
-	s.carryOut(effects)
-	s.reports.read(ctx, name, client)
+	s.executeEffects(effects)
+	s.reports.fetch(ctx, name, client)
 }
 
 func (s *Server) sendOrders(now time.Time) {
