--- a/host/engine/client.go
+++ b/host/engine/client.go
@@ -76,8 +76,8 @@
 	Length int64
 }
 
-// Head holds the status and headers of a response that callers need.
-type Head struct {
+// ResponseHead holds the status and headers of a response that callers need.
+type ResponseHead struct {
 	Status      int
 	ContentType string
 }
@@ -89,7 +89,7 @@
 // arrives; an empty body yields one call with no data. Errors wrap ErrNotSent,
 // ErrBusy or ErrFailed. An error status of a plain service is not an error: it
 // is passed on as the response.
-func (c *Client) Run(ctx context.Context, call Call, onChunk func(head Head, data []byte)) error {
+func (c *Client) Run(ctx context.Context, call Call, onChunk func(head ResponseHead, data []byte)) error {
 	request, err := c.request(ctx, call)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrNotSent, err)
@@ -149,8 +149,8 @@
 	return nil
 }
 
-func readChunks(response *http.Response, onChunk func(head Head, data []byte)) error {
-	head := Head{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}
+func readChunks(response *http.Response, onChunk func(head ResponseHead, data []byte)) error {
+	head := ResponseHead{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type")}
 	buffer := make([]byte, chunkSize)
 	sent := false
 	for {
@@ -174,9 +174,9 @@
 // probeTimeout bounds the liveness probe of an engine, which runs on the same host.
 const probeTimeout = 100 * time.Millisecond
 
-// Gone reports whether the engine's process has crashed, that is, whether its
+// HasCrashed reports whether the engine's process has crashed, that is, whether its
 // host refuses connections to its address.
-func (c *Client) Gone(ctx context.Context) bool {
+func (c *Client) HasCrashed(ctx context.Context) bool {
 	base, err := url.Parse(c.base)
 	if err != nil {
 		return false
@@ -225,19 +225,19 @@
 	Tokens int64  `json:"tokens"`
 }
 
-// Observed converts the state for the order reconciler.
-func (s State) Observed() orders.Observed {
+// Observation converts the state for the order reconciler.
+func (s State) Observation() orders.Observed {
 	return orders.Observed{State: orders.Wanted{Model: s.Model, Version: s.Version, Adapters: s.Adapters, Role: s.Role},
 		Fence: s.Fence, Busy: s.Busy}
 }
 
-// Held converts the streams for the recovery of memory leases.
-func (s State) Held(engine string) []memory.EngineStream {
-	var held []memory.EngineStream
+// EngineStreams converts the streams for the recovery of memory leases.
+func (s State) EngineStreams(engine string) []memory.EngineStream {
+	var streams []memory.EngineStream
 	for _, stream := range s.Streams {
-		held = append(held, memory.EngineStream{Engine: engine, ID: stream.ID, Tokens: stream.Tokens})
+		streams = append(streams, memory.EngineStream{Engine: engine, ID: stream.ID, Tokens: stream.Tokens})
 	}
-	return held
+	return streams
 }
 
 // State fetches the engine's state.
--- a/host/server/run.go
+++ b/host/server/run.go
@@ -36,12 +36,12 @@
 // responseBuffer holds the response of an attempt with an idempotency key, so that
 // it can be replayed. A response above the limit is not kept.
 type responseBuffer struct {
-	head     engine.Head
+	head     engine.ResponseHead
 	data     []byte
 	tooLarge bool
 }
 
-func (b *responseBuffer) add(head engine.Head, data []byte, limit int) {
+func (b *responseBuffer) add(head engine.ResponseHead, data []byte, limit int) {
 	b.head = head
 	if b.tooLarge || len(b.data)+len(data) > limit {
 		b.tooLarge, b.data = true, nil
@@ -99,7 +99,7 @@
 	call.Group = strings.Join(e.Group, ",")
 	call.Model = r.offer.Service == ""
 	call.Fence = s.fencingToken(r.offer.Service)
-	return client.Run(ctx, call, func(head engine.Head, data []byte) { s.addChunk(r, head, data) })
+	return client.Run(ctx, call, func(head engine.ResponseHead, data []byte) { s.addChunk(r, head, data) })
 }
 
 // clientOf returns the client for the engine or plain service of an attempt, or
@@ -123,7 +123,7 @@
 }
 
 // addChunk appends a chunk of the response. The core is told of the first one only.
-func (s *Server) addChunk(r *run, head engine.Head, data []byte) {
+func (s *Server) addChunk(r *run, head engine.ResponseHead, data []byte) {
 	var effects []backend.Effect
 	s.mu.Lock()
 	if !r.responding {
@@ -143,7 +143,7 @@
 // finish records the outcome of an attempt from the result of its engine call.
 func (s *Server) finish(r *run, engineName string, err error) {
 	outcome, refusal := outcomeOf(err)
-	if errors.Is(err, engine.ErrFailed) && s.clientOf(r, engineName).Gone(context.Background()) {
+	if errors.Is(err, engine.ErrFailed) && s.clientOf(r, engineName).HasCrashed(context.Background()) {
 		refusal = execution.Refusal{Code: execution.CodeEngineEnded, Detail: "the engine ended during the run"}
 	}
 	s.mu.Lock()
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -96,7 +96,7 @@
 		return
 	}
 	s.mu.Lock()
-	effects := s.core.ObserveEngine(requestedAt, name, state.Observed(), state.Held(name))
+	effects := s.core.ObserveEngine(requestedAt, name, state.Observation(), state.EngineStreams(name))
 	s.mu.Unlock()
 	s.executeEffects(effects)
 	s.reports.fetch(ctx, name, client)
