--- a/proof/soak/removal_test.go
+++ b/proof/soak/removal_test.go
@@ -33,7 +33,7 @@
 	{"the whole answer to its own request", without("entry/gateway/stream.go", "		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {",
 		"		if err != nil && len(raw) > 0 {\n			return event{raw: append(raw, line...)}, nil\n		}\n		if err != nil {")},
 	{"the right service", without("platform/messages.go", "	h.Set(headerInstance, f.Instance)\n", "")},
-	{"the workspace of the key", without("platform/messages.go", "	for _, name := range ownHeaders {\n		h.Del(name)\n	}\n", "")},
+	{"the workspace of the key", without("platform/messages.go", "	for _, name := range systemHeaders {\n		h.Del(name)\n	}\n", "")},
 	{"no more time than is left", without("platform/messages.go", "max(f.Remaining.Milliseconds(), 1)", "f.Remaining.Milliseconds()+5000")},
 	{"no proper request is denied", without("entry/gateway/front.go", "	if e.table == nil {\n		e.refuse(http.StatusServiceUnavailable", "	if e.table == nil {\n		e.refuse(http.StatusNotFound")},
 	{"memory comes back", without("entry/gateway/reservation.go", "		r.done.Wait()\n		r.release()\n", "		r.renew(context.Background())\n")},
