--- a/entry/gateway/answers.go
+++ b/entry/gateway/answers.go
@@ -72,7 +72,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	h := e.w.Header()
-	platform.EchoID(h, e.info.ID)
+	platform.SetRequestID(h, e.info.ID)
 	h.Set("Content-Type", "application/json")
 	if c.Refusal.RetryAfter > 0 && c.Outcome == execution.NotRun {
 		platform.SetRetryAfter(h, c.Refusal.RetryAfter)
--- a/entry/gateway/book.go
+++ b/entry/gateway/book.go
@@ -47,7 +47,7 @@
 }
 
 // notExecuted books a refusal and returns the server at fault.
-func (s *Server) notExecuted(choice placement.Choice, answer platform.Answer) string {
+func (s *Server) notExecuted(choice placement.Choice, answer platform.Response) string {
 	fault := atFault(choice, answer)
 	s.unreachable(fault)
 	return fault
@@ -55,9 +55,9 @@
 
 // atFault is the server because of which a request was not run: a helper that the answer
 // names by its address, else the one that answered.
-func atFault(choice placement.Choice, answer platform.Answer) string {
+func atFault(choice placement.Choice, answer platform.Response) string {
 	for _, helper := range choice.Helpers {
-		if answer.FaultyAt != "" && helper.Address == answer.FaultyAt {
+		if answer.FaultyHelper != "" && helper.Address == answer.FaultyHelper {
 			return helper.IncarnationID()
 		}
 	}
--- a/entry/gateway/platformloop.go
+++ b/entry/gateway/platformloop.go
@@ -37,7 +37,7 @@
 		switch {
 		case err == nil:
 			continue // others read from here on
-		case errors.Is(err, platform.ErrHistoryGone):
+		case errors.Is(err, platform.ErrHistoryUnavailable):
 			s.log.Warn("the store no longer keeps the history from the known revision; reading everything")
 			s.forgetPosition()
 			continue
@@ -102,7 +102,7 @@
 			return err
 		}
 	}
-	operators, err := s.store.ReadOperators(ctx)
+	operators, err := s.store.ReadOperatorRows(ctx)
 	if err != nil {
 		return err
 	}
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -153,10 +153,10 @@
 
 // answerTokens is the expected length of the answer.
 func (e *exchange) answerTokens() int64 {
-	if e.info.AnswerHint > 0 && e.info.AnswerHint < e.info.MaxAnswerTokens {
-		return e.info.AnswerHint
+	if e.info.OutputTokensHint > 0 && e.info.OutputTokensHint < e.info.MaxOutputTokens {
+		return e.info.OutputTokensHint
 	}
-	return e.info.MaxAnswerTokens
+	return e.info.MaxOutputTokens
 }
 
 // spread draws a time around the given one. Callers that are refused together would
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -131,7 +131,7 @@
 	s.transport = newTransport()
 	s.orders = &http.Client{Transport: newTransport()}
 	s.store = platform.NewStore(settings.Store, storeClient(), storeTimeout)
-	s.store.Observe(s.traffic.called)
+	s.store.OnCall(s.traffic.called)
 	group := peering.New(settings.PeerAddress, settings.Zone, s.incarnation, settings.Seeds)
 	s.peers = newPeerExchange(s, group)
 	s.setReading(settings.readOptions())
--- a/entry/gateway/stream.go
+++ b/entry/gateway/stream.go
@@ -97,7 +97,7 @@
 
 func (e *exchange) beginStream(response *http.Response) {
 	if !e.begun {
-		platform.CopyAnswerHeaders(e.w.Header(), response.Header)
+		platform.CopyResponseHeaders(e.w.Header(), response.Header)
 		e.begin(response.StatusCode)
 	}
 }
--- a/entry/gateway/traffic.go
+++ b/entry/gateway/traffic.go
@@ -34,12 +34,12 @@
 	mu       sync.Mutex
 	// messages and bytes are by direction and kind, calls by what they read.
 	messages, bytes map[direction]map[peering.Kind]metrics.Counter
-	calls           map[platform.Call]metrics.Counter
+	calls           map[platform.CallKind]metrics.Counter
 }
 
 func newTraffic(registry metrics.Registry) *traffic {
 	return &traffic{registry: registry, messages: map[direction]map[peering.Kind]metrics.Counter{}, bytes: map[direction]map[peering.Kind]metrics.Counter{},
-		calls: map[platform.Call]metrics.Counter{}}
+		calls: map[platform.CallKind]metrics.Counter{}}
 }
 
 // add counts messages of a kind with their bytes.
@@ -62,7 +62,7 @@
 }
 
 // called counts a call of the store.
-func (t *traffic) called(call platform.Call) {
+func (t *traffic) called(call platform.CallKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.calls[call] == nil {
@@ -83,7 +83,7 @@
 		}
 		told[directionNames[way]] = counts
 	}
-	calls := map[platform.Call]int64{}
+	calls := map[platform.CallKind]int64{}
 	for call, counter := range t.calls {
 		calls[call] = counter.Count()
 	}
--- a/entry/gateway/try.go
+++ b/entry/gateway/try.go
@@ -43,7 +43,7 @@
 }
 
 func (a *heldAnswer) deliver(e *exchange) {
-	platform.CopyAnswerHeaders(e.w.Header(), a.header)
+	platform.CopyResponseHeaders(e.w.Header(), a.header)
 	e.begin(a.status)
 	if _, err := e.w.Write(a.body); err != nil {
 		e.s.log.WithError(err).WithField("request", e.info.ID).Debug("the caller was gone before its answer")
@@ -184,10 +184,10 @@
 // upstream builds the request for a server. Method, path, query and body are the
 // caller's to the letter.
 func (e *exchange) upstream(ctx context.Context, choice placement.Choice, reservation *reservation) *http.Request {
-	forwarding := platform.Forwarding{Instance: choice.Server.ID, Workspace: e.workspace, Remaining: e.remaining(), Urgent: -1,
+	forwarding := platform.Forwarding{Instance: choice.Server.ID, Workspace: e.workspace, Remaining: e.remaining(), Urgency: -1,
 		Helpers: reservation.helpers(), LastEventID: e.lastEvent}
 	if e.service.Engine != nil {
-		forwarding.Urgent = e.urgency()
+		forwarding.Urgency = e.urgency()
 	}
 	request := &http.Request{Method: e.r.Method, Host: e.r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    &url.URL{Scheme: "http", Host: choice.Server.Address, Opaque: e.r.RequestURI},
@@ -247,7 +247,7 @@
 func (e *exchange) readAnswer(ctx context.Context, choice placement.Choice, progress *progress, response *http.Response) tryResult {
 	server := choice.Server.IncarnationID()
 	e.core.Sending()
-	answer := platform.ParseAnswer(response.StatusCode, response.Header)
+	answer := platform.ParseResponse(response.StatusCode, response.Header)
 	if answer.ID != "" && answer.ID != e.info.ID {
 		e.s.serverFailed(server)
 		return e.ended(ctx, server, execution.ForwardBroken, execution.Refusal{Code: execution.CodeConnectionLost, Detail: "the answer belongs to another request"})
