--- a/entry/gateway/cold_test.go
+++ b/entry/gateway/cold_test.go
@@ -15,12 +15,12 @@
 // once, as not run.
 func TestAColdServerGetsFewRequests(t *testing.T) {
 	w := newWorld(t)
-	w.configure(func(c map[string]any) { standin.BoundCold(c, 8) })
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) }
+	w.configure(func(c map[string]any) { standin.LimitColdRate(c, 8) })
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) }
 	var cold []*standin.Worker
 	for _, service := range []string{"engines", "plain"} {
 		worker := standin.NewWorker("cold-"+service, service)
-		worker.ColdFor = time.Minute
+		worker.WarmupRemaining = time.Minute
 		if service == "engines" {
 			worker.Script = events
 		}
--- a/entry/gateway/crossing_test.go
+++ b/entry/gateway/crossing_test.go
@@ -22,7 +22,7 @@
 
 // zonesOfServers adds enough engine servers in each zone that entries keep to their own.
 func (w *world) zonesOfServers(zones ...string) {
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) }
 	for _, zone := range zones {
 		for i := range serversOfAZone {
 			w.workerIn(zone, fmt.Sprintf("%02d", i), "engines", events)
@@ -138,7 +138,7 @@
 	for _, worker := range w.workers[serversOfAZone:] {
 		worker.Script = func(out http.ResponseWriter, r *http.Request) {
 			<-release
-			standin.Events(out, r, 1, 0)
+			standin.ServeEvents(out, r, 1, 0)
 		}
 	}
 	losesServers(here)
@@ -191,7 +191,7 @@
 	for _, worker := range w.workers[serversOfAZone:] {
 		worker.Script = func(out http.ResponseWriter, r *http.Request) {
 			<-released
-			standin.Events(out, r, 1, 0)
+			standin.ServeEvents(out, r, 1, 0)
 		}
 	}
 	w.eventually("the other zone's room is heard", func() bool {
@@ -237,7 +237,7 @@
 	w.zonesOfServers("here", "there")
 	here, there := w.twoZones()
 	for _, worker := range w.workers[serversOfAZone:] {
-		worker.Memory = 1000
+		worker.MemoryTokens = 1000
 	}
 	losesServers(here)
 	w.eventually("the other zone's room is heard", func() bool {
--- a/entry/gateway/ended_test.go
+++ b/entry/gateway/ended_test.go
@@ -23,7 +23,7 @@
 	w.configure(nil)
 	worker := standin.NewWorker("i-1", "engines")
 	worker.Script = script
-	worker.EndsUnder = func(standin.Run) bool { return ends }
+	worker.CrashesOn = func(standin.Run) bool { return ends }
 	w.list(worker)
 	log, hook := logs.NewNullLogger()
 	s := New(Options{Settings: w.settings(), Log: logrus.NewEntry(log), Trail: audit.NewTrail(nil, 100)})
@@ -51,7 +51,7 @@
 		script  http.HandlerFunc
 	}{
 		{"ends", true, false, nil},
-		{"breaks off", false, true, func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 8, 3) }},
+		{"breaks off", false, true, func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 8, 3) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			fields := tryFields(t, c.ends, c.script)
@@ -74,7 +74,7 @@
 	s := f.entries[0]
 	ended := f.workers[0]
 	ended.Crash()
-	e := &exchange{s: s, r: standin.Call(s.settings.ListenAddress, http.MethodGet, "/read/x", "a", 0, "")}
+	e := &exchange{s: s, r: standin.NewRequest(s.settings.ListenAddress, http.MethodGet, "/read/x", "a", 0, "")}
 	result := tryResult{lost: os.ErrDeadlineExceeded}
 	e.lookForEnd(t.Context(), placement.Choice{Server: directory.Server{ID: ended.ID, Address: ended.Address()}}, &result)
 	require.False(t, result.serverEnded, "nobody waits for it")
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -28,7 +28,7 @@
 	end := sync.OnceFunc(func() { close(release) })
 	w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 		<-release
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 	})
 	t.Cleanup(end)
 	first := w.serve()
@@ -68,7 +68,7 @@
 	end := sync.OnceFunc(func() { close(release) })
 	worker := w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 		<-release
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 	})
 	t.Cleanup(end)
 	first := w.serve()
@@ -87,7 +87,7 @@
 func TestEntriesThatDoNotHearEachOtherUseDifferentServers(t *testing.T) {
 	w := newWorld(t)
 	w.configure(nil)
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) }
 	for i := range 4 {
 		w.worker(fmt.Sprintf("i-%d", i), "engines", events)
 	}
@@ -127,14 +127,14 @@
 func TestAnEntryThatStopsRefusesWhatOutlastsIt(t *testing.T) {
 	w := newWorld(t)
 	w.configure(nil)
-	w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) })
+	w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) })
 	first, second := w.serveTwo()
 	first.manager.Join()
 	defer first.manager.End()
 	first.manager.Drain()
 	long := func() int {
-		request := standin.Call(first.settings.ListenAddress, http.MethodPost, "/stream/", "long", 0, "x")
-		return call(standin.Asking(request, 2000, 8000)).status
+		request := standin.NewRequest(first.settings.ListenAddress, http.MethodPost, "/stream/", "long", 0, "x")
+		return call(standin.SetTokens(request, 2000, 8000)).status
 	}
 	require.Equal(t, http.StatusServiceUnavailable, long())
 	require.Equal(t, 200, w.call(first, http.MethodPost, "/stream/", 2000, "x").status, "a short answer is over before")
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -38,7 +38,7 @@
 func TestAnEvacuatedZoneGetsNothingNew(t *testing.T) {
 	w := newWorld(t)
 	w.configure(nil)
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) }
 	released, begun := make(chan struct{}), make(chan struct{}, 16)
 	release := sync.OnceFunc(func() { close(released) })
 	slow := func(out http.ResponseWriter, r *http.Request) {
@@ -94,7 +94,7 @@
 	w := newWorld(t)
 	w.configure(nil)
 	w.workerIn("there", "plain", "plain", nil)
-	w.workerIn("here", "engine", "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) })
+	w.workerIn("here", "engine", "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) })
 	s := w.serve()
 	w.store.Evacuate("here", true)
 	w.store.Evacuate("there", true)
@@ -132,7 +132,7 @@
 	w.configure(nil)
 	w.workerIn("there", "plain", "plain", nil)
 	s := w.serve()
-	old := w.store.Copy()
+	old := w.store.Backup()
 	w.store.Evacuate("there", true)
 	w.eventually("it is known", func() bool { return s.avoids("there") })
 	before := s.position()
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -42,7 +42,7 @@
 	s := w.serve()
 	require.Equal(t, 404, w.call(s, http.MethodGet, "/none/", 0, "").status)
 	require.Equal(t, 413, w.call(s, http.MethodPost, "/order/", 0, strings.Repeat("x", 5000)).status)
-	unknown := call(standin.WithKey(standin.Call(s.settings.ListenAddress, http.MethodGet, "/read/", "1", 0, ""), "key-x"))
+	unknown := call(standin.SetAPIKey(standin.NewRequest(s.settings.ListenAddress, http.MethodGet, "/read/", "1", 0, ""), "key-x"))
 	require.Equal(t, 401, unknown.status)
 	require.Zero(t, w.runs())
 	require.Equal(t, 503, w.call(s, http.MethodPost, "/stream/", 1000, "").status, "no server of the service is known")
@@ -123,7 +123,7 @@
 			out.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(out, "half")
 		},
-		"crosses":  standin.Crossed,
+		"crosses":  standin.WrongRequest,
 		"unsigned": standin.Unsigned,
 		"encoded": func(out http.ResponseWriter, _ *http.Request) {
 			out.Header().Set("Content-Encoding", "gzip")
@@ -152,7 +152,7 @@
 func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
 	w := newWorld(t)
 	w.configure(nil)
-	breaks := standin.BreaksFirst(8, 3)
+	breaks := standin.BreakFirstStream(8, 3)
 	w.worker("i-1", "engines", breaks)
 	w.worker("i-2", "engines", breaks)
 	s := w.serve()
@@ -181,7 +181,7 @@
 	w := newWorld(t)
 	w.configure(nil)
 	for _, id := range []string{"i-1", "i-2"} {
-		w.worker(id, "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 8, 3) })
+		w.worker(id, "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 8, 3) })
 	}
 	s := w.serve()
 	r := w.call(s, http.MethodPost, "/stream/", 2000, "prompt")
@@ -266,7 +266,7 @@
 	w.configure(nil)
 	w.worker("i-1", "plain", nil)
 	first := w.serve()
-	w.store.Refuse(http.StatusServiceUnavailable)
+	w.store.FailWith(http.StatusServiceUnavailable)
 	second := w.start(w.settings(first.settings.PeerAddress))
 	w.eventually("the second is ready", func() bool { return second.manager.State() == lifecycle.Serving })
 	require.Equal(t, 200, w.call(first, http.MethodGet, "/read/", 0, "").status)
@@ -289,7 +289,7 @@
 		<-started
 		leave()
 	}()
-	r := call(standin.Call(s.settings.ListenAddress, http.MethodPost, "/stream/", "1", 2000, "x").WithContext(ctx))
+	r := call(standin.NewRequest(s.settings.ListenAddress, http.MethodPost, "/stream/", "1", 2000, "x").WithContext(ctx))
 	require.Error(t, r.err)
 	select {
 	case <-ended:
@@ -308,7 +308,7 @@
 	w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		standin.Events(out, r, 3, 0)
+		standin.ServeEvents(out, r, 3, 0)
 	})
 	w.worker("i-2", "plain", nil)
 	t.Cleanup(end) // before the workers close, which waits for their requests
@@ -351,7 +351,7 @@
 	w.configure(nil)
 	w.worker("i-1", "engines", nil)
 	s := w.serve()
-	r := call(standin.Asking(standin.Call(s.settings.ListenAddress, http.MethodPost, "/stream/", "a", 0, "prompt"), 2000, math.MaxInt64))
+	r := call(standin.SetTokens(standin.NewRequest(s.settings.ListenAddress, http.MethodPost, "/stream/", "a", 0, "prompt"), 2000, math.MaxInt64))
 	require.Equal(t, 503, r.status, r.body)
 	require.Zero(t, w.runs())
 }
--- a/entry/gateway/held_test.go
+++ b/entry/gateway/held_test.go
@@ -75,7 +75,7 @@
 			released := make(chan struct{})
 			worker := w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 				<-released
-				standin.Events(out, r, 1, 0)
+				standin.ServeEvents(out, r, 1, 0)
 			})
 			release := sync.OnceFunc(func() { close(released) })
 			t.Cleanup(release)
@@ -89,7 +89,7 @@
 			statuses := make(chan int, callers)
 			for i := range callers {
 				go func() {
-					request := standin.Call(s.settings.ListenAddress, http.MethodPost, "/once/x", fmt.Sprint("b", i), 2000, body)
+					request := standin.NewRequest(s.settings.ListenAddress, http.MethodPost, "/once/x", fmt.Sprint("b", i), 2000, body)
 					request.ContentLength = length
 					statuses <- call(request).status
 				}()
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -47,7 +47,7 @@
 	for i := range servers {
 		worker := standin.NewWorker(fmt.Sprintf("i-%d", i), service)
 		worker.Script = script
-		worker.EndsUnder = func(run standin.Run) bool {
+		worker.CrashesOn = func(run standin.Run) bool {
 			ends := run.Body == fatal && run.Workspace == "press"
 			if ends {
 				time.Sleep(after)
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(f.t.Context(), leaves)
 	defer cancel()
 	id := fmt.Sprintf("%x", time.Now().UnixNano())
-	request := standin.WithKey(standin.Call(s.settings.ListenAddress, method, path, id, tokens, body), key)
+	request := standin.SetAPIKey(standin.NewRequest(s.settings.ListenAddress, method, path, id, tokens, body), key)
 	return call(request.WithContext(ctx))
 }
 
@@ -127,7 +127,7 @@
 // once three servers have ended under it, also by entries that have never seen it. All other
 // requests, those of its caller and the same one of another workspace, are served.
 func TestARequestThatEndsServersIsNotSentOnWithoutEnd(t *testing.T) {
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) }
 	for _, c := range []struct {
 		name, method, path, service string
 		script                      http.HandlerFunc
@@ -184,7 +184,7 @@
 // entry, and must be refused once three servers have ended under it; one more may be running it then.
 func TestAnEndThatNobodyWaitsForIsFoundOut(t *testing.T) {
 	const most = 4
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) }
 	for _, c := range []struct {
 		name        string
 		ends, leave time.Duration
@@ -229,7 +229,7 @@
 			w.configure(nil)
 			for i := range servers {
 				w.worker(fmt.Sprintf("i-%d", i), "engines", func(out http.ResponseWriter, r *http.Request) {
-					standin.Events(out, r, 1, 0)
+					standin.ServeEvents(out, r, 1, 0)
 					time.Sleep(500 * time.Millisecond)
 				})
 			}
@@ -264,7 +264,7 @@
 	w := newWorld(t)
 	w.configure(nil)
 	for i := range 2 {
-		w.worker(fmt.Sprintf("i-%d", i), "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) })
+		w.worker(fmt.Sprintf("i-%d", i), "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) })
 	}
 	s := w.serve()
 	s.makeSuspects("one", "two")
--- a/entry/gateway/readers_test.go
+++ b/entry/gateway/readers_test.go
@@ -133,7 +133,7 @@
 	s := w.start(w.settings())
 	var changes platform.Changes
 	for i := range 20 {
-		worker := standin.Row("plain", "127.0.0.1:1", "ready")
+		worker := standin.ServerRow("plain", "127.0.0.1:1", "ready")
 		w.store.Put("servers/i-"+string(rune('a'+i)), worker)
 	}
 	w.eventually("all are known", func() bool { return len(w.available(s, "plain")) == 20 })
--- a/entry/gateway/reborn_test.go
+++ b/entry/gateway/reborn_test.go
@@ -21,13 +21,13 @@
 
 // reborn starts a worker anew under its identifier: another process on the same address.
 func (w *world) reborn(worker *standin.Worker, birth int64) {
-	worker.Born = birth
+	worker.StartedAtMs = birth
 	w.store.Put(worker.Row("ready"))
 }
 
 // start returns the name of a worker's present start.
 func startOf(worker *standin.Worker) string {
-	return directory.Server{ID: worker.ID, StartedAtMs: worker.Born}.IncarnationID()
+	return directory.Server{ID: worker.ID, StartedAtMs: worker.StartedAtMs}.IncarnationID()
 }
 
 // A worker is leaving, crashes and is back under its identifier. Its callers would be
@@ -62,7 +62,7 @@
 	worker := w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 	})
 	t.Cleanup(end) // before the worker closes, which waits for its requests
 	w.reborn(worker, firstBirth)
--- a/entry/gateway/reservation_test.go
+++ b/entry/gateway/reservation_test.go
@@ -39,7 +39,7 @@
 	w := newWorld(t)
 	w.configure(nil)
 	for i := range 8 {
-		w.worker(fmt.Sprintf("i-%d", i), "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) })
+		w.worker(fmt.Sprintf("i-%d", i), "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) })
 	}
 	s := w.serve()
 	r := w.call(s, http.MethodPost, "/stream/", 500_000, "prompt")
@@ -66,7 +66,7 @@
 	w := newWorld(t)
 	w.configure(nil)
 	var dead atomic.Pointer[standin.Worker]
-	script := standin.HelperGone(func() string { return dead.Load().Address() })
+	script := standin.HelperUnreachable(func() string { return dead.Load().Address() })
 	for i := range 4 {
 		w.worker(fmt.Sprintf("i-%d", i), "engines", script)
 	}
@@ -89,7 +89,7 @@
 	for i := range 4 {
 		worker := w.worker(fmt.Sprintf("i-%d", i), "engines", nil)
 		if i > 0 {
-			worker.Memory = 1
+			worker.MemoryTokens = 1
 		}
 	}
 	s := w.serve()
@@ -114,7 +114,7 @@
 				<-r.Context().Done()
 				return
 			}
-			standin.Events(out, r, 2, 0)
+			standin.ServeEvents(out, r, 2, 0)
 		})
 	}
 	settings := w.settings()
@@ -202,8 +202,8 @@
 	w.configure(nil)
 	for i := range 3 {
 		worker := standin.NewWorker(fmt.Sprintf("i-%d", i), "engines")
-		worker.Script = func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
-		worker.OrderTime = 200 * time.Millisecond
+		worker.Script = func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) }
+		worker.OrderDelay = 200 * time.Millisecond
 		w.list(worker)
 	}
 	s := w.serve()
--- a/entry/gateway/stall_test.go
+++ b/entry/gateway/stall_test.go
@@ -23,7 +23,7 @@
 			<-r.Context().Done()
 			return
 		}
-		standin.Events(out, r, 2, 0)
+		standin.ServeEvents(out, r, 2, 0)
 	}
 }
 
@@ -67,7 +67,7 @@
 			w.eventually("the entry is ready", func() bool { return s.manager.State() == lifecycle.Serving && w.known(s) })
 			ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond)
 			defer cancel()
-			request := standin.Call(s.settings.ListenAddress, http.MethodPost, c.path, "a1", 5000, "prompt").WithContext(ctx)
+			request := standin.NewRequest(s.settings.ListenAddress, http.MethodPost, c.path, "a1", 5000, "prompt").WithContext(ctx)
 			require.Error(t, call(request).err)
 			require.Equal(t, 1, w.runs())
 		})
@@ -96,7 +96,7 @@
 				<-r.Context().Done()
 				return
 			}
-			standin.Events(out, r, 2, 0)
+			standin.ServeEvents(out, r, 2, 0)
 		})
 	}
 	settings := w.settings()
@@ -108,7 +108,7 @@
 	replies := make(chan reply, 2)
 	for i := range 2 {
 		go func() {
-			replies <- call(standin.Call(s.settings.ListenAddress, http.MethodPost, "/stream/", fmt.Sprint("a", i), 5000, "prompt").WithContext(ctx))
+			replies <- call(standin.NewRequest(s.settings.ListenAddress, http.MethodPost, "/stream/", fmt.Sprint("a", i), 5000, "prompt").WithContext(ctx))
 		}()
 	}
 	answered, waiting := 0, 0
--- a/entry/gateway/world_test.go
+++ b/entry/gateway/world_test.go
@@ -43,7 +43,7 @@
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, store: standin.NewStore(), version: 1}
 	t.Cleanup(func() {
-		w.store.Refuse(http.StatusServiceUnavailable)
+		w.store.FailWith(http.StatusServiceUnavailable)
 		w.store.CloseClientConnections()
 		w.store.Close()
 	})
@@ -143,7 +143,7 @@
 }
 
 func (w *world) call(s *Server, method, path string, tokens int, body string) reply {
-	return call(standin.Call(s.settings.ListenAddress, method, path, fmt.Sprintf("%x", time.Now().UnixNano()), tokens, body))
+	return call(standin.NewRequest(s.settings.ListenAddress, method, path, fmt.Sprintf("%x", time.Now().UnixNano()), tokens, body))
 }
 
 func (w *world) runs() int {
--- a/proof/processes/forward_test.go
+++ b/proof/processes/forward_test.go
@@ -99,7 +99,7 @@
 // stream asks an entry for a stream, on a connection of its own. begun is called with the first
 // byte of the answer.
 func (f *forwarding) stream(entry int, id string, prompt, length int64, begun func()) answer {
-	request := standin.Asking(standin.Call(f.entries[entry].ListenAddress, http.MethodPost, "/stream/x", id, 0, "x"), prompt, length)
+	request := standin.SetTokens(standin.NewRequest(f.entries[entry].ListenAddress, http.MethodPost, "/stream/x", id, 0, "x"), prompt, length)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	response, err := (&http.Client{Transport: transport}).Do(request)
--- a/proof/processes/memory_test.go
+++ b/proof/processes/memory_test.go
@@ -32,7 +32,7 @@
 	engine := standin.NewWorker("i-engine", "engines")
 	engine.Script = func(out http.ResponseWriter, r *http.Request) {
 		<-released
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 	}
 	release := sync.OnceFunc(func() { close(released) })
 	for _, worker := range []*standin.Worker{plain, engine} {
@@ -60,7 +60,7 @@
 	statuses := make(chan int, prompts)
 	for i := range prompts {
 		go func() {
-			request := standin.Call(entry.ListenAddress, http.MethodPost, "/once/x", fmt.Sprint("prompt-", i), 2000, body)
+			request := standin.NewRequest(entry.ListenAddress, http.MethodPost, "/once/x", fmt.Sprint("prompt-", i), 2000, body)
 			statuses <- statusOf(request)
 		}()
 	}
@@ -85,7 +85,7 @@
 	}
 	f.t.Cleanup(func() { _ = connection.Close() })
 	_ = connection.(*net.TCPConn).SetReadBuffer(4096)
-	if err := standin.Call(address, http.MethodGet, "/read/x", id, 0, "").Write(connection); err != nil {
+	if err := standin.NewRequest(address, http.MethodGet, "/read/x", id, 0, "").Write(connection); err != nil {
 		return false
 	}
 	begin := make([]byte, len("HTTP/1.1 200"))
--- a/proof/processes/stop_test.go
+++ b/proof/processes/stop_test.go
@@ -37,7 +37,7 @@
 
 // beginsOnly is a server's script that writes one event and no more until the request is given up.
 func beginsOnly(out http.ResponseWriter, r *http.Request) {
-	standin.Events(out, r, 1, 0)
+	standin.ServeEvents(out, r, 1, 0)
 	<-r.Context().Done()
 }
 
@@ -95,7 +95,7 @@
 		t.Parallel()
 		workers := newWorkers(t, 5, silent)
 		for _, worker := range workers {
-			worker.OrderTime = time.Second
+			worker.OrderDelay = time.Second
 		}
 		f := startForwarding(t, spec, workers...)
 		f.stop(0)
@@ -118,7 +118,7 @@
 	worker := standin.NewWorker("a", "engines")
 	b.Cleanup(worker.Close)
 	worker.Script = func(out http.ResponseWriter, r *http.Request) {
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 		time.Sleep(3200 * time.Millisecond) // new requests are taken for 2.8 s
 		standin.WriteEvents(out, 2, 4)
 	}
@@ -154,8 +154,8 @@
 	t.Parallel()
 	const longAnswer = 4000 // tokens; written for 3.4 s, when the entry has 2.3 s left
 	f := startForwarding(t, forwardingSpec{entries: 2, processors: 1, stopLimit: shortStop}, newWorkers(t, 1, func(out http.ResponseWriter, r *http.Request) {
-		standin.Events(out, r, 1, 0)
-		if standin.RunOf(r).ID == "long" {
+		standin.ServeEvents(out, r, 1, 0)
+		if standin.RunFromRequest(r).ID == "long" {
 			<-r.Context().Done()
 		}
 	})...)
@@ -268,7 +268,7 @@
 func TestTheLastPromptsMemoryIsGivenBack(t *testing.T) {
 	t.Parallel()
 	workers := newWorkers(t, 3, func(out http.ResponseWriter, r *http.Request) {
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 		time.Sleep(3 * time.Second)
 		standin.WriteEvents(out, 2, 2)
 	})
--- a/proof/soak/caller.go
+++ b/proof/soak/caller.go
@@ -102,7 +102,7 @@
 		call.Marker = c.version()
 		method, call.Path, call.Key = http.MethodGet, "/read/x", markerKey(call.Marker-2)
 	}
-	request := standin.WithKey(standin.Within(standin.Call(c.address, method, call.Path, call.ID, tokens, ""), call.Wait), call.Key)
+	request := standin.SetAPIKey(standin.SetRemaining(standin.NewRequest(c.address, method, call.Path, call.ID, tokens, ""), call.Wait), call.Key)
 	c.do(&call, request)
 	c.records.call(call)
 }
@@ -132,7 +132,7 @@
 	}
 	defer response.Body.Close()
 	call.Status, call.Signature = response.StatusCode, standin.Signature(response)
-	if id := standin.AnswerID(response); id != call.ID {
+	if id := standin.ResponseRequestID(response); id != call.ID {
 		call.Spoiled = fmt.Sprintf("the answer names request %q", id)
 	}
 	if call.Kind.streams() && call.Status == http.StatusOK {
--- a/proof/soak/check_test.go
+++ b/proof/soak/check_test.go
@@ -64,7 +64,7 @@
 			}
 		},
 		"memory is used or given back": func(r *Records) {
-			r.Held = []standin.Held{{ID: "a", From: after(1), To: after(12)}, {ID: "b", From: after(1), To: after(12)}}
+			r.Held = []standin.ReservationSpan{{ID: "a", From: after(1), To: after(12)}, {ID: "b", From: after(1), To: after(12)}}
 			r.Used["b"] = after(2)
 		},
 		"memory comes back": func(r *Records) { r.Reserved["w"] = 1 },
--- a/proof/soak/fatal.go
+++ b/proof/soak/fatal.go
@@ -139,7 +139,7 @@
 	c.serial++
 	route := fatalRoutes[(number-1)%len(fatalRoutes)]
 	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: route.kind, Path: route.path, Entry: c.entry, Key: lastingKey, Fatal: body, Wait: waitLeast}
-	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, fatalBody(body)), call.Wait)
+	request := standin.SetRemaining(standin.NewRequest(c.address, route.method, route.path, call.ID, route.tokens, fatalBody(body)), call.Wait)
 	if leave > 0 {
 		c.send(&call, request, leave)
 	} else {
--- a/proof/soak/long.go
+++ b/proof/soak/long.go
@@ -74,9 +74,9 @@
 	for ctx.Err() == nil {
 		c.serial++
 		call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.serial), Kind: Stream, Path: "/stream/x", Entry: c.entry, Key: lastingKey, Wait: longWait}
-		request := standin.Within(standin.Call(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Wait)
+		request := standin.SetRemaining(standin.NewRequest(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Wait)
 		prompt := longPrompts[c.random.IntN(len(longPrompts))]
-		c.sendUntil(ctx, &call, standin.Asking(request, prompt, answerTokensOf(call.ID)))
+		c.sendUntil(ctx, &call, standin.SetTokens(request, prompt, answerTokensOf(call.ID)))
 		c.records.call(call)
 		sleep(ctx, time.Duration(c.random.IntN(thinkTime))*time.Millisecond)
 	}
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -113,7 +113,7 @@
 	// Failure is why the run itself could not go on, if it couldn't.
 	Failure error
 	// Held are the spans in which servers set memory aside, Used the first uses by id.
-	Held []standin.Held
+	Held []standin.ReservationSpan
 	Used map[string]time.Time
 }
 
@@ -304,7 +304,7 @@
 }
 
 // reserved notes what is left of reservations at the end, and those that there were.
-func (r *Records) reserved(left map[string]int, held []standin.Held) {
+func (r *Records) reserved(left map[string]int, held []standin.ReservationSpan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Reserved, r.Held = left, held
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -133,10 +133,10 @@
 }
 
 // heldSpans are the reservations that there were at the servers that run at the end.
-func (w *world) heldSpans() []standin.Held {
-	var held []standin.Held
+func (w *world) heldSpans() []standin.ReservationSpan {
+	var held []standin.ReservationSpan
 	for _, s := range w.slots {
-		held = append(held, s.current().HeldSpans()...)
+		held = append(held, s.current().EndedReservations()...)
 	}
 	return held
 }
--- a/proof/soak/worker.go
+++ b/proof/soak/worker.go
@@ -74,24 +74,24 @@
 	s.serial++
 	w := standin.NewWorker(fmt.Sprintf("w%d-%d", s.index, s.serial), s.service)
 	w.PublicAddress = s.link.Address()
-	w.Arrived = func(run standin.Run) {
+	w.OnRequest = func(run standin.Run) {
 		s.records.arrival(Arrival{ID: run.ID, Worker: w.ID, Service: w.Service, At: time.Now()})
 	}
-	w.Used = s.records.used
-	w.EndsUnder = func(run standin.Run) bool { return s.endUnder(w, run) }
+	w.OnFirstWrite = s.records.used
+	w.CrashesOn = func(run standin.Run) bool { return s.endUnder(w, run) }
 	w.Script = func(out http.ResponseWriter, r *http.Request) { s.serve(w, out, r) }
 	w.Zone = s.zone
 	if s.serial > 1 {
-		w.ColdFor = s.coldFor
+		w.WarmupRemaining = s.coldFor
 	}
 	s.worker, s.leaving = w, false
 	if err := s.link.Retarget(w.Address()); err != nil {
 		return err
 	}
 	s.records.lives(w.ID, w.Service)
-	s.records.located(w.ID, w.Zone, w.ColdFor)
+	s.records.located(w.ID, w.Zone, w.WarmupRemaining)
 	s.store.Put(w.Row("ready"))
-	if w.ColdFor > 0 {
+	if w.WarmupRemaining > 0 {
 		s.ending.Go(func() { s.warm(w) })
 	}
 	return nil
@@ -99,7 +99,7 @@
 
 // warm writes that a server is no longer cold, if it is still the one that runs.
 func (s *slot) warm(w *standin.Worker) {
-	time.Sleep(w.ColdFor)
+	time.Sleep(w.WarmupRemaining)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.worker == w && !s.leaving {
@@ -217,10 +217,10 @@
 }
 
 func (s *slot) serve(w *standin.Worker, out http.ResponseWriter, r *http.Request) {
-	told := standin.RunOf(r)
+	told := standin.RunFromRequest(r)
 	habit := s.habit(told.ID)
 	if habit == Refuses {
-		standin.NotRun(out, r)
+		standin.NotExecuted(out, r)
 		return
 	}
 	wait, _ := strconv.Atoi(told.Remaining)
@@ -306,7 +306,7 @@
 		_, _ = fmt.Fprintf(out, "failure of %s", id)
 		return http.StatusInternalServerError
 	case habit == CrossesAnswers:
-		standin.Crossed(out, r)
+		standin.WrongRequest(out, r)
 		return http.StatusOK
 	case habit == Forges:
 		standin.Unsigned(out, r)
@@ -357,9 +357,9 @@
 		out.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError
 	case CrossesAnswers:
-		standin.NameAnother(out)
+		standin.SetWrongRequestID(out)
 	case Forges:
-		standin.Unsign(out)
+		standin.RemoveSignature(out)
 	}
 	from, _ := strconv.Atoi(run.LastEvent)
 	out.Header().Set("Content-Type", "text/event-stream")
--- a/proof/soak/world.go
+++ b/proof/soak/world.go
@@ -141,7 +141,7 @@
 	v := w.version
 	configuration := standin.ConfigurationWith(v, []string{markerPrefix(v), markerPrefix(v - 1)}, []string{markerKey(v), markerKey(v - 1)})
 	if w.options.Zones {
-		standin.BoundCold(configuration, coldRate)
+		standin.LimitColdRate(configuration, coldRate)
 	}
 	w.store.Put("op/config", configuration)
 }
@@ -283,11 +283,11 @@
 func (w *world) strikeStore(step Step) {
 	switch step.Kind {
 	case StoreRefuses:
-		w.store.Refuse(http.StatusServiceUnavailable)
+		w.store.FailWith(http.StatusServiceUnavailable)
 		time.Sleep(step.For)
-		w.store.Refuse(0)
+		w.store.FailWith(0)
 	case StoreForgets:
-		w.store.Forget()
+		w.store.Compact()
 	case ConfigChanges:
 		w.configure()
 	case RowsLapse:
@@ -326,12 +326,12 @@
 // restore brings the store back from a copy of some age. The operator and the servers write again what they
 // had written since, and rows that nobody keeps alive go again.
 func (w *world) restore(age time.Duration) {
-	older := w.store.Copy()
+	older := w.store.Backup()
 	time.Sleep(age)
-	w.store.Refuse(http.StatusServiceUnavailable)
+	w.store.FailWith(http.StatusServiceUnavailable)
 	time.Sleep(storeAway)
 	w.store.Restore(older, nil)
-	w.store.Refuse(0)
+	w.store.FailWith(0)
 	time.Sleep(rowsBack)
 	w.writeConfiguration()
 	if w.options.Zones {
@@ -351,13 +351,13 @@
 // lapse takes the store away, loses the rows of all servers meanwhile, and brings
 // those of the living back within two seconds of its return.
 func (w *world) lapse(length time.Duration) {
-	w.store.Refuse(http.StatusServiceUnavailable)
+	w.store.FailWith(http.StatusServiceUnavailable)
 	for _, s := range w.slots {
 		key, _ := s.current().Row("")
 		w.store.Remove(key)
 	}
 	time.Sleep(length)
-	w.store.Refuse(0)
+	w.store.FailWith(0)
 	time.Sleep(rowsBack)
 	for _, s := range w.slots {
 		s.relist()
@@ -403,7 +403,7 @@
 			_ = l.Close()
 		}
 	}
-	w.store.Refuse(http.StatusServiceUnavailable)
+	w.store.FailWith(http.StatusServiceUnavailable)
 	w.store.CloseClientConnections()
 	w.store.Close()
 	w.probing.CloseIdleConnections()
