--- a/entry/gateway/attempt.go
+++ b/entry/gateway/attempt.go
@@ -43,7 +43,7 @@
 }
 
 func (a *bufferedResponse) deliver(e *exchange) {
-	platform.CopyAnswerHeaders(e.w.Header(), a.header)
+	platform.CopyResponseHeaders(e.w.Header(), a.header)
 	e.sendHeaders(a.status)
 	if _, err := e.w.Write(a.body); err != nil {
 		e.s.log.WithError(err).WithField("request", e.info.ID).Debug("writing the response failed: the caller has disconnected")
@@ -186,10 +186,10 @@
 // upstreamRequest builds the request to a server. Method, path, query and body are passed
 // unchanged.
 func (e *exchange) upstreamRequest(ctx context.Context, choice placement.Choice, reservation *reservation) *http.Request {
-	forwarding := platform.Forwarding{Instance: choice.Server.ID, Workspace: e.workspace, Remaining: e.remaining(), Urgent: -1,
+	forwarding := platform.Forwarding{Instance: choice.Server.ID, Workspace: e.workspace, Remaining: e.remaining(), Urgency: -1,
 		Helpers: reservation.helpers(), LastEventID: e.lastEventID}
 	if e.service.Engine != nil {
-		forwarding.Urgent = e.urgency()
+		forwarding.Urgency = e.urgency()
 	}
 	request := &http.Request{Method: e.r.Method, Host: e.r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    &url.URL{Scheme: "http", Host: choice.Server.Address, Opaque: e.r.RequestURI},
@@ -249,7 +249,7 @@
 func (e *exchange) handleResponse(ctx context.Context, choice placement.Choice, progress *firstEventWait, response *http.Response) attemptResult {
 	server := choice.Server.IncarnationID()
 	e.forward.RecordSend()
-	parsed := platform.ParseAnswer(response.StatusCode, response.Header)
+	parsed := platform.ParseResponse(response.StatusCode, response.Header)
 	if parsed.ID != "" && parsed.ID != e.info.ID {
 		e.s.recordFailure(server)
 		return e.incompleteResult(ctx, server, execution.ForwardBroken, execution.Refusal{Code: execution.CodeConnectionLost, Detail: "the answer belongs to another request"})
--- a/entry/gateway/crosszone_test.go
+++ b/entry/gateway/crosszone_test.go
@@ -22,7 +22,7 @@
 
 // addZones adds enough engine servers in each zone for zone-local routing.
 func (w *testbed) addZones(zones ...string) {
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 1, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 1, 0) }
 	for _, zone := range zones {
 		for i := range serversPerZone {
 			w.workerIn(zone, fmt.Sprintf("%02d", i), "engines", events)
@@ -139,7 +139,7 @@
 	for _, worker := range w.workers[serversPerZone:] {
 		worker.Script = func(out http.ResponseWriter, r *http.Request) {
 			<-release
-			standin.Events(out, r, 1, 0)
+			standin.ServeEvents(out, r, 1, 0)
 		}
 	}
 	markServersUnreachable(here)
@@ -192,7 +192,7 @@
 	for _, worker := range w.workers[serversPerZone:] {
 		worker.Script = func(out http.ResponseWriter, r *http.Request) {
 			<-released
-			standin.Events(out, r, 1, 0)
+			standin.ServeEvents(out, r, 1, 0)
 		}
 	}
 	w.eventually("the other zone's headroom is known", func() bool {
@@ -238,7 +238,7 @@
 	w.addZones("here", "there")
 	here, there := w.startTwoZones()
 	for _, worker := range w.workers[serversPerZone:] {
-		worker.Memory = 1000
+		worker.MemoryTokens = 1000
 	}
 	markServersUnreachable(here)
 	w.eventually("the other zone's headroom is known", func() bool {
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -39,7 +39,7 @@
 func TestAnEvacuatedZoneGetsNoNewRequests(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
-	events := func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) }
+	events := func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) }
 	released, begun := make(chan struct{}), make(chan struct{}, 16)
 	release := sync.OnceFunc(func() { close(released) })
 	slow := func(out http.ResponseWriter, r *http.Request) {
@@ -97,7 +97,7 @@
 	w := newTestbed(t)
 	w.configure(nil)
 	w.workerIn("there", "plain", "plain", nil)
-	w.workerIn("here", "engine", "engines", func(out http.ResponseWriter, r *http.Request) { standin.Events(out, r, 2, 0) })
+	w.workerIn("here", "engine", "engines", func(out http.ResponseWriter, r *http.Request) { standin.ServeEvents(out, r, 2, 0) })
 	s := w.serve()
 	w.store.Evacuate("here", true)
 	w.store.Evacuate("there", true)
@@ -136,7 +136,7 @@
 	w.configure(nil)
 	w.workerIn("there", "plain", "plain", nil)
 	s := w.serve()
-	old := w.store.Copy()
+	old := w.store.Backup()
 	w.store.Evacuate("there", true)
 	w.eventually("it is known", func() bool { return s.isEvacuated("there") })
 	before := s.position()
--- a/entry/gateway/outcomes.go
+++ b/entry/gateway/outcomes.go
@@ -47,7 +47,7 @@
 }
 
 // reportNotExecuted records that a request was not executed and returns the server at fault.
-func (s *Server) reportNotExecuted(choice placement.Choice, response platform.Answer) string {
+func (s *Server) reportNotExecuted(choice placement.Choice, response platform.Response) string {
 	fault := faultyServer(choice, response)
 	s.reportUnreachable(fault)
 	return fault
@@ -55,9 +55,9 @@
 
 // faultyServer returns the server because of which a request was not executed: a helper that the
 // response names by its address, or the server that responded.
-func faultyServer(choice placement.Choice, response platform.Answer) string {
+func faultyServer(choice placement.Choice, response platform.Response) string {
 	for _, helper := range choice.Helpers {
-		if response.FaultyAt != "" && helper.Address == response.FaultyAt {
+		if response.FaultyHelper != "" && helper.Address == response.FaultyHelper {
 			return helper.IncarnationID()
 		}
 	}
--- a/entry/gateway/restart_test.go
+++ b/entry/gateway/restart_test.go
@@ -21,13 +21,13 @@
 
 // restart starts another process of a server on the same address, under the same identifier.
 func (w *testbed) restart(worker *standin.Worker, birth int64) {
-	worker.Born = birth
+	worker.StartedAtMs = birth
 	w.store.Put(worker.Row("ready"))
 }
 
 // startOf returns the current incarnation of a server.
 func startOf(worker *standin.Worker) string {
-	return directory.Server{ID: worker.ID, StartedAtMs: worker.Born}.IncarnationID()
+	return directory.Server{ID: worker.ID, StartedAtMs: worker.StartedAtMs}.IncarnationID()
 }
 
 // A draining server crashes and restarts under its identifier. It would get no requests for the
@@ -62,7 +62,7 @@
 	worker := w.worker("i-1", "engines", func(out http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		standin.Events(out, r, 1, 0)
+		standin.ServeEvents(out, r, 1, 0)
 	})
 	t.Cleanup(end) // before the server closes, which waits for its requests
 	w.restart(worker, firstStartedAt)
--- a/entry/gateway/run.go
+++ b/entry/gateway/run.go
@@ -153,10 +153,10 @@
 
 // outputTokens returns the expected length of the response in tokens.
 func (e *exchange) outputTokens() int64 {
-	if e.info.AnswerHint > 0 && e.info.AnswerHint < e.info.MaxAnswerTokens {
-		return e.info.AnswerHint
+	if e.info.OutputTokensHint > 0 && e.info.OutputTokensHint < e.info.MaxOutputTokens {
+		return e.info.OutputTokensHint
 	}
-	return e.info.MaxAnswerTokens
+	return e.info.MaxOutputTokens
 }
 
 // jitter varies a delay by up to a quarter. Callers that are refused together would otherwise
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -134,7 +134,7 @@
 	s.transport = newTransport()
 	s.orderClient = &http.Client{Transport: newTransport()}
 	s.store = platform.NewStore(settings.Store, storeClient(), storeTimeout)
-	s.store.Observe(s.traffic.countCall)
+	s.store.OnCall(s.traffic.countCall)
 	group := peering.New(settings.PeerAddress, settings.Zone, s.incarnation, settings.Seeds)
 	s.peers = newPeerTransport(s, group)
 	s.setReadOptions(settings.readOptions())
--- a/entry/gateway/storeloop.go
+++ b/entry/gateway/storeloop.go
@@ -37,7 +37,7 @@
 		switch {
 		case err == nil:
 			continue // other entries read from now on
-		case errors.Is(err, platform.ErrHistoryGone):
+		case errors.Is(err, platform.ErrHistoryUnavailable):
 			s.log.Warn("the store's history from the known revision is unavailable; reading the full state")
 			s.resetPosition()
 			continue
@@ -102,7 +102,7 @@
 			return err
 		}
 	}
-	operators, err := s.store.ReadOperators(ctx)
+	operators, err := s.store.ReadOperatorRows(ctx)
 	if err != nil {
 		return err
 	}
--- a/entry/gateway/traffic.go
+++ b/entry/gateway/traffic.go
@@ -35,12 +35,12 @@
 	mu       sync.Mutex
 	// messages and bytes are by direction and kind, calls by what they read.
 	messages, bytes map[direction]map[peering.Kind]metrics.Counter
-	calls           map[platform.Call]metrics.Counter
+	calls           map[platform.CallKind]metrics.Counter
 }
 
 func newTraffic(registry metrics.Registry) *traffic {
 	return &traffic{registry: registry, messages: map[direction]map[peering.Kind]metrics.Counter{}, bytes: map[direction]map[peering.Kind]metrics.Counter{},
-		calls: map[platform.Call]metrics.Counter{}}
+		calls: map[platform.CallKind]metrics.Counter{}}
 }
 
 // add counts messages of a kind and their bytes.
@@ -63,7 +63,7 @@
 }
 
 // countCall counts a call of the store.
-func (t *traffic) countCall(call platform.Call) {
+func (t *traffic) countCall(call platform.CallKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.calls[call] == nil {
@@ -85,7 +85,7 @@
 		}
 		exchanged[directionNames[dir]] = counts
 	}
-	storeCalls := map[platform.Call]int64{}
+	storeCalls := map[platform.CallKind]int64{}
 	for call, counter := range t.calls {
 		storeCalls[call] = counter.Count()
 	}
--- a/host/server/effects.go
+++ b/host/server/effects.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// controlTimeout bounds one control call to an engine.
+	// controlTimeout bounds one control request to an engine.
 	controlTimeout = 2 * time.Second
-	// partTimeout bounds one call for a part of a group reservation.
+	// partTimeout bounds one request for a part of a group reservation.
 	partTimeout = 2 * time.Second
 )
 
-// carryOut does what the core decided. It is called without the lock.
-func (s *Server) carryOut(effects []backend.Effect) {
+// executeEffects executes the core's effects. The lock must not be held.
+func (s *Server) executeEffects(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case backend.StartRun:
-			s.start(e)
+			s.startRun(e)
 		case backend.StopRun:
 			s.stopRun(e.Attempt)
 		case backend.CloseStream:
-			s.ended(e)
+			s.closeStream(e)
 		case backend.Pause:
 			s.control(e.Engine, func(ctx context.Context, c *engine.Client) error { return c.Pause(ctx, string(e.Attempt)) })
 		case backend.Resume:
@@ -36,9 +36,9 @@
 				return c.SetPriority(ctx, string(e.Attempt), e.Priority)
 			})
 		case backend.RequestPart:
-			go s.askPart(e)
+			go s.requestPart(e)
 		case backend.ReleasePart:
-			go s.giveBackPart(e)
+			go s.releasePart(e)
 		case backend.CancelOrphan:
 			s.cancelOrphan(e)
 		case backend.LeaseExpired:
@@ -48,9 +48,9 @@
 	}
 }
 
-// control calls an engine in the background. A call that fails is not repeated:
-// pause, resume and priority only shape the order of work, and what a cancel
-// leaves behind is found as an orphan.
+// control sends a control request to an engine in the background. A failed
+// request is not retried: pause, resume and priority only affect the order of
+// work, and a stream that survives a failed cancel is later found as an orphan.
 func (s *Server) control(name string, call func(ctx context.Context, e *engine.Client) error) {
 	client := s.engines[name]
 	if client == nil {
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 		defer cancel()
 		if err := call(ctx, client); err != nil {
-			s.Log.WithError(err).WithField("engine", name).Warn("a control call to the engine failed")
+			s.Log.WithError(err).WithField("engine", name).Warn("engine control request failed")
 		}
 	}()
 }
@@ -71,49 +71,49 @@
 	s.control(e.Stream.Engine, func(ctx context.Context, c *engine.Client) error { return c.Cancel(ctx, e.Stream.ID) })
 }
 
-func (s *Server) auditMemory(subject, why string) {
-	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Reason: why, Source: "host"})
+func (s *Server) auditMemory(subject, reason string) {
+	s.Audit(audit.Event{Area: audit.Memory, Subject: subject, From: "held", To: "freed", Reason: reason, Source: "host"})
 }
 
-func (s *Server) askPart(ask backend.RequestPart) {
-	granted := s.reservePart(ask)
+func (s *Server) requestPart(request backend.RequestPart) {
+	granted := s.reservePart(request)
 	s.mu.Lock()
-	effects := s.core.PartReplied(time.Now(), ask, granted)
+	effects := s.core.PartReplied(time.Now(), request, granted)
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
-func (s *Server) reservePart(ask backend.RequestPart) bool {
-	if ask.Part.Server == s.Name() {
+func (s *Server) reservePart(request backend.RequestPart) bool {
+	if request.Part.Server == s.Name() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.core.ReservePart(time.Now(), ask.Reservation, ask.Part, ask.Expires) == nil
+		return s.core.ReservePart(time.Now(), request.Reservation, request.Part, request.Expires) == nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
-	reply, err := s.member(ask.Part.Server).Reserve(ctx, &wire.ReserveRequest{Envelope: s.Envelope(), Reservation: ask.Reservation,
-		Engine: ask.Part.Engine, Tokens: ask.Part.Tokens, ExpiresUnixMs: ask.Expires.UnixMilli()})
+	reply, err := s.hostClient(request.Part.Server).Reserve(ctx, &wire.ReserveRequest{Envelope: s.Envelope(), Reservation: request.Reservation,
+		Engine: request.Part.Engine, Tokens: request.Part.Tokens, ExpiresUnixMs: request.Expires.UnixMilli()})
 	return err == nil && reply.Granted
 }
 
-func (s *Server) member(server string) wire.HostDaemon {
+func (s *Server) hostClient(server string) wire.HostDaemon {
 	return s.Dialer.Host(s.Store.Current().Servers[server].Address)
 }
 
-// giveBackPart releases a part. A release that is lost is made good by the end
-// of the part's lease.
-func (s *Server) giveBackPart(e backend.ReleasePart) {
+// releasePart releases one part of a group reservation, here or at another
+// host. If the release is lost, the part's lease expires.
+func (s *Server) releasePart(e backend.ReleasePart) {
 	if e.Part.Server == s.Name() {
 		s.mu.Lock()
 		effects := s.core.ReleasePart(time.Now(), e.Reservation)
 		s.mu.Unlock()
-		s.carryOut(effects)
+		s.executeEffects(effects)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
-	_, err := s.member(e.Part.Server).Release(ctx, &wire.ReleaseRequest{Envelope: s.Envelope(), Reservation: e.Reservation})
+	_, err := s.hostClient(e.Part.Server).Release(ctx, &wire.ReleaseRequest{Envelope: s.Envelope(), Reservation: e.Reservation})
 	if err != nil {
-		s.Log.WithError(err).WithField("server", e.Part.Server).Warn("a part's release was lost; its lease will end")
+		s.Log.WithError(err).WithField("server", e.Part.Server).Warn("release of a reservation part failed; its lease will expire")
 	}
 }
--- a/host/server/server.go
+++ b/host/server/server.go
@@ -24,10 +24,10 @@
 	"arbutusdeck/host/engine"
 )
 
-// dialTimeout bounds the opening of a connection to another daemon.
+// dialTimeout bounds connecting to another daemon.
 const dialTimeout = time.Second
 
-// Options are the parts of a Server.
+// Options configure a Server.
 type Options struct {
 	Settings Settings
 	Log      *logrus.Entry
@@ -37,7 +37,7 @@
 	Sync     config.SyncOptions
 }
 
-// DefaultOptions returns options for settings.
+// DefaultOptions returns the production options for the given settings.
 func DefaultOptions(settings Settings, log *logrus.Entry, trail *audit.Trail) Options {
 	options := Options{
 		Settings: settings,
@@ -53,8 +53,8 @@
 	return options
 }
 
-// Server is one host daemon. Its lock guards the core: every decision over the
-// server's engines is made by one writer, in order.
+// Server is the host daemon. Its lock guards the core and the runs, so that all
+// decisions about the server's engines are serialized.
 type Server struct {
 	*process.Base
 	options  Options
@@ -64,10 +64,10 @@
 	reports  *reports
 	tomb     *tomb.Tomb
 
-	mu    sync.Mutex
-	core  *backend.Core
-	runs  map[execution.AttemptID]*run
-	pause *membership.PauseDetector
+	mu            sync.Mutex
+	core          *backend.Core
+	runs          map[execution.AttemptID]*run
+	pauseDetector *membership.PauseDetector
 }
 
 type counters struct {
@@ -75,31 +75,31 @@
 	firstToken                                                     metrics.Timer
 }
 
-// New returns a daemon that Start starts.
+// New returns a daemon that is not yet started; see Start.
 func New(options Options) *Server {
 	s := &Server{
-		options:  options,
-		engines:  clients(options.Settings.Engines),
-		services: clients(options.Settings.Services),
-		core:     backend.New(time.Now(), options.Backend),
-		runs:     map[execution.AttemptID]*run{},
-		pause:    membership.NewPauseDetector(pauseLimit),
+		options:       options,
+		engines:       newClients(options.Settings.Engines),
+		services:      newClients(options.Settings.Services),
+		core:          backend.New(time.Now(), options.Backend),
+		runs:          map[execution.AttemptID]*run{},
+		pauseDetector: membership.NewPauseDetector(pauseLimit),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
 		Settings: options.Settings.Settings, Log: options.Log, Trail: options.Trail, Platform: options.Platform, Sync: options.Sync,
-		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnSnapshot: s.adopt, OnHosts: s.readHosts, OnStateChange: s.changeState,
+		Incarnation: options.Backend.Incarnation, DialTimeout: dialTimeout, OnSnapshot: s.applySnapshot, OnHosts: s.applyHostList, OnStateChange: s.setState,
 	})
 	s.counters = newCounters(s.Registry)
 	s.reports = newReports(s.Registry)
 	return s
 }
 
-func clients(urls map[string]string) map[string]*engine.Client {
-	found := map[string]*engine.Client{}
+func newClients(urls map[string]string) map[string]*engine.Client {
+	clients := map[string]*engine.Client{}
 	for name, url := range urls {
-		found[name] = engine.NewClient(url)
+		clients[name] = engine.NewClient(url)
 	}
-	return found
+	return clients
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -115,8 +115,9 @@
 	}
 }
 
-// Start listens and serves under the tomb. The fixed address is what makes this
-// daemon the only one for its engines: a second one can't bind it.
+// Start opens the listeners and runs the daemon's goroutines under the tomb. The
+// fixed peer address also keeps a second daemon from managing the same engines,
+// as it can't bind the address.
 func (s *Server) Start(t *tomb.Tomb) error {
 	s.tomb = t
 	listener, err := process.Listen(s.options.Settings.PeerAddress)
@@ -132,7 +133,7 @@
 	t.Go(func() error { return s.ConfigLoop.Run(t) })
 	t.Go(s.tickLoop)
 	t.Go(s.engineLoop)
-	t.Go(s.endLoop)
+	t.Go(s.abortLoop)
 	return nil
 }
 
@@ -147,29 +148,30 @@
 	return router
 }
 
-// adopt brings a new snapshot into force.
-func (s *Server) adopt(snapshot *config.Snapshot) {
+// applySnapshot applies a new configuration snapshot.
+func (s *Server) applySnapshot(snapshot *config.Snapshot) {
 	now := time.Now()
 	s.mu.Lock()
-	unnamed := s.core.Configure(now, snapshot)
+	unnamedSlots := s.core.Configure(now, snapshot)
 	s.mu.Unlock()
-	for _, slot := range unnamed {
+	for _, slot := range unnamedSlots {
 		s.Audit(audit.Event{Area: audit.Configuration, Subject: slot, Refused: true,
 			Reason: "the former holder of this home slot is not named under former: its keys are answered unknown until it is named and retired"})
 	}
 }
 
-// readHosts takes in the platform's list: a host that is said to leave takes no
-// new work, once the list can't be telling of the daemon before this one.
-func (s *Server) readHosts(hosts []platform.Host) {
+// applyHostList applies the platform's list of hosts: if it marks this host as
+// draining, the host accepts no new work. A list that may still describe the
+// previous incarnation of the daemon is ignored.
+func (s *Server) applyHostList(hosts []platform.Host) {
 	for _, host := range hosts {
 		if host.Server == s.Name() && host.Draining && s.Manager().State() == lifecycle.Serving {
-			s.leave()
+			s.drain()
 		}
 	}
 }
 
-func (s *Server) leave() {
+func (s *Server) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core.Draining() || time.Since(s.core.StartedAt()) < membership.HostListLag {
@@ -180,8 +182,8 @@
 		Reason: "the host list says so", Source: "list"})
 }
 
-// changeState brings the daemon's state into the core.
-func (s *Server) changeState(to lifecycle.State) {
+// setState passes the daemon's lifecycle state on to the core.
+func (s *Server) setState(to lifecycle.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch to {
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// tickInterval is how often leases and slices are looked at.
+	// tickInterval is the period of checks for expired leases and time slices.
 	tickInterval = 25 * time.Millisecond
-	// pauseLimit is the gap between ticks that counts as a pause.
+	// pauseLimit is the gap between ticks from which the process counts as
+	// having been paused.
 	pauseLimit = 2 * time.Second
-	// observeInterval is how often engines are asked for their state.
+	// observeInterval is the polling period for engine states.
 	observeInterval = time.Second
 )
 
@@ -34,14 +35,14 @@
 	}
 }
 
-// tick looks for a pause first: after one, everything that this process believed
-// has run out, and it must not act on it.
+// tick advances the core. It checks for a pause of the process first: after one,
+// everything that the process knew is stale and must not be acted on.
 func (s *Server) tick(now time.Time) {
 	if s.Manager().State() == lifecycle.Starting && s.Store.Current() != nil && s.ConfigLoop.Ready() {
 		s.Manager().Serve()
 	}
 	s.mu.Lock()
-	gap := s.pause.Tick(now.Round(0))
+	gap := s.pauseDetector.Tick(now.Round(0))
 	if gap > 0 {
 		s.core.ExpireAfterPause(now)
 	}
@@ -51,11 +52,11 @@
 		s.ConfigLoop.Resync()
 		s.AuditPause(gap)
 	}
-	s.carryOut(effects)
+	s.executeEffects(effects)
 }
 
-// endLoop ends all attempts once the stop has come to its limit.
-func (s *Server) endLoop() error {
+// abortLoop aborts all attempts once a graceful shutdown has reached its time limit.
+func (s *Server) abortLoop() error {
 	select {
 	case <-s.Manager().Aborting().Done():
 	case <-s.tomb.Dying():
@@ -64,11 +65,11 @@
 	s.mu.Lock()
 	effects := s.core.Shutdown(time.Now())
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.executeEffects(effects)
 	return nil
 }
 
-// engineLoop observes the engines, cancels what nobody owns and sends orders.
+// engineLoop polls the engines, cancels orphaned streams and sends due orders.
 func (s *Server) engineLoop() error {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
@@ -88,17 +89,17 @@
 func (s *Server) observe(name string, client *engine.Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	state, err := client.State(ctx)
 	if err != nil {
-		s.Log.WithError(err).WithField("engine", name).Warn("the engine does not tell its state")
+		s.Log.WithError(err).WithField("engine", name).Warn("could not fetch the engine's state")
 		return
 	}
 	s.mu.Lock()
-	effects := s.core.ObserveEngine(asked, name, state.Observed(), state.Held(name))
+	effects := s.core.ObserveEngine(requestedAt, name, state.Observation(), state.EngineStreams(name))
 	s.mu.Unlock()
-	s.carryOut(effects)
-	s.reports.read(ctx, name, client)
+	s.executeEffects(effects)
+	s.reports.fetch(ctx, name, client)
 }
 
 func (s *Server) sendOrders(now time.Time) {
--- a/proof/soak/caller.go
+++ b/proof/soak/caller.go
@@ -102,7 +102,7 @@
 		call.ConfigVersion = c.newestVersion()
 		method, call.Path, call.Key = http.MethodGet, "/read/x", versionKey(call.ConfigVersion-2)
 	}
-	request := standin.WithKey(standin.Within(standin.Call(c.address, method, call.Path, call.ID, tokens, ""), call.Timeout), call.Key)
+	request := standin.SetAPIKey(standin.SetRemaining(standin.NewRequest(c.address, method, call.Path, call.ID, tokens, ""), call.Timeout), call.Key)
 	c.sendWithRandomDisconnect(&call, request)
 	c.records.recordCall(call)
 }
@@ -133,7 +133,7 @@
 	}
 	defer response.Body.Close()
 	call.Status, call.Signature = response.StatusCode, standin.Signature(response)
-	if id := standin.AnswerID(response); id != call.ID {
+	if id := standin.ResponseRequestID(response); id != call.ID {
 		call.Corruption = fmt.Sprintf("the response is for request %q", id)
 	}
 	if call.Kind.streams() && call.Status == http.StatusOK {
--- a/proof/soak/longstreams.go
+++ b/proof/soak/longstreams.go
@@ -74,9 +74,9 @@
 	for ctx.Err() == nil {
 		c.callCount++
 		call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.callCount), Kind: ResumableStream, Path: "/stream/x", Entry: c.entry, Key: permanentKey, Timeout: longTimeout}
-		request := standin.Within(standin.Call(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Timeout)
+		request := standin.SetRemaining(standin.NewRequest(c.address, http.MethodPost, call.Path, call.ID, 0, ""), call.Timeout)
 		prompt := longPromptTokens[c.random.IntN(len(longPromptTokens))]
-		c.sendUntilDone(ctx, &call, standin.Asking(request, prompt, estimatedAnswerTokens(call.ID)))
+		c.sendUntilDone(ctx, &call, standin.SetTokens(request, prompt, estimatedAnswerTokens(call.ID)))
 		c.records.recordCall(call)
 		sleep(ctx, time.Duration(c.random.IntN(maxThinkTimeMs))*time.Millisecond)
 	}
--- a/proof/soak/poison.go
+++ b/proof/soak/poison.go
@@ -145,7 +145,7 @@
 	c.callCount++
 	route := poisonRoutes[(number-1)%len(poisonRoutes)]
 	call := Call{ID: fmt.Sprintf("%s-%d", c.name, c.callCount), Kind: route.kind, Path: route.path, Entry: c.entry, Key: permanentKey, PoisonNumber: bodyNumber, Timeout: minTimeout}
-	request := standin.Within(standin.Call(c.address, route.method, route.path, call.ID, route.tokens, poisonBody(bodyNumber)), call.Timeout)
+	request := standin.SetRemaining(standin.NewRequest(c.address, route.method, route.path, call.ID, route.tokens, poisonBody(bodyNumber)), call.Timeout)
 	if disconnectAfter > 0 {
 		c.send(&call, request, disconnectAfter)
 	} else {
--- a/proof/soak/records.go
+++ b/proof/soak/records.go
@@ -115,7 +115,7 @@
 	Err error
 	// ReservationSpans are the times during which servers reserved memory, FirstUsedAt the
 	// times of the first use by reservation ID.
-	ReservationSpans []standin.Held
+	ReservationSpans []standin.ReservationSpan
 	FirstUsedAt      map[string]time.Time
 }
 
@@ -304,7 +304,7 @@
 }
 
 // recordReservations records the reservations that are left at the end, and all spans.
-func (r *Records) recordReservations(leftover map[string]int, spans []standin.Held) {
+func (r *Records) recordReservations(leftover map[string]int, spans []standin.ReservationSpan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.LeftoverReservations, r.ReservationSpans = leftover, spans
--- a/proof/soak/run.go
+++ b/proof/soak/run.go
@@ -134,10 +134,10 @@
 }
 
 // reservationSpans returns the reservations that were made at the servers that run at the end.
-func (tb *testbed) reservationSpans() []standin.Held {
-	var spans []standin.Held
+func (tb *testbed) reservationSpans() []standin.ReservationSpan {
+	var spans []standin.ReservationSpan
 	for _, s := range tb.slots {
-		spans = append(spans, s.current().HeldSpans()...)
+		spans = append(spans, s.current().EndedReservations()...)
 	}
 	return spans
 }
--- a/proof/soak/slot.go
+++ b/proof/soak/slot.go
@@ -74,24 +74,24 @@
 	s.serverCount++
 	w := standin.NewWorker(fmt.Sprintf("w%d-%d", s.index, s.serverCount), s.service)
 	w.PublicAddress = s.link.Address()
-	w.Arrived = func(run standin.Run) {
+	w.OnRequest = func(run standin.Run) {
 		s.records.recordArrival(Arrival{ID: run.ID, Server: w.ID, Service: w.Service, At: time.Now()})
 	}
-	w.Used = s.records.recordFirstUse
-	w.EndsUnder = func(run standin.Run) bool { return s.crashIfPoison(w, run) }
+	w.OnFirstWrite = s.records.recordFirstUse
+	w.CrashesOn = func(run standin.Run) bool { return s.crashIfPoison(w, run) }
 	w.Script = func(out http.ResponseWriter, r *http.Request) { s.serve(w, out, r) }
 	w.Zone = s.zone
 	if s.serverCount > 1 {
-		w.ColdFor = s.coldDuration
+		w.WarmupRemaining = s.coldDuration
 	}
 	s.server, s.draining = w, false
 	if err := s.link.Retarget(w.Address()); err != nil {
 		return err
 	}
 	s.records.recordServer(w.ID, w.Service)
-	s.records.recordLocation(w.ID, w.Zone, w.ColdFor)
+	s.records.recordLocation(w.ID, w.Zone, w.WarmupRemaining)
 	s.store.Put(w.Row("ready"))
-	if w.ColdFor > 0 {
+	if w.WarmupRemaining > 0 {
 		s.background.Go(func() { s.markWarm(w) })
 	}
 	return nil
@@ -99,7 +99,7 @@
 
 // markWarm writes that a server is no longer cold, if it is still the current one and not draining.
 func (s *slot) markWarm(w *standin.Worker) {
-	time.Sleep(w.ColdFor)
+	time.Sleep(w.WarmupRemaining)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server == w && !s.draining {
@@ -218,10 +218,10 @@
 }
 
 func (s *slot) serve(w *standin.Worker, out http.ResponseWriter, r *http.Request) {
-	forwarded := standin.RunOf(r)
+	forwarded := standin.RunFromRequest(r)
 	misbehavior := s.misbehaviorFor(forwarded.ID)
 	if misbehavior == RefusesRequest {
-		standin.NotRun(out, r)
+		standin.NotExecuted(out, r)
 		return
 	}
 	remainingMs, _ := strconv.Atoi(forwarded.Remaining)
@@ -309,7 +309,7 @@
 		_, _ = fmt.Fprintf(out, "failure of %s", id)
 		return http.StatusInternalServerError
 	case misbehavior == SwapsResponse:
-		standin.Crossed(out, r)
+		standin.WrongRequest(out, r)
 		return http.StatusOK
 	case misbehavior == ForgesResponse:
 		standin.Unsigned(out, r)
@@ -360,9 +360,9 @@
 		out.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError
 	case SwapsResponse:
-		standin.NameAnother(out)
+		standin.SetWrongRequestID(out)
 	case ForgesResponse:
-		standin.Unsign(out)
+		standin.RemoveSignature(out)
 	}
 	from, _ := strconv.Atoi(run.LastEvent)
 	out.Header().Set("Content-Type", "text/event-stream")
--- a/proof/soak/testbed.go
+++ b/proof/soak/testbed.go
@@ -141,7 +141,7 @@
 	v := tb.configVersion
 	configuration := standin.ConfigurationWith(v, []string{versionPrefix(v), versionPrefix(v - 1)}, []string{versionKey(v), versionKey(v - 1)})
 	if tb.options.MultiZone {
-		standin.BoundCold(configuration, maxColdRate)
+		standin.LimitColdRate(configuration, maxColdRate)
 	}
 	tb.store.Put("op/config", configuration)
 }
@@ -285,11 +285,11 @@
 func (tb *testbed) injectStoreFault(fault ScheduledFault) {
 	switch fault.Kind {
 	case StoreRefuses:
-		tb.store.Refuse(http.StatusServiceUnavailable)
+		tb.store.FailWith(http.StatusServiceUnavailable)
 		time.Sleep(fault.Duration)
-		tb.store.Refuse(0)
+		tb.store.FailWith(0)
 	case StoreHistoryLost:
-		tb.store.Forget()
+		tb.store.Compact()
 	case ConfigChanges:
 		tb.changeConfiguration()
 	case RowsExpire:
@@ -328,12 +328,12 @@
 // The operators and the servers then write their latest state again, and the rows of stopped
 // servers are removed again.
 func (tb *testbed) restore(age time.Duration) {
-	older := tb.store.Copy()
+	older := tb.store.Backup()
 	time.Sleep(age)
-	tb.store.Refuse(http.StatusServiceUnavailable)
+	tb.store.FailWith(http.StatusServiceUnavailable)
 	time.Sleep(storeRestoreDowntime)
 	tb.store.Restore(older, nil)
-	tb.store.Refuse(0)
+	tb.store.FailWith(0)
 	time.Sleep(rowsRestoreDelay)
 	tb.rewriteConfiguration()
 	if tb.options.MultiZone {
@@ -353,13 +353,13 @@
 // expireRows makes the store unavailable, removes the rows of all servers meanwhile, and
 // writes those of running servers again after rowsRestoreDelay.
 func (tb *testbed) expireRows(length time.Duration) {
-	tb.store.Refuse(http.StatusServiceUnavailable)
+	tb.store.FailWith(http.StatusServiceUnavailable)
 	for _, s := range tb.slots {
 		key, _ := s.current().Row("")
 		tb.store.Remove(key)
 	}
 	time.Sleep(length)
-	tb.store.Refuse(0)
+	tb.store.FailWith(0)
 	time.Sleep(rowsRestoreDelay)
 	for _, s := range tb.slots {
 		s.restoreRow()
@@ -406,7 +406,7 @@
 			_ = l.Close()
 		}
 	}
-	tb.store.Refuse(http.StatusServiceUnavailable)
+	tb.store.FailWith(http.StatusServiceUnavailable)
 	tb.store.CloseClientConnections()
 	tb.store.Close()
 	tb.readinessClient.CloseIdleConnections()
