--- a/proof/forwarding/site.go
+++ b/proof/forwarding/deployment.go
@@ -42,7 +42,7 @@
 }
 
 // Site is a deployment and its day.
-type Site struct {
+type Deployment struct {
 	Engine  enginemodel.Engine
 	Engines int
 	Entries int
@@ -51,21 +51,21 @@
 	Phases  []Phase
 	Length  time.Duration
 	// News is how long the news of a dispatch take to the other entries.
-	News time.Duration
+	UpdateDelay time.Duration
 	// CutOff says whether an entry can't exchange news with the others at a time;
 	// nil for never.
-	CutOff func(entry int, at time.Duration) bool
+	Partitioned func(entry int, at time.Duration) bool
 	// Dead says which entries get no requests; nil for none. The others can't tell
 	// them from entries that are cut off.
-	Dead func(entry int) bool
+	Terminated func(entry int) bool
 	// Outages and Spells are the troubles of the day.
-	Outages []Outage
-	Spells  []Spell
+	Outages      []Outage
+	EngineFaults []EngineFault
 	// Parts divides entries and engines into so many parts, 0 for none. Entries choose and
 	// tell of requests within their part.
-	Parts int
+	Shards int
 	// NoSlices lets entries that don't hear each other use the same servers.
-	NoSlices bool
+	ShareWhenPartitioned bool
 	// HintSpread is the sigma of the logarithm of the callers' estimates of the
 	// answers' lengths.
 	HintSpread float64
@@ -73,25 +73,25 @@
 
 // turn is a phase of a day at a load: from a second on, the classes come that many
 // times as often as usual.
-func turn(load, from, short, middle, long float64) Phase {
+func phaseAt(load, from, short, middle, long float64) Phase {
 	return Phase{From: time.Duration(from * float64(time.Second)), Load: []float64{load * short, load * middle, load * long}}
 }
 
 // usualTurns are the turns of the press's days: mostly long prompts, mostly short
 // ones, mostly long ones, and the usual mix.
-func usualTurns(load float64) []Phase {
-	return []Phase{turn(load, 0, 0.35, 1.3, 2.7), turn(load, 10, 2.4, 0.5, 0.05), turn(load, 20, 0.35, 1.3, 2.7), turn(load, 30, 1, 1, 1)}
+func defaultPhases(load float64) []Phase {
+	return []Phase{phaseAt(load, 0, 0.35, 1.3, 2.7), phaseAt(load, 10, 2.4, 0.5, 0.05), phaseAt(load, 20, 0.35, 1.3, 2.7), phaseAt(load, 30, 1, 1, 1)}
 }
 
 // usualNews is how long news are gathered and on their way.
-const usualNews = 6 * time.Millisecond
+const defaultUpdateDelay = 6 * time.Millisecond
 
 // Zagara returns the press's deployment with its usual turns of the mix, at a load.
-func Zagara(load float64) Site {
-	return Site{
+func Zagara(load float64) Deployment {
+	return Deployment{
 		Engine: enginemodel.Engine{Slots: 16, MemoryTokens: 315_000, StepMs: 0.85, StepPerAnswerMs: 0.00425, StepPerContextMs: 0.00285,
 			ReadPerMs: 177, PairsMs: 0.184, Chunk: 2048, Stride: 51, UsualAnswer: 1622, HopMs: 0.05},
-		Engines: 16, Entries: 5, Zones: 3, Length: 40 * time.Second, News: usualNews, HintSpread: 0.5,
+		Engines: 16, Entries: 5, Zones: 3, Length: 40 * time.Second, UpdateDelay: defaultUpdateDelay, HintSpread: 0.5,
 		Classes: []Class{
 			{Name: "gloss", PerSecond: 32.8, Prompt: 4960, PromptSpread: 0.9, PromptMax: 23_800, Events: 32.9, EventSpread: 0.7, EventMax: 82,
 				Target: 300 * time.Millisecond, Gap: 250 * time.Millisecond, Deadline: 10 * time.Second, Worth: 1.3, LateWorth: 0.33},
@@ -100,51 +100,51 @@
 			{Name: "antologia", PerSecond: 1, Prompt: 154_000, PromptSpread: 0.55, PromptMax: 700_000, Events: 16.5, EventSpread: 0.5, EventMax: 41,
 				Target: 3 * time.Second, Gap: time.Second, Deadline: 15 * time.Second, Worth: 21, LateWorth: 5.2},
 		},
-		Phases: usualTurns(load),
+		Phases: defaultPhases(load),
 	}
 }
 
 // ZagaraGrown returns the press's deployment once grown: more and smaller servers,
 // and longer prompts.
-func ZagaraGrown(load float64) Site {
-	site := Zagara(load)
-	site.Engine.Slots, site.Engine.MemoryTokens, site.Engine.Stride, site.Engine.UsualAnswer = 12, 267_750, 57, 1750
-	site.Engines, site.Entries = 54, 28
-	short, middle, long := &site.Classes[0], &site.Classes[1], &site.Classes[2]
+func ZagaraGrown(load float64) Deployment {
+	deployment := Zagara(load)
+	deployment.Engine.Slots, deployment.Engine.MemoryTokens, deployment.Engine.Stride, deployment.Engine.UsualAnswer = 12, 267_750, 57, 1750
+	deployment.Engines, deployment.Entries = 54, 28
+	short, middle, long := &deployment.Classes[0], &deployment.Classes[1], &deployment.Classes[2]
 	short.PerSecond, middle.PerSecond, long.PerSecond = 87, 5.52, 2.37
 	short.Events, short.EventMax, middle.Events, middle.EventMax, long.Events, long.EventMax = 31.7, 79, 19, 47.6, 15.9, 39.6
 	middle.Worth, middle.LateWorth = 3.5, 0.88
 	long.Prompt, long.Target, long.Worth, long.LateWorth = 220_000, 4*time.Second, 29, 7.4
-	return site
+	return deployment
 }
 
 // ZagaraTurned returns the press's deployment once its work has shifted: more servers than grown, middle
 // prompts twice as often, and turns of the mix every ten seconds.
-func ZagaraTurned(load float64) Site {
-	site := ZagaraGrown(load)
-	site.Engines, site.Entries = 69, 23
-	short, middle, long := &site.Classes[0], &site.Classes[1], &site.Classes[2]
+func ZagaraShifted(load float64) Deployment {
+	deployment := ZagaraGrown(load)
+	deployment.Engines, deployment.Entries = 69, 23
+	short, middle, long := &deployment.Classes[0], &deployment.Classes[1], &deployment.Classes[2]
 	short.PerSecond, middle.PerSecond, long.PerSecond = 83.2, 9.17, 2.26
-	site.Phases = []Phase{turn(load, 0, 1, 1, 1), turn(load, 2, 0.38, 1.3, 2.8), turn(load, 12, 1, 1, 1), turn(load, 13, 2.4, 0.5, 0.05),
-		turn(load, 23, 0.35, 1.3, 2.8), turn(load, 33, 1, 1, 1)}
-	return site
+	deployment.Phases = []Phase{phaseAt(load, 0, 1, 1, 1), phaseAt(load, 2, 0.38, 1.3, 2.8), phaseAt(load, 12, 1, 1, 1), phaseAt(load, 13, 2.4, 0.5, 0.05),
+		phaseAt(load, 23, 0.35, 1.3, 2.8), phaseAt(load, 33, 1, 1, 1)}
+	return deployment
 }
 
 // ZagaraLarge returns a part of the press's large deployment: as many engines and entries
 // with a share of its traffic, from one zone (27 of 135 engines) to all of it. Entries choose
 // among the part's engines only.
-func ZagaraLarge(load float64, engines int) Site {
-	site := Zagara(load)
+func ZagaraLarge(load float64, engines int) Deployment {
+	deployment := Zagara(load)
 	part := float64(engines) / largeEngines
-	site.Engine.Slots, site.Engine.Stride = 10, 80
-	site.Engines, site.Entries, site.Zones = engines, int(math.Round(largeEntries*part)), 1
-	short, middle, long := &site.Classes[0], &site.Classes[1], &site.Classes[2]
+	deployment.Engine.Slots, deployment.Engine.Stride = 10, 80
+	deployment.Engines, deployment.Entries, deployment.Zones = engines, int(math.Round(largeEntries*part)), 1
+	short, middle, long := &deployment.Classes[0], &deployment.Classes[1], &deployment.Classes[2]
 	short.PerSecond, middle.PerSecond, long.PerSecond = 186*part, 13.7*part, 4.53*part
 	short.Events, short.EventMax, middle.Events, middle.EventMax, long.Events, long.EventMax = 23.5, 58.8, 14.1, 35.3, 11.8, 29.4
 	short.Target, short.Gap, middle.Gap = 400*time.Millisecond, 300*time.Millisecond, 800*time.Millisecond
 	middle.Worth, middle.LateWorth = 3.1, 0.78
 	long.Prompt, long.Target, long.Gap, long.Worth, long.LateWorth = 220_000, 4*time.Second, 1200*time.Millisecond, 26, 6.5
-	return site
+	return deployment
 }
 
 // The size of the press's large deployment.
@@ -155,34 +155,34 @@
 
 // Sanad returns the shops' deployment, at a load: the press's engines, more of them, few
 // entries, and more traffic.
-func Sanad(load float64) Site {
-	site := Zagara(load)
-	site.Engines, site.Entries = 23, 3
-	site.Classes[0].PerSecond, site.Classes[1].PerSecond, site.Classes[2].PerSecond = 47, 2.39, 1.44
-	return site
+func Sanad(load float64) Deployment {
+	deployment := Zagara(load)
+	deployment.Engines, deployment.Entries = 23, 3
+	deployment.Classes[0].PerSecond, deployment.Classes[1].PerSecond, deployment.Classes[2].PerSecond = 47, 2.39, 1.44
+	return deployment
 }
 
 // SanadGrown returns the shops' deployment once grown.
-func SanadGrown(load float64) Site {
-	site := ZagaraGrown(load)
-	site.Engines = 78
-	site.Classes[0].PerSecond, site.Classes[1].PerSecond, site.Classes[2].PerSecond = 126, 7.97, 3.41
-	return site
+func SanadGrown(load float64) Deployment {
+	deployment := ZagaraGrown(load)
+	deployment.Engines = 78
+	deployment.Classes[0].PerSecond, deployment.Classes[1].PerSecond, deployment.Classes[2].PerSecond = 126, 7.97, 3.41
+	return deployment
 }
 
 // Restarted lets all entries of a site fail at once at a moment.
-func Restarted(site Site, from time.Duration, power bool) Site {
-	site.Outages = append(site.Outages, Outage{From: from, For: 800 * time.Millisecond, Power: power})
-	return site
+func WithEntryRestart(deployment Deployment, from time.Duration, powerLoss bool) Deployment {
+	deployment.Outages = append(deployment.Outages, Outage{From: from, For: 800 * time.Millisecond, PowerLoss: powerLoss})
+	return deployment
 }
 
 // cutOff says whether an entry is cut off at a time.
-func (s *Site) cutOff(entry int, at time.Duration) bool {
-	return s.CutOff != nil && s.CutOff(entry, at)
+func (s *Deployment) isPartitioned(entry int, at time.Duration) bool {
+	return s.Partitioned != nil && s.Partitioned(entry, at)
 }
 
 // loads returns the multipliers in force at a time.
-func (s *Site) loads(at time.Duration) []float64 {
+func (s *Deployment) loads(at time.Duration) []float64 {
 	current := s.Phases[0].Load
 	for _, phase := range s.Phases {
 		if phase.From <= at {
@@ -201,7 +201,7 @@
 
 // worth returns what an answer in time and a late one are worth: more for longer
 // prompts of a class.
-func (c *Class) worth(prompt float64) (full, late float64) {
-	size := math.Min(0.3+0.7*prompt/c.Prompt, 4)
-	return c.Worth * size, c.LateWorth * size
+func (c *Class) worth(promptTokens float64) (full, late float64) {
+	weight := math.Min(0.3+0.7*promptTokens/c.Prompt, 4)
+	return c.Worth * weight, c.LateWorth * weight
 }
--- a/proof/forwarding/forwarding_test.go
+++ b/proof/forwarding/forwarding_test.go
@@ -44,36 +44,36 @@
 
 // sum adds the results of several seeds.
 func sum(results []*Result) *Result {
-	total := &Result{Classes: make([]Outcome, len(results[0].Classes))}
+	total := &Result{Classes: make([]ClassResult, len(results[0].Classes))}
 	for _, r := range results {
 		for i, c := range r.Classes {
 			total.Classes[i].add(c)
 		}
 		for i, w := range r.Windows {
 			sum := total.window(float64(i) * windowMs)
-			sum.Owed, sum.Earned = sum.Owed+w.Owed, sum.Earned+w.Earned
+			sum.Demand, sum.Earned = sum.Demand+w.Demand, sum.Earned+w.Earned
 		}
 		total.Connections += r.Connections
-		total.Limit += r.Limit / float64(len(results))
+		total.UpperBound += r.UpperBound / float64(len(results))
 	}
 	return total
 }
 
-func (o *Outcome) add(c Outcome) {
-	o.Asked += c.Asked
+func (o *ClassResult) add(c ClassResult) {
+	o.Requests += c.Requests
 	o.InTime += c.InTime
 	o.Late += c.Late
 	o.Failed += c.Failed
-	o.LateFirst += c.LateFirst
+	o.LateFirstEvent += c.LateFirstEvent
 	o.LateGap += c.LateGap
-	o.Owed += c.Owed
+	o.Demand += c.Demand
 	o.Earned += c.Earned
-	for i, s := range c.Sizes {
-		o.Sizes[i].Owed += s.Owed
-		o.Sizes[i].Earned += s.Earned
+	for i, s := range c.BySize {
+		o.BySize[i].Demand += s.Demand
+		o.BySize[i].Earned += s.Earned
 	}
-	o.FirstMs = append(o.FirstMs, c.FirstMs...)
-	o.Longest = append(o.Longest, c.Longest...)
+	o.FirstEventMs = append(o.FirstEventMs, c.FirstEventMs...)
+	o.LongestGapMs = append(o.LongestGapMs, c.LongestGapMs...)
 }
 
 // forEach does something for each of count numbers, some at a time.
@@ -91,9 +91,9 @@
 }
 
 // playSeeds plays a site with several seeds, some at a time.
-func playSeeds(site Site, seeds int, options placement.Options) *Result {
+func simulateSeeds(deployment Deployment, seeds int, options placement.Options) *Result {
 	results := make([]*Result, seeds)
-	forEach(seeds, func(seed int) { results[seed] = Play(site, uint64(seed), options) })
+	forEach(seeds, func(seed int) { results[seed] = Simulate(deployment, uint64(seed), options) })
 	return sum(results)
 }
 
@@ -106,12 +106,12 @@
 }
 
 // Every caller of a day gets exactly one end, and a day played again is the same.
-func TestADayIsWholeAndRepeats(t *testing.T) {
-	first := Play(Zagara(0.8), 3, placement.DefaultOptions(""))
+func TestASimulationIsCompleteAndDeterministic(t *testing.T) {
+	first := Simulate(Zagara(0.8), 3, placement.DefaultOptions(""))
 	for _, c := range first.Classes {
-		require.Equal(t, c.Asked, c.InTime+c.Late+c.Failed)
+		require.Equal(t, c.Requests, c.InTime+c.Late+c.Failed)
 	}
-	require.Equal(t, first, Play(Zagara(0.8), 3, placement.DefaultOptions("")))
+	require.Equal(t, first, Simulate(Zagara(0.8), 3, placement.DefaultOptions("")))
 }
 
 // At a usual load nine in ten of the worth are served in time, short prompts stay
@@ -119,16 +119,16 @@
 // without it.
 func TestTheOwnPolicyServesMoreThanItsBaselines(t *testing.T) {
 	const seeds = 24
-	site := Zagara(0.7)
+	deployment := Zagara(0.7)
 	worth := map[string]float64{}
 	for _, p := range policies[:4] {
-		total := playSeeds(site, seeds, optionsOf(p))
+		total := simulateSeeds(deployment, seeds, optionsOf(p))
 		worth[p.name] = total.Worth()
 		if p.name == "own" {
 			short := total.Classes[0]
-			slices.Sort(short.FirstMs)
-			require.Less(t, percentile(short.FirstMs, 0.95), 300.0)
-			require.Greater(t, float64(short.InTime)/float64(short.Asked), 0.9)
+			slices.Sort(short.FirstEventMs)
+			require.Less(t, percentile(short.FirstEventMs, 0.95), 300.0)
+			require.Greater(t, float64(short.InTime)/float64(short.Requests), 0.9)
 		}
 	}
 	require.Greater(t, worth["own"], 0.91, worth)
@@ -140,25 +140,25 @@
 // Callers of the longest kind got their first event in time and then waited for seconds for the second:
 // long reads were sent to servers whose own long prompt was about to be answered. Plays a mix with most of
 // the work in long prompts.
-func TestLongAnswersHardlyPauseBesideLongReads(t *testing.T) {
-	total := playSeeds(ZagaraTurned(1), 2, placement.DefaultOptions(""))
+func TestLongAnswersHardlyPauseDuringLongPrefills(t *testing.T) {
+	total := simulateSeeds(ZagaraShifted(1), 2, placement.DefaultOptions(""))
 	long := total.Classes[2]
-	require.Less(t, float64(long.LateGap), 0.05*float64(long.Asked))
+	require.Less(t, float64(long.LateGap), 0.05*float64(long.Requests))
 }
 
 // One worker alone: the same short prompts at a real worker gave a median
 // first event of 37, 105 and 124 ms at half a request, three and six a second.
 func TestOneWorkerAloneIsAsFastAsMeasured(t *testing.T) {
 	for _, c := range []struct{ rate, from, to float64 }{{0.5, 30, 90}, {3, 90, 120}, {6, 110, 180}} {
-		site := Zagara(1)
-		site.Engines, site.Entries = 1, 1
-		site.Classes = site.Classes[:1]
-		site.Classes[0].PerSecond = c.rate
-		site.Phases = []Phase{{Load: []float64{1}}}
-		site.Length = 34 * time.Second
-		short := playSeeds(site, 10, placement.DefaultOptions("")).Classes[0]
-		slices.Sort(short.FirstMs)
-		median := percentile(short.FirstMs, 0.5)
+		deployment := Zagara(1)
+		deployment.Engines, deployment.Entries = 1, 1
+		deployment.Classes = deployment.Classes[:1]
+		deployment.Classes[0].PerSecond = c.rate
+		deployment.Phases = []Phase{{Load: []float64{1}}}
+		deployment.Length = 34 * time.Second
+		short := simulateSeeds(deployment, 10, placement.DefaultOptions("")).Classes[0]
+		slices.Sort(short.FirstEventMs)
+		median := percentile(short.FirstEventMs, 0.5)
 		require.Greater(t, median, c.from, c.rate)
 		require.Less(t, median, c.to, c.rate)
 	}
@@ -174,16 +174,16 @@
 	for _, load := range []float64{0.7, 1, 1.2} {
 		for i, p := range policies {
 			curves[i].name = p.name
-			site := Zagara(load)
-			total := playSeeds(site, seeds, optionsOf(p))
+			deployment := Zagara(load)
+			total := simulateSeeds(deployment, seeds, optionsOf(p))
 			curves[i].points = append(curves[i].points, plotter.XY{X: load, Y: total.Worth()})
 			fmt.Fprintf(os.Stderr, "%-22s load %.1f worth %.3f", p.name, load, total.Worth())
 			for i, c := range total.Classes {
-				slices.Sort(c.FirstMs)
-				p50, p95 := percentile(c.FirstMs, 0.5), percentile(c.FirstMs, 0.95)
-				fmt.Fprintf(os.Stderr, " | %s %.3f p95 %.0f ms", site.Classes[i].Name, c.Earned/c.Owed, p95)
-				rows = append(rows, []string{p.name, fmt.Sprint(load), site.Classes[i].Name, fmt.Sprintf("%.4f", c.Earned/c.Owed), strconv.Itoa(c.LateFirst),
-					strconv.Itoa(c.LateGap), strconv.Itoa(c.Failed), strconv.Itoa(c.Asked), fmt.Sprintf("%.0f", p50), fmt.Sprintf("%.0f", p95)})
+				slices.Sort(c.FirstEventMs)
+				p50, p95 := percentile(c.FirstEventMs, 0.5), percentile(c.FirstEventMs, 0.95)
+				fmt.Fprintf(os.Stderr, " | %s %.3f p95 %.0f ms", deployment.Classes[i].Name, c.Earned/c.Demand, p95)
+				rows = append(rows, []string{p.name, fmt.Sprint(load), deployment.Classes[i].Name, fmt.Sprintf("%.4f", c.Earned/c.Demand), strconv.Itoa(c.LateFirstEvent),
+					strconv.Itoa(c.LateGap), strconv.Itoa(c.Failed), strconv.Itoa(c.Requests), fmt.Sprintf("%.0f", p50), fmt.Sprintf("%.0f", p95)})
 			}
 			fmt.Fprintln(os.Stderr)
 		}
@@ -211,23 +211,29 @@
 // exchanges are ways in which entries know of each other's requests. Without delay is
 // more than a daemon beside each engine could tell them: it would know as exactly, but
 // its answer takes a way there and back.
-var exchanges = []struct {
+var exchangeModes = []struct {
 	name   string
-	change func(s *Site)
+	change func(s *Deployment)
 }{
-	{"news at once", func(s *Site) { s.News = 0 }},
-	{"news after 3 ms", func(s *Site) { s.News = 3 * time.Millisecond }},
-	{"news after 6 ms", func(*Site) {}},
-	{"news after 20 ms", func(s *Site) { s.News = 20 * time.Millisecond }},
-	{"news after 200 ms", func(s *Site) { s.News = 200 * time.Millisecond }},
-	{"nothing exchanged", func(s *Site) { s.NoSlices, s.CutOff = true, func(int, time.Duration) bool { return true } }},
-	{"nothing, own servers", func(s *Site) { s.CutOff = func(int, time.Duration) bool { return true } }},
-	{"one cut off", func(s *Site) { s.NoSlices, s.CutOff = true, firstEntry }},
-	{"one cut off, own servers", func(s *Site) { s.CutOff = firstEntry }},
-	{"one dead", func(s *Site) { s.CutOff, s.Dead, s.NoSlices = firstEntry, firstOf(1), true }},
-	{"one dead, own servers", func(s *Site) { s.CutOff, s.Dead = firstEntry, firstOf(1) }},
-	{"all dead but one", func(s *Site) { s.CutOff, s.Dead, s.NoSlices = allCutOff, allButLast(s.Entries), true }},
-	{"all dead but one, own", func(s *Site) { s.CutOff, s.Dead = allCutOff, allButLast(s.Entries) }},
+	{"news at once", func(s *Deployment) { s.UpdateDelay = 0 }},
+	{"news after 3 ms", func(s *Deployment) { s.UpdateDelay = 3 * time.Millisecond }},
+	{"news after 6 ms", func(*Deployment) {}},
+	{"news after 20 ms", func(s *Deployment) { s.UpdateDelay = 20 * time.Millisecond }},
+	{"news after 200 ms", func(s *Deployment) { s.UpdateDelay = 200 * time.Millisecond }},
+	{"nothing exchanged", func(s *Deployment) {
+		s.ShareWhenPartitioned, s.Partitioned = true, func(int, time.Duration) bool { return true }
+	}},
+	{"nothing, own servers", func(s *Deployment) { s.Partitioned = func(int, time.Duration) bool { return true } }},
+	{"one cut off", func(s *Deployment) { s.ShareWhenPartitioned, s.Partitioned = true, firstEntry }},
+	{"one cut off, own servers", func(s *Deployment) { s.Partitioned = firstEntry }},
+	{"one dead", func(s *Deployment) {
+		s.Partitioned, s.Terminated, s.ShareWhenPartitioned = firstEntry, firstOf(1), true
+	}},
+	{"one dead, own servers", func(s *Deployment) { s.Partitioned, s.Terminated = firstEntry, firstOf(1) }},
+	{"all dead but one", func(s *Deployment) {
+		s.Partitioned, s.Terminated, s.ShareWhenPartitioned = allCutOff, allButLast(s.Entries), true
+	}},
+	{"all dead but one, own", func(s *Deployment) { s.Partitioned, s.Terminated = allCutOff, allButLast(s.Entries) }},
 }
 
 func firstEntry(entry int, _ time.Duration) bool { return entry == 0 }
@@ -237,16 +243,16 @@
 
 // BenchmarkExchange compares what entries exchange, over both sizes of a deployment.
 func BenchmarkExchange(b *testing.B) {
-	for _, x := range exchanges {
+	for _, x := range exchangeModes {
 		for _, c := range []struct {
-			name  string
-			site  Site
-			seeds int
+			name       string
+			deployment Deployment
+			seeds      int
 		}{{"usual", Zagara(1), 60}, {"grown", ZagaraGrown(1), 12}} {
-			x.change(&c.site)
+			x.change(&c.deployment)
 			options := placement.DefaultOptions("")
 			require.NoError(b, vary(&options, os.Getenv("ARBUTUS_TUNING")))
-			total := playSeeds(c.site, c.seeds, options)
+			total := simulateSeeds(c.deployment, c.seeds, options)
 			fmt.Fprintf(os.Stderr, "%-26s %-6s worth %.3f\n", x.name, c.name, total.Worth())
 		}
 	}
--- a/proof/forwarding/generate.go
+++ b/proof/forwarding/generate.go
@@ -12,15 +12,15 @@
 // and troubles in other proportions than the users' own. The same seed draws the same one.
 // What holds for all of them is that each kind's target can be met on idle engines, and
 // that the engines suffice for the load on the mean.
-func DrawnSite(seed uint64) Site {
+func RandomDeployment(seed uint64) Deployment {
 	g := &generator{random: rand.New(rand.NewPCG(seed, 7))}
-	site := Site{Zones: 1 + g.random.IntN(4), Length: 40 * time.Second, News: g.duration(3*time.Millisecond, 12*time.Millisecond),
+	deployment := Deployment{Zones: 1 + g.random.IntN(4), Length: 40 * time.Second, UpdateDelay: g.duration(3*time.Millisecond, 12*time.Millisecond),
 		HintSpread: g.between(0.2, 0.8), Engine: g.engine(), Engines: int(g.spread(8, 32)), Entries: int(g.spread(2, 12))}
-	site.Classes = g.classes(&site.Engine)
-	g.load(&site)
-	site.Phases = g.phases(len(site.Classes))
-	g.troubles(&site)
-	return site
+	deployment.Classes = g.classes(&deployment.Engine)
+	g.load(&deployment)
+	deployment.Phases = g.phases(len(deployment.Classes))
+	g.faults(&deployment)
+	return deployment
 }
 
 type generator struct{ random *rand.Rand }
@@ -50,9 +50,9 @@
 	middle := length * g.spread(4, 12)
 	long := middle * g.spread(2.5, 6)
 	pass := e.PassMs(enginemodel.Batch{Answers: e.Slots / 2, ContextTokens: int64(float64(e.Slots) / 2 * length)})
-	class := func(name string, prompt, events, slack, gap, parts float64) Class {
-		target := slack * (e.PrefillMs(int64(prompt), 1)/parts + 2*pass)
-		return Class{Name: name, Prompt: prompt, PromptSpread: g.between(0.4, 0.9), PromptMax: prompt * g.between(3, 5), Events: events,
+	class := func(name string, promptTokens, events, slack, gap, parts float64) Class {
+		target := slack * (e.PrefillMs(int64(promptTokens), 1)/parts + 2*pass)
+		return Class{Name: name, Prompt: promptTokens, PromptSpread: g.between(0.4, 0.9), PromptMax: promptTokens * g.between(3, 5), Events: events,
 			EventSpread: g.between(0.4, 0.7), EventMax: 2.5 * events, Target: enginemodel.MillisToDuration(target),
 			Gap: enginemodel.MillisToDuration(gap * pass), Deadline: max(10*time.Second, enginemodel.MillisToDuration(5*target))}
 	}
@@ -71,19 +71,19 @@
 }
 
 // load sets the rates so that reading takes a drawn part of the engines' time.
-func (g *generator) load(site *Site) {
+func (g *generator) load(deployment *Deployment) {
 	shares := []float64{g.between(0.2, 0.45), g.between(0.05, 0.2), g.between(0.3, 0.6)}
 	busy := g.between(0.3, 0.5)
 	total := shares[0] + shares[1] + shares[2]
-	for i := range site.Classes {
-		c := &site.Classes[i]
+	for i := range deployment.Classes {
+		c := &deployment.Classes[i]
 		tokens := c.Prompt * math.Exp(c.PromptSpread*c.PromptSpread/2)
-		work := site.Engine.PrefillMs(int64(tokens), 1) / 1000
-		c.PerSecond = float64(site.Engines) * busy * shares[i] / total / work
+		work := deployment.Engine.PrefillMs(int64(tokens), 1) / 1000
+		c.PerSecond = float64(deployment.Engines) * busy * shares[i] / total / work
 		// Slots bound it as well.
-		pass := site.Engine.PassMs(enginemodel.Batch{Answers: site.Engine.Slots, ContextTokens: int64(float64(site.Engine.Slots) * site.Classes[0].Prompt)})
+		pass := deployment.Engine.PassMs(enginemodel.Batch{Answers: deployment.Engine.Slots, ContextTokens: int64(float64(deployment.Engine.Slots) * deployment.Classes[0].Prompt)})
 		writing := c.Events * pass / 1000
-		c.PerSecond = math.Min(c.PerSecond, 0.35*float64(site.Engines*site.Engine.Slots)/writing)
+		c.PerSecond = math.Min(c.PerSecond, 0.35*float64(deployment.Engines*deployment.Engine.Slots)/writing)
 	}
 }
 
@@ -101,20 +101,20 @@
 }
 
 // troubles draws what fails: all entries at once, one entry, engines that crash or are slow.
-func (g *generator) troubles(site *Site) {
+func (g *generator) faults(deployment *Deployment) {
 	second := func(low, high float64) time.Duration {
 		return time.Duration(g.between(low, high) * float64(time.Second))
 	}
 	if g.random.Float64() < 0.6 {
-		site.Outages = append(site.Outages, Outage{From: second(28, 34), For: second(0.5, 1.5), Power: g.random.Float64() < 0.5})
+		deployment.Outages = append(deployment.Outages, Outage{From: second(28, 34), For: second(0.5, 1.5), PowerLoss: g.random.Float64() < 0.5})
 	}
-	if site.Entries > 1 && g.random.Float64() < 0.5 {
-		site.Outages = append(site.Outages, Outage{From: second(5, 20), For: second(0.6, 4), Entries: 1, Power: g.random.Float64() < 0.3})
+	if deployment.Entries > 1 && g.random.Float64() < 0.5 {
+		deployment.Outages = append(deployment.Outages, Outage{From: second(5, 20), For: second(0.6, 4), Entries: 1, PowerLoss: g.random.Float64() < 0.3})
 	}
 	if g.random.Float64() < 0.5 {
-		site.Spells = append(site.Spells, Spell{From: second(3, 25), For: second(3, 6), Engines: max(1, site.Engines*g.random.IntN(20)/100), Slow: g.between(2, 5)})
+		deployment.EngineFaults = append(deployment.EngineFaults, EngineFault{From: second(3, 25), For: second(3, 6), Engines: max(1, deployment.Engines*g.random.IntN(20)/100), Slowdown: g.between(2, 5)})
 	}
 	if g.random.Float64() < 0.5 {
-		site.Spells = append(site.Spells, Spell{From: second(3, 25), For: second(2, 5), Engines: max(1, site.Engines*g.random.IntN(20)/100)})
+		deployment.EngineFaults = append(deployment.EngineFaults, EngineFault{From: second(3, 25), For: second(2, 5), Engines: max(1, deployment.Engines*g.random.IntN(20)/100)})
 	}
 }
--- a/proof/forwarding/result.go
+++ b/proof/forwarding/result.go
@@ -6,25 +6,25 @@
 )
 
 // Outcome is what a class's callers got.
-type Outcome struct {
-	Asked, InTime, Late, Failed int
+type ClassResult struct {
+	Requests, InTime, Late, Failed int
 	// LateFirst and LateGap divide the late ones by what was late first.
-	LateFirst, LateGap int
-	Owed, Earned       float64
+	LateFirstEvent, LateGap int
+	Demand, Earned          float64
 	// Sizes divides what was owed and earned by the lengths of prompts.
-	Sizes [sizes]Window
+	BySize [sizeClasses]Window
 	// FirstMs is the times to the first event, Longest the longest pauses.
-	FirstMs, Longest []float64
+	FirstEventMs, LongestGapMs []float64
 }
 
 // size is the place of a prompt's length within its class.
-type size int
+type sizeClass int
 
 const (
-	usualSize   size = iota
-	largeSize        // the fifth below the largest tenth
-	largestSize      // the largest tenth
-	sizes
+	usualSize   sizeClass = iota
+	largeSize             // the fifth below the largest tenth
+	largestSize           // the largest tenth
+	sizeClasses
 )
 
 // Quantiles of the normal distribution above which a tenth and three tenths lie.
@@ -34,8 +34,8 @@
 )
 
 // sizeOf returns the place of a prompt's length within its class.
-func (c *Class) sizeOf(prompt float64) size {
-	above := (math.Log(prompt/c.Prompt) + c.PromptSpread*c.PromptSpread/2) / c.PromptSpread
+func (c *Class) sizeClassOf(promptTokens float64) sizeClass {
+	above := (math.Log(promptTokens/c.Prompt) + c.PromptSpread*c.PromptSpread/2) / c.PromptSpread
 	switch {
 	case above > largestQuantile:
 		return largestSize
@@ -46,14 +46,14 @@
 }
 
 // Window is what the requests of a short span of a day owed and earned.
-type Window struct{ Owed, Earned float64 }
+type Window struct{ Demand, Earned float64 }
 
 // Result is a day's outcome by class and by the moment of asking.
 type Result struct {
-	Classes []Outcome
+	Classes []ClassResult
 	Windows []Window
 	// Limit is a worth that no scheduler can exceed on the day.
-	Limit float64
+	UpperBound float64
 	// Connections counts the new connections to servers.
 	Connections int
 }
@@ -65,7 +65,7 @@
 func (r *Result) Worth() float64 {
 	owed, earned := 0.0, 0.0
 	for _, c := range r.Classes {
-		owed += c.Owed
+		owed += c.Demand
 		earned += c.Earned
 	}
 	return earned / owed
@@ -84,8 +84,8 @@
 func (r *Result) Score() float64 {
 	var windows []float64
 	for _, w := range r.Windows {
-		if w.Owed > 0 {
-			windows = append(windows, w.Earned/w.Owed)
+		if w.Demand > 0 {
+			windows = append(windows, w.Earned/w.Demand)
 		}
 	}
 	slices.Sort(windows)
@@ -95,25 +95,25 @@
 	}
 	class := 1.0
 	for _, c := range r.Classes {
-		class = min(class, c.Earned/max(c.Owed, 1e-9))
-		for _, s := range c.Sizes[largeSize:] {
-			class = min(class, s.Earned/max(s.Owed, 1e-9))
+		class = min(class, c.Earned/max(c.Demand, 1e-9))
+		for _, s := range c.BySize[largeSize:] {
+			class = min(class, s.Earned/max(s.Demand, 1e-9))
 		}
 	}
 	return weightWhole*r.Worth() + weightWorst*sum + weightWorst*class
 }
 
 // earn books what a request earned.
-func (r *Result) earn(q *request, worth float64) {
-	q.outcome.Earned += worth
-	q.outcome.Sizes[q.size].Earned += worth
+func (r *Result) addEarned(q *request, worth float64) {
+	q.stats.Earned += worth
+	q.stats.BySize[q.sizeClass].Earned += worth
 	r.window(q.arrived).Earned += worth
 }
 
-func (r *Result) owe(q *request, worth float64) {
-	q.outcome.Owed += worth
-	q.outcome.Sizes[q.size].Owed += worth
-	r.window(q.arrived).Owed += worth
+func (r *Result) addDemand(q *request, worth float64) {
+	q.stats.Demand += worth
+	q.stats.BySize[q.sizeClass].Demand += worth
+	r.window(q.arrived).Demand += worth
 }
 
 func (r *Result) window(at float64) *Window {
--- a/proof/forwarding/tuning_test.go
+++ b/proof/forwarding/tuning_test.go
@@ -15,43 +15,43 @@
 )
 
 // namedDay is a kind of day, played with several seeds.
-type namedDay struct {
-	name  string
-	site  Site
-	seeds int
+type scenario struct {
+	name       string
+	deployment Deployment
+	seeds      int
 }
 
 // tuned are the days that options are tuned for; with 13 engines the slots don't
 // suffice for the turn to short prompts.
-var tuned = []namedDay{{"0.7", Zagara(0.7), 100}, {"1", Zagara(1), 100}, {"1.2", Zagara(1.2), 100}, {"13 engines", withEngines(Zagara(1), 13), 100},
+var usualScenarios = []scenario{{"0.7", Zagara(0.7), 100}, {"1", Zagara(1), 100}, {"1.2", Zagara(1.2), 100}, {"13 engines", withEngines(Zagara(1), 13), 100},
 	{"grown 0.7", ZagaraGrown(0.7), 20}, {"grown 1", ZagaraGrown(1), 20}}
 
 // hardDays are days with the moments that lose most: all entries stop beside mostly long
 // prompts (25 s) and beside mostly short ones (15 s), sharp turns, engines that crash or
 // are slow.
-var hardDays = []namedDay{{"sanad", Sanad(1), 16}, {"killed", Restarted(Sanad(1), 24*time.Second, false), 16}, {"power", Restarted(Sanad(1), 14*time.Second, true), 16},
-	{"spells", withSpells(Sanad(1)), 16}, {"grown", Restarted(SanadGrown(1), 24*time.Second, false), 3}}
+var hardScenarios = []scenario{{"sanad", Sanad(1), 16}, {"killed", WithEntryRestart(Sanad(1), 24*time.Second, false), 16}, {"power", WithEntryRestart(Sanad(1), 14*time.Second, true), 16},
+	{"spells", withEngineFaults(Sanad(1)), 16}, {"grown", WithEntryRestart(SanadGrown(1), 24*time.Second, false), 3}}
 
 // largeDays are days of a zone of the large deployment: usual, heavier, and with a restart of
 // all entries beside mostly short prompts.
-var largeDays = []namedDay{{"large 0.8", ZagaraLarge(0.8, 27), 12}, {"large 1", ZagaraLarge(1, 27), 12}, {"large 1.1", ZagaraLarge(1.1, 27), 12},
-	{"large power", Restarted(ZagaraLarge(1, 27), 14*time.Second, true), 12}}
+var largeScenarios = []scenario{{"large 0.8", ZagaraLarge(0.8, 27), 12}, {"large 1", ZagaraLarge(1, 27), 12}, {"large 1.1", ZagaraLarge(1.1, 27), 12},
+	{"large power", WithEntryRestart(ZagaraLarge(1, 27), 14*time.Second, true), 12}}
 
 // turnedDays are days of the press's deployment once its work has shifted: usual, heavier, and with a
 // restart of all entries beside mostly long prompts, each with servers shared and divided by zone.
-var turnedDays = []namedDay{{"turned 0.85", ZagaraTurned(0.85), 6}, {"turned 1", ZagaraTurned(1), 6}, {"turned 1.1", ZagaraTurned(1.1), 6},
-	{"turned power", Restarted(ZagaraTurned(1), 31*time.Second, true), 6}, {"divided 1", divided(ZagaraTurned(1), 3), 6},
-	{"divided power", divided(Restarted(ZagaraTurned(1), 31*time.Second, true), 3), 6}}
+var shiftedDays = []scenario{{"turned 0.85", ZagaraShifted(0.85), 6}, {"turned 1", ZagaraShifted(1), 6}, {"turned 1.1", ZagaraShifted(1.1), 6},
+	{"turned power", WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 6}, {"divided 1", sharded(ZagaraShifted(1), 3), 6},
+	{"divided power", sharded(WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 3), 6}}
 
-func divided(site Site, parts int) Site {
-	site.Parts = parts
-	return site
+func sharded(deployment Deployment, parts int) Deployment {
+	deployment.Shards = parts
+	return deployment
 }
 
 // BenchmarkTurned plays variants of the options on days of the press's deployment once its work has shifted.
 func BenchmarkTurned(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
-		mean, line := playNamed(turnedDays, options, (*Result).Score)
+		mean, line := simulateNamed(shiftedDays, options, (*Result).Score)
 		fmt.Fprintf(os.Stderr, "turned %-40s mean %.4f%s\n", name, mean, line)
 	})
 }
@@ -59,7 +59,7 @@
 // BenchmarkLarge plays variants of the options on days of a zone of the large deployment.
 func BenchmarkLarge(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
-		mean, line := playNamed(largeDays, options, (*Result).Score)
+		mean, line := simulateNamed(largeScenarios, options, (*Result).Score)
 		fmt.Fprintf(os.Stderr, "large %-40s mean %.4f%s\n", name, mean, line)
 	})
 }
@@ -68,18 +68,18 @@
 func BenchmarkParts(b *testing.B) {
 	options := placement.DefaultOptions("")
 	whole := ZagaraLarge(1, largeEngines)
-	whole.Parts = 5
-	mean, line := playNamed([]namedDay{{"1", whole, 4}}, options, (*Result).Score)
+	whole.Shards = 5
+	mean, line := simulateNamed([]scenario{{"1", whole, 4}}, options, (*Result).Score)
 	fmt.Fprintf(os.Stderr, "parts five in one day: mean %.4f%s\n", mean, line)
 	for _, engines := range []int{14, 27, 54, 135} {
-		mean, line := playNamed([]namedDay{{"1", ZagaraLarge(1, engines), max(2, 270/engines)}}, options, (*Result).Score)
+		mean, line := simulateNamed([]scenario{{"1", ZagaraLarge(1, engines), max(2, 270/engines)}}, options, (*Result).Score)
 		fmt.Fprintf(os.Stderr, "parts of %3d engines: mean %.4f%s\n", engines, mean, line)
 	}
 }
 
-func withSpells(site Site) Site {
-	site.Spells = []Spell{{From: 5 * time.Second, For: 5 * time.Second, Engines: 4, Slow: 4}, {From: 15 * time.Second, For: 4 * time.Second, Engines: 4}}
-	return site
+func withEngineFaults(deployment Deployment) Deployment {
+	deployment.EngineFaults = []EngineFault{{From: 5 * time.Second, For: 5 * time.Second, Engines: 4, Slowdown: 4}, {From: 15 * time.Second, For: 4 * time.Second, Engines: 4}}
+	return deployment
 }
 
 // Drawn deployments are divided by their seeds: options are chosen by the tuning set alone,
@@ -91,9 +91,9 @@
 )
 
 // playDrawn plays drawn deployments, one day each, and returns their scores.
-func playDrawn(from, count int, options placement.Options) []float64 {
+func simulateRandom(from, count int, options placement.Options) []float64 {
 	scores := make([]float64, count)
-	forEach(count, func(i int) { scores[i] = Play(DrawnSite(uint64(from+i)), uint64(i), options).Score() })
+	forEach(count, func(i int) { scores[i] = Simulate(RandomDeployment(uint64(from+i)), uint64(i), options).Score() })
 	return scores
 }
 
@@ -105,31 +105,31 @@
 		from, count = testFrom, testSeeds
 	}
 	variants(b, func(name string, options placement.Options) {
-		mean, line := playNamed(hardDays, options, (*Result).Score)
+		mean, line := simulateNamed(hardScenarios, options, (*Result).Score)
 		sum := 0.0
-		for _, score := range playDrawn(from, count, options) {
+		for _, score := range simulateRandom(from, count, options) {
 			sum += score / float64(count)
 		}
 		fmt.Fprintf(os.Stderr, "hard %-36s mean %.4f drawn %.4f%s\n", name, mean, sum, line)
 	})
 }
 
-func withEngines(site Site, engines int) Site {
-	site.Engines = engines
-	return site
+func withEngines(deployment Deployment, engines int) Deployment {
+	deployment.Engines = engines
+	return deployment
 }
 
 // playNamed plays named days and returns the mean of a measure and a line of the figures.
-func playNamed(days []namedDay, options placement.Options, measure func(*Result) float64) (float64, string) {
+func simulateNamed(days []scenario, options placement.Options, measure func(*Result) float64) (float64, string) {
 	line, mean := "", 0.0
 	for _, c := range days {
-		total := playSeeds(c.site, c.seeds, options)
+		total := simulateSeeds(c.deployment, c.seeds, options)
 		mean += measure(total) / float64(len(days))
-		line += fmt.Sprintf("  %s: %.4f of %.3f", c.name, measure(total), total.Limit)
+		line += fmt.Sprintf("  %s: %.4f of %.3f", c.name, measure(total), total.UpperBound)
 		for _, c := range total.Classes {
-			line += fmt.Sprintf(" %.3f", c.Earned/c.Owed)
-			if c.Sizes[largestSize].Earned < largestNamed*c.Sizes[largestSize].Owed {
-				line += fmt.Sprintf(" (largest %.3f, large %.3f)", c.Sizes[largestSize].Earned/c.Sizes[largestSize].Owed, c.Sizes[largeSize].Earned/c.Sizes[largeSize].Owed)
+			line += fmt.Sprintf(" %.3f", c.Earned/c.Demand)
+			if c.BySize[largestSize].Earned < reportLargestBelow*c.BySize[largestSize].Demand {
+				line += fmt.Sprintf(" (largest %.3f, large %.3f)", c.BySize[largestSize].Earned/c.BySize[largestSize].Demand, c.BySize[largeSize].Earned/c.BySize[largeSize].Demand)
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // largestNamed is the worth of the largest prompts of a class below which a line tells it.
-const largestNamed = 0.8
+const reportLargestBelow = 0.8
 
 // variants are the options that ARBUTUS_TUNING names, as in
 // "PackGain=0.01;PackGain=0.02,PackShare=0.5", after the defaults.
@@ -152,7 +152,7 @@
 // BenchmarkTuning plays variants of the options on usual days.
 func BenchmarkTuning(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
-		mean, line := playNamed(tuned, options, (*Result).Worth)
+		mean, line := simulateNamed(usualScenarios, options, (*Result).Worth)
 		fmt.Fprintf(os.Stderr, "tuning %-40s mean %.4f%s\n", name, mean, line)
 	})
 }
--- a/proof/forwarding/limit.go
+++ b/proof/forwarding/upper_bound.go
@@ -31,51 +31,51 @@
 const segmentMs = 8000
 
 // asked is what the limit needs to know of a request.
-type asked struct {
+type candidate struct {
 	at, target, workMs float64
 	gain               float64
 }
 
 // limit returns a worth that can't be exceeded, as a share of what is owed.
-func (d *day) limit() float64 {
-	segments := map[int][]asked{}
-	longest, owed, worth := 0.0, 0.0, 0.0
-	for _, r := range d.all {
-		full, late := r.class.worth(float64(r.prompt))
+func (s *simulation) upperBound() float64 {
+	segments := map[int][]candidate{}
+	longestTargetMs, owed, worth := 0.0, 0.0, 0.0
+	for _, r := range s.requests {
+		full, late := r.class.worth(float64(r.promptTokens))
 		owed += full
 		worth += late
-		a := asked{at: r.arrived, target: ms(r.class.Target), workMs: d.site.Engine.PrefillMs(r.prompt, 1), gain: full - late}
-		if !d.reachable(r, a) {
+		a := candidate{at: r.arrived, target: ms(r.class.Target), workMs: s.deployment.Engine.PrefillMs(r.promptTokens, 1), gain: full - late}
+		if !s.canBeInTime(r, a) {
 			continue
 		}
-		longest = max(longest, a.target)
+		longestTargetMs = max(longestTargetMs, a.target)
 		index := int(a.at / segmentMs)
 		segments[index] = append(segments[index], a)
 	}
 	for _, index := range slices.Sorted(maps.Keys(segments)) {
-		worth += fill(segments[index], float64(d.site.Engines)*(segmentMs+longest))
+		worth += fillSegment(segments[index], float64(s.deployment.Engines)*(segmentMs+longestTargetMs))
 	}
 	return worth / owed
 }
 
 // fill takes requests by their gain for each millisecond of reading until the room is full.
-func fill(segment []asked, room float64) float64 {
-	slices.SortFunc(segment, func(x, y asked) int { return cmp.Compare(y.gain/y.workMs, x.gain/x.workMs) })
+func fillSegment(segment []candidate, capacityMs float64) float64 {
+	slices.SortFunc(segment, func(x, y candidate) int { return cmp.Compare(y.gain/y.workMs, x.gain/x.workMs) })
 	gained := 0.0
 	for _, a := range segment {
-		share := math.Min(1, room/a.workMs)
+		share := math.Min(1, capacityMs/a.workMs)
 		gained += share * a.gain
-		room -= share * a.workMs
+		capacityMs -= share * a.workMs
 	}
 	return gained
 }
 
 // reachable says whether a request could be in time though all entries are away for a time.
-func (d *day) reachable(r *request, a asked) bool {
-	alone := d.site.Engine.PassMs(enginemodel.Batch{Answers: 1, ContextTokens: r.prompt}) / float64(d.site.Engine.Stride)
-	writing := float64(r.answer) * alone
-	for _, outage := range d.site.Outages {
-		if outage.Entries != 0 && outage.Entries != d.site.Entries {
+func (s *simulation) canBeInTime(r *request, a candidate) bool {
+	alone := s.deployment.Engine.PassMs(enginemodel.Batch{Answers: 1, ContextTokens: r.promptTokens}) / float64(s.deployment.Engine.Stride)
+	writing := float64(r.outputTokens) * alone
+	for _, outage := range s.deployment.Outages {
+		if outage.Entries != 0 && outage.Entries != s.deployment.Entries {
 			continue
 		}
 		from, back := ms(outage.From), ms(outage.From+outage.For)
