--- a/proof/forwarding/deployment.go
+++ b/proof/forwarding/deployment.go
@@ -1,8 +1,7 @@
-// Package forwarding plays days of a deployment that forwards long and short
-// prompts to model engines, in virtual time: the real placement core at every
-// entry, the engines' passes by core/enginemodel, and callers that leave when they
-// have waited too long. A day of half a minute takes some hundredths of a second,
-// so that policies can be compared over thousands of days.
+// Package forwarding simulates a deployment that forwards short and long prompts to model engines, in
+// virtual time. Every entry runs the real placement code of core/placement, the passes of the engines
+// come from core/enginemodel, and callers give up after waiting too long. Simulating half a minute
+// takes some hundredths of a second, so that policies can be compared over thousands of runs.
 package forwarding
 
 import (
@@ -13,35 +12,34 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// Class is a kind of request. Lengths are in tokens.
+// Class describes one kind of request. Lengths are in tokens.
 type Class struct {
 	Name string
-	// PerSecond is the arrivals over all entries at load 1.
+	// PerSecond is the arrival rate over all entries at load 1.
 	PerSecond float64
-	// Prompt is the mean length, PromptSpread the sigma of its logarithm,
-	// PromptMax the longest.
+	// Prompt is the mean length, PromptSpread the standard deviation of its logarithm, PromptMax the
+	// largest length.
 	Prompt, PromptSpread, PromptMax float64
-	// Events is the mean number of events of an answer, with its spread and
-	// maximum.
+	// Events, EventSpread and EventMax describe the number of events of a response likewise.
 	Events, EventSpread, EventMax float64
 	Target, Gap, Deadline         time.Duration
-	// Worth of an answer in time and of a late one.
+	// Worth is the value of a response in time, LateWorth that of a late one.
 	Worth, LateWorth float64
 }
 
-// patience is how long a caller waits for the next event.
+// patience returns how long a caller waits for the next event before it gives up.
 func (c *Class) patience() time.Duration {
 	return max(2*time.Second, 4*c.Target, 8*c.Gap)
 }
 
-// Phase changes the mix of classes from a moment on.
+// Phase changes the mix of classes from a time on.
 type Phase struct {
 	From time.Duration
-	// Load multiplies the arrivals of the classes, in their order.
+	// Load multiplies the arrival rates of the classes, in their order.
 	Load []float64
 }
 
-// Site is a deployment and its day.
+// Deployment describes a simulated deployment with its traffic and its faults.
 type Deployment struct {
 	Engine  enginemodel.Engine
 	Engines int
@@ -50,43 +48,43 @@
 	Classes []Class
 	Phases  []Phase
 	Length  time.Duration
-	// News is how long the news of a dispatch take to the other entries.
+	// UpdateDelay is the time until the other entries know of a dispatch.
 	UpdateDelay time.Duration
-	// CutOff says whether an entry can't exchange news with the others at a time;
-	// nil for never.
+	// Partitioned tells whether an entry can't exchange load updates with the others at a time; nil
+	// for never.
 	Partitioned func(entry int, at time.Duration) bool
-	// Dead says which entries get no requests; nil for none. The others can't tell
-	// them from entries that are cut off.
+	// Terminated tells which entries get no requests; nil for none. The others can't tell them from
+	// entries that are partitioned.
 	Terminated func(entry int) bool
-	// Outages and Spells are the troubles of the day.
+	// Outages and EngineFaults are the faults of the run.
 	Outages      []Outage
 	EngineFaults []EngineFault
-	// Parts divides entries and engines into so many parts, 0 for none. Entries choose and
-	// tell of requests within their part.
+	// Shards divides entries and engines into so many shards, 0 for none. Entries choose among the
+	// engines of their shard and send load updates within it.
 	Shards int
-	// NoSlices lets entries that don't hear each other use the same servers.
+	// ShareWhenPartitioned lets entries use the same servers although they can't hear each other.
+	// Without it an entry keeps off the servers owned by entries it doesn't hear.
 	ShareWhenPartitioned bool
-	// HintSpread is the sigma of the logarithm of the callers' estimates of the
-	// answers' lengths.
+	// HintSpread is the standard deviation of the logarithm of the callers' estimates of the output
+	// length.
 	HintSpread float64
 }
 
-// turn is a phase of a day at a load: from a second on, the classes come that many
-// times as often as usual.
+// phaseAt returns a phase that starts at a second and multiplies the usual rates of the three classes.
 func phaseAt(load, from, short, middle, long float64) Phase {
 	return Phase{From: time.Duration(from * float64(time.Second)), Load: []float64{load * short, load * middle, load * long}}
 }
 
-// usualTurns are the turns of the press's days: mostly long prompts, mostly short
-// ones, mostly long ones, and the usual mix.
+// defaultPhases returns the phases of the press's deployment: mostly long prompts, mostly short ones,
+// mostly long ones, and the usual mix.
 func defaultPhases(load float64) []Phase {
 	return []Phase{phaseAt(load, 0, 0.35, 1.3, 2.7), phaseAt(load, 10, 2.4, 0.5, 0.05), phaseAt(load, 20, 0.35, 1.3, 2.7), phaseAt(load, 30, 1, 1, 1)}
 }
 
-// usualNews is how long news are gathered and on their way.
+// defaultUpdateDelay covers gathering load updates and sending them.
 const defaultUpdateDelay = 6 * time.Millisecond
 
-// Zagara returns the press's deployment with its usual turns of the mix, at a load.
+// Zagara returns the press's deployment with its default phases, at a load.
 func Zagara(load float64) Deployment {
 	return Deployment{
 		Engine: enginemodel.Engine{Slots: 16, MemoryTokens: 315_000, StepMs: 0.85, StepPerAnswerMs: 0.00425, StepPerContextMs: 0.00285,
@@ -104,8 +102,8 @@
 	}
 }
 
-// ZagaraGrown returns the press's deployment once grown: more and smaller servers,
-// and longer prompts.
+// ZagaraGrown returns the press's deployment after growth: more and smaller servers, and longer
+// prompts.
 func ZagaraGrown(load float64) Deployment {
 	deployment := Zagara(load)
 	deployment.Engine.Slots, deployment.Engine.MemoryTokens, deployment.Engine.Stride, deployment.Engine.UsualAnswer = 12, 267_750, 57, 1750
@@ -118,8 +116,8 @@
 	return deployment
 }
 
-// ZagaraTurned returns the press's deployment once its work has shifted: more servers than grown, middle
-// prompts twice as often, and turns of the mix every ten seconds.
+// ZagaraShifted returns the press's deployment after its traffic has shifted: more servers than in
+// ZagaraGrown, middle prompts twice as often, and a change of the mix every ten seconds.
 func ZagaraShifted(load float64) Deployment {
 	deployment := ZagaraGrown(load)
 	deployment.Engines, deployment.Entries = 69, 23
@@ -130,9 +128,9 @@
 	return deployment
 }
 
-// ZagaraLarge returns a part of the press's large deployment: as many engines and entries
-// with a share of its traffic, from one zone (27 of 135 engines) to all of it. Entries choose
-// among the part's engines only.
+// ZagaraLarge returns a shard of the press's large deployment: the given number of engines with the
+// matching share of entries and traffic, from one zone (27 of 135 engines) to the whole. Entries
+// choose among the engines of the shard only.
 func ZagaraLarge(load float64, engines int) Deployment {
 	deployment := Zagara(load)
 	part := float64(engines) / largeEngines
@@ -147,14 +145,14 @@
 	return deployment
 }
 
-// The size of the press's large deployment.
+// Size of the press's large deployment.
 const (
 	largeEngines = 135
 	largeEntries = 68
 )
 
-// Sanad returns the shops' deployment, at a load: the press's engines, more of them, few
-// entries, and more traffic.
+// Sanad returns the shops' deployment, at a load: more of the press's engines, few entries, and more
+// traffic.
 func Sanad(load float64) Deployment {
 	deployment := Zagara(load)
 	deployment.Engines, deployment.Entries = 23, 3
@@ -162,7 +160,7 @@
 	return deployment
 }
 
-// SanadGrown returns the shops' deployment once grown.
+// SanadGrown returns the shops' deployment after growth.
 func SanadGrown(load float64) Deployment {
 	deployment := ZagaraGrown(load)
 	deployment.Engines = 78
@@ -170,18 +168,18 @@
 	return deployment
 }
 
-// Restarted lets all entries of a site fail at once at a moment.
+// WithEntryRestart adds a restart of all entries at a time.
 func WithEntryRestart(deployment Deployment, from time.Duration, powerLoss bool) Deployment {
 	deployment.Outages = append(deployment.Outages, Outage{From: from, For: 800 * time.Millisecond, PowerLoss: powerLoss})
 	return deployment
 }
 
-// cutOff says whether an entry is cut off at a time.
+// isPartitioned tells whether an entry is partitioned at a time.
 func (s *Deployment) isPartitioned(entry int, at time.Duration) bool {
 	return s.Partitioned != nil && s.Partitioned(entry, at)
 }
 
-// loads returns the multipliers in force at a time.
+// loads returns the multipliers that apply at a time.
 func (s *Deployment) loads(at time.Duration) []float64 {
 	current := s.Phases[0].Load
 	for _, phase := range s.Phases {
@@ -192,15 +190,15 @@
 	return current
 }
 
-// lognormal draws a positive number with a mean, a sigma of its logarithm and a
-// maximum.
+// lognormal draws from a lognormal distribution with a mean and the standard deviation of the
+// logarithm, limited to the range from 1 to most.
 func lognormal(random *rand.Rand, mean, sigma, most float64) float64 {
 	value := mean * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2)
 	return math.Min(math.Max(value, 1), most)
 }
 
-// worth returns what an answer in time and a late one are worth: more for longer
-// prompts of a class.
+// worth returns the value of a response in time and of a late one; both grow with the length of the
+// prompt within its class.
 func (c *Class) worth(promptTokens float64) (full, late float64) {
 	weight := math.Min(0.3+0.7*promptTokens/c.Prompt, 4)
 	return c.Worth * weight, c.LateWorth * weight
--- a/proof/forwarding/faults.go
+++ b/proof/forwarding/faults.go
@@ -7,29 +7,29 @@
 	"arbutusdeck/core/placement"
 )
 
-// Outage takes entries away for a time.
+// Outage stops entries for a time.
 type Outage struct {
 	From, For time.Duration
-	// Entries is how many of them, from the first on; 0 for all.
+	// Entries counts the stopped entries, from the first on; 0 for all.
 	Entries int
-	// Power says that they lose power: servers hear nothing of it and go on with their
-	// work. Otherwise they are killed, and their connections end.
+	// PowerLoss leaves the connections open: servers don't notice and go on with their work. Otherwise
+	// the entries are killed and their connections close.
 	PowerLoss bool
 }
 
-// Spell makes engines slow or takes them away for a time.
+// EngineFault slows or crashes engines for a time.
 type EngineFault struct {
 	From, For time.Duration
-	// Engines is how many, from the first on.
+	// Engines counts the affected engines, from the first on.
 	Engines int
-	// Slow is the factor by which they are slower; 0 if they crash: their work is lost,
-	// and they come back empty.
+	// Slowdown is the factor by which they are slower; 0 for a crash, which loses their work and lets
+	// them come back empty.
 	Slowdown float64
 }
 
 func ms(duration time.Duration) float64 { return duration.Seconds() * 1000 }
 
-// scheduleTrouble sets the times of the site's outages and spells.
+// scheduleFaults schedules the outages and engine faults of the deployment.
 func (s *simulation) scheduleFaults() {
 	for _, outage := range s.deployment.Outages {
 		count := outage.Entries
@@ -45,7 +45,7 @@
 	}
 }
 
-// takeEntries ends the first entries. Callers whose answers break off come back at once.
+// stopEntries stops the first entries. Callers whose responses break off reconnect at once.
 func (s *simulation) stopEntries(count int, powerLoss bool) {
 	for entry := range count {
 		s.stoppedEntries[entry] = true
@@ -66,7 +66,7 @@
 	}
 }
 
-// comeBack makes a caller come back whose connection broke.
+// reconnect lets a caller whose connection broke send its request again.
 func (s *simulation) reconnect(r *request) {
 	if !s.mayRetry(r) {
 		return
@@ -74,7 +74,7 @@
 	s.retryAfter(r, s.ties.Float64()*reconnectMs)
 }
 
-// running returns the requests that are not over.
+// activeRequests returns the requests that are not done.
 func (s *simulation) activeRequests() []*request {
 	kept := s.active[:0]
 	for _, r := range s.active {
@@ -86,16 +86,16 @@
 	return kept
 }
 
-// orphan is a try whose entry has lost power: its engines work on.
+// orphan is an attempt whose entry has lost power; its engines continue to work on it.
 type orphan struct {
 	id     string
 	choice placement.Choice
-	// writing says that events are sent: the first one that reaches the entry's next
-	// start is answered with a reset, which ends the work. A read goes on to its end.
+	// writing marks an attempt that sends events: the first event that reaches the restarted entry is
+	// answered by a reset, which ends the work. A prefill runs to its end.
 	writing bool
 }
 
-// endOrphans ends the work whose events reach a started entry.
+// endOrphans cancels the attempts whose events reach a restarted entry.
 func (s *simulation) endOrphans() {
 	for _, o := range s.orphans {
 		if o.writing {
@@ -105,8 +105,8 @@
 	s.orphans = nil
 }
 
-// returnEntries starts the first entries anew: they know of nothing, and the others learn
-// that what those had begun is over.
+// restartEntries starts the first entries with empty load tables; the other entries learn that their
+// dispatches have ended.
 func (s *simulation) restartEntries(count int) {
 	for entry := range count {
 		s.stoppedEntries[entry] = false
@@ -122,7 +122,7 @@
 	}
 }
 
-// beginSpell slows or crashes engines.
+// startEngineFault slows or crashes engines.
 func (s *simulation) startEngineFault(fault EngineFault) {
 	for _, server := range s.servers[:fault.Engines] {
 		if fault.Slowdown > 0 {
@@ -147,10 +147,10 @@
 	}
 }
 
-// maxSends is how many servers a request is sent to at one entry.
+// maxAttempts bounds the servers that one entry sends a request to.
 const maxAttempts = 2
 
-// again tries another server after one has failed.
+// retry sends a request to another server after one has failed.
 func (s *simulation) retry(r *request, failed string) {
 	s.cancel(r)
 	s.endAttempt(r)
--- a/proof/forwarding/faults_test.go
+++ b/proof/forwarding/faults_test.go
@@ -9,8 +9,8 @@
 	"arbutusdeck/core/placement"
 )
 
-// No schedule exceeds the limit, whatever goes wrong on the day; and it is not empty: a
-// tenth of the usual load is nearly all served, and a restart takes from it.
+// The upper bound holds in every simulation, whatever faults it has. It is not vacuous: nearly all of
+// a tenth of the usual load is served, and a restart lowers the bound.
 func TestTheUpperBoundIsNotExceeded(t *testing.T) {
 	for _, deployment := range []Deployment{Zagara(1.2), WithEntryRestart(Sanad(0.8), 14*time.Second, true), withEngineFaults(Sanad(1)), RandomDeployment(2), RandomDeployment(5)} {
 		result := Simulate(deployment, 1, placement.DefaultOptions(""))
@@ -22,8 +22,8 @@
 	require.Less(t, Simulate(WithEntryRestart(Zagara(0.1), 14*time.Second, false), 1, placement.DefaultOptions("")).UpperBound, easy.UpperBound)
 }
 
-// All entries are killed and come back: every caller still has exactly one end, and those
-// that were cut come back once.
+// All entries are killed and restart: every caller still ends exactly once, and those whose connection
+// broke retry once.
 func TestCallersOfARestartEndOnce(t *testing.T) {
 	for _, powerLoss := range []bool{false, true} {
 		result := Simulate(WithEntryRestart(Sanad(0.6), 14*time.Second, powerLoss), 2, placement.DefaultOptions(""))
@@ -34,8 +34,8 @@
 	}
 }
 
-// Engines crash beside requests that wait there: these go to other engines, and all engines
-// are used again after it.
+// Requests that wait at an engine that crashes are retried on other engines, and all engines are used
+// again afterwards.
 func TestRequestsLeaveCrashedEngines(t *testing.T) {
 	deployment := Sanad(0.3)
 	deployment.Phases = []Phase{{Load: []float64{1, 1, 1}}}
@@ -45,8 +45,8 @@
 	require.Greater(t, float64(short.InTime+short.Late)/float64(short.Requests), 0.97)
 }
 
-// The same seed draws the same deployment, other seeds others; each can meet its targets
-// on idle engines.
+// A seed always yields the same deployment and another seed a different one; idle engines meet the
+// targets of each class.
 func TestRandomDeploymentsAreDeterministicAndFeasible(t *testing.T) {
 	require.Equal(t, RandomDeployment(3).Engine, RandomDeployment(3).Engine)
 	require.NotEqual(t, RandomDeployment(3).Engine, RandomDeployment(4).Engine)
--- a/proof/forwarding/forwarding_test.go
+++ b/proof/forwarding/forwarding_test.go
@@ -17,15 +17,15 @@
 	"arbutusdeck/core/placement"
 )
 
-// policy is a way to place requests that is compared.
+// policy is a placement policy under comparison.
 type policy struct {
 	name   string
 	change func(o *placement.Options)
 }
 
-// policies are the product's own and what it is held against: prompts that are
-// never divided, answers that are spread, no regard for what a read does to others,
-// and late prompts that never wait.
+// policies are the default policy and its baselines: prompts that are never divided, responses that
+// are spread, no regard for the delay that a prefill causes to others, and late prompts that never
+// wait.
 var policies = []policy{
 	{"own", func(*placement.Options) {}},
 	{"undivided", func(o *placement.Options) { o.UsualParts, o.MaxParts = 1, 1 }},
@@ -76,7 +76,7 @@
 	o.LongestGapMs = append(o.LongestGapMs, c.LongestGapMs...)
 }
 
-// forEach does something for each of count numbers, some at a time.
+// forEach calls do for each of count numbers, several at a time.
 func forEach(count int, do func(i int)) {
 	slots := make(chan struct{}, max(runtime.GOMAXPROCS(0)-2, 1))
 	var wait sync.WaitGroup
@@ -90,14 +90,14 @@
 	wait.Wait()
 }
 
-// playSeeds plays a site with several seeds, some at a time.
+// simulateSeeds simulates a deployment with several seeds, several at a time, and adds the results.
 func simulateSeeds(deployment Deployment, seeds int, options placement.Options) *Result {
 	results := make([]*Result, seeds)
 	forEach(seeds, func(seed int) { results[seed] = Simulate(deployment, uint64(seed), options) })
 	return sum(results)
 }
 
-// percentile returns a percentile of sorted values.
+// percentile returns the value at a share of sorted values; 0 if there are none.
 func percentile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -105,7 +105,7 @@
 	return values[int(float64(len(values)-1)*share)]
 }
 
-// Every caller of a day gets exactly one end, and a day played again is the same.
+// Every caller ends exactly once, and a simulation repeated with the same seed gives the same result.
 func TestASimulationIsCompleteAndDeterministic(t *testing.T) {
 	first := Simulate(Zagara(0.8), 3, placement.DefaultOptions(""))
 	for _, c := range first.Classes {
@@ -114,9 +114,8 @@
 	require.Equal(t, first, Simulate(Zagara(0.8), 3, placement.DefaultOptions("")))
 }
 
-// At a usual load nine in ten of the worth are served in time, short prompts stay
-// quick beside long ones, and each part of the policy serves more than a day
-// without it.
+// At a usual load nine tenths of the worth are served in time, short prompts stay fast beside long
+// ones, and each part of the policy serves more than a run without it.
 func TestTheOwnPolicyServesMoreThanItsBaselines(t *testing.T) {
 	const seeds = 24
 	deployment := Zagara(0.7)
@@ -137,17 +136,17 @@
 	}
 }
 
-// Callers of the longest kind got their first event in time and then waited for seconds for the second:
-// long reads were sent to servers whose own long prompt was about to be answered. Plays a mix with most of
-// the work in long prompts.
+// Guards against long prefills on servers whose own long prompt is about to produce output: callers of
+// the longest class got their first event in time and then waited for seconds for the second one. Most
+// of the work of the simulated mix is in long prompts.
 func TestLongAnswersHardlyPauseDuringLongPrefills(t *testing.T) {
 	total := simulateSeeds(ZagaraShifted(1), 2, placement.DefaultOptions(""))
 	long := total.Classes[2]
 	require.Less(t, float64(long.LateGap), 0.05*float64(long.Requests))
 }
 
-// One worker alone: the same short prompts at a real worker gave a median
-// first event of 37, 105 and 124 ms at half a request, three and six a second.
+// The model of one server matches a real one: the same short prompts gave a median time to the first
+// event of 37, 105 and 124 ms at 0.5, 3 and 6 requests per second.
 func TestOneWorkerAloneIsAsFastAsMeasured(t *testing.T) {
 	for _, c := range []struct{ rate, from, to float64 }{{0.5, 30, 90}, {3, 90, 120}, {6, 110, 180}} {
 		deployment := Zagara(1)
@@ -164,9 +163,8 @@
 	}
 }
 
-// BenchmarkPolicies compares the policies at several loads as a table, as CSV in the file
-// that ARBUTUS_CSV names, and as a plot (SVG, PNG or PDF) in the one that ARBUTUS_PLOT
-// names.
+// BenchmarkPolicies compares the policies at several loads: as a table on standard error, as CSV in
+// the file named by ARBUTUS_CSV, and as a plot (SVG, PNG or PDF) in the file named by ARBUTUS_PLOT.
 func BenchmarkPolicies(b *testing.B) {
 	const seeds = 100
 	rows := [][]string{{"policy", "load", "class", "worth", "late first", "late gap", "failed", "asked", "first p50 ms", "first p95 ms"}}
@@ -199,18 +197,18 @@
 func writeCSV(path string, rows [][]string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("the table: %w", err)
+		return fmt.Errorf("create the CSV file: %w", err)
 	}
 	defer file.Close()
 	if err := csv.NewWriter(file).WriteAll(rows); err != nil {
-		return fmt.Errorf("the table %s: %w", path, err)
+		return fmt.Errorf("write the CSV file %s: %w", path, err)
 	}
 	return nil
 }
 
-// exchanges are ways in which entries know of each other's requests. Without delay is
-// more than a daemon beside each engine could tell them: it would know as exactly, but
-// its answer takes a way there and back.
+// exchangeModes are ways in which entries learn of each other's requests. No delay at all is more than
+// a daemon beside each engine could offer: its knowledge would be as exact, but its response takes a
+// round trip.
 var exchangeModes = []struct {
 	name   string
 	change func(s *Deployment)
@@ -241,7 +239,7 @@
 func firstOf(count int) func(int) bool           { return func(entry int) bool { return entry < count } }
 func allButLast(count int) func(int) bool        { return firstOf(count - 1) }
 
-// BenchmarkExchange compares what entries exchange, over both sizes of a deployment.
+// BenchmarkExchange compares the exchange modes over both sizes of a deployment.
 func BenchmarkExchange(b *testing.B) {
 	for _, x := range exchangeModes {
 		for _, c := range []struct {
--- a/proof/forwarding/generate.go
+++ b/proof/forwarding/generate.go
@@ -8,10 +8,10 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// DrawnSite draws a deployment and its day: engines, lengths, targets, pauses, mixes, sizes
-// and troubles in other proportions than the users' own. The same seed draws the same one.
-// What holds for all of them is that each kind's target can be met on idle engines, and
-// that the engines suffice for the load on the mean.
+// RandomDeployment draws a deployment and its traffic: engines, lengths, targets, gaps, mixes, sizes
+// and faults in other proportions than those of the users. A seed always gives the same deployment. In
+// all of them idle engines can meet the target of each class, and the engines suffice for the mean
+// load.
 func RandomDeployment(seed uint64) Deployment {
 	g := &generator{random: rand.New(rand.NewPCG(seed, 7))}
 	deployment := Deployment{Zones: 1 + g.random.IntN(4), Length: 40 * time.Second, UpdateDelay: g.duration(3*time.Millisecond, 12*time.Millisecond),
@@ -27,7 +27,7 @@
 
 func (g *generator) between(low, high float64) float64 { return low + (high-low)*g.random.Float64() }
 
-// spread draws evenly by ratio.
+// spread draws from a log-uniform distribution.
 func (g *generator) spread(low, high float64) float64 {
 	return low * math.Pow(high/low, g.random.Float64())
 }
@@ -43,8 +43,8 @@
 		Chunk: int64(g.spread(1000, 8000)), Stride: int(g.spread(15, 60)), UsualAnswer: 1200, HopMs: g.spread(0.02, 0.2)}
 }
 
-// classes draws a short, a middle and a long kind of request. Targets and pauses are
-// multiples of what an idle engine takes.
+// classes draws a short, a middle and a long class. Targets and gaps are multiples of the time that an
+// idle engine takes.
 func (g *generator) classes(e *enginemodel.Engine) []Class {
 	length := g.spread(1500, 12_000)
 	middle := length * g.spread(4, 12)
@@ -70,7 +70,7 @@
 	return classes
 }
 
-// load sets the rates so that reading takes a drawn part of the engines' time.
+// load sets the arrival rates so that prefills take a random share of the engines' time.
 func (g *generator) load(deployment *Deployment) {
 	shares := []float64{g.between(0.2, 0.45), g.between(0.05, 0.2), g.between(0.3, 0.6)}
 	busy := g.between(0.3, 0.5)
@@ -80,14 +80,14 @@
 		tokens := c.Prompt * math.Exp(c.PromptSpread*c.PromptSpread/2)
 		work := deployment.Engine.PrefillMs(int64(tokens), 1) / 1000
 		c.PerSecond = float64(deployment.Engines) * busy * shares[i] / total / work
-		// Slots bound it as well.
+		// The slots limit the rate as well.
 		pass := deployment.Engine.PassMs(enginemodel.Batch{Answers: deployment.Engine.Slots, ContextTokens: int64(float64(deployment.Engine.Slots) * deployment.Classes[0].Prompt)})
 		writing := c.Events * pass / 1000
 		c.PerSecond = math.Min(c.PerSecond, 0.35*float64(deployment.Engines*deployment.Engine.Slots)/writing)
 	}
 }
 
-// phases draws turns of the mix, sharp ones among them.
+// phases draws changes of the mix, sharp ones among them.
 func (g *generator) phases(classes int) []Phase {
 	phases := []Phase{{Load: []float64{1, 1, 1}}}
 	for at := g.between(4, 10); at < 34; at += g.between(5, 11) {
@@ -100,7 +100,7 @@
 	return phases
 }
 
-// troubles draws what fails: all entries at once, one entry, engines that crash or are slow.
+// faults draws the faults: outages of all entries and of one, crashed engines and slow ones.
 func (g *generator) faults(deployment *Deployment) {
 	second := func(low, high float64) time.Duration {
 		return time.Duration(g.between(low, high) * float64(time.Second))
--- a/proof/forwarding/plot_test.go
+++ b/proof/forwarding/plot_test.go
@@ -12,14 +12,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// curve is a policy's worth over the loads.
+// curve is the worth of one policy over the loads.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
-// drawCurves writes a plot of policies over loads; the ending of the path says the
-// format.
+// drawCurves plots policies over loads; the extension of the path selects the format.
 func drawCurves(path string, curves []curve) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "load, as a share of the usual one", "worth served in time, as a share"
@@ -29,10 +28,10 @@
 		lines = append(lines, c.name, c.points)
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return fmt.Errorf("the plot's lines: %w", err)
+		return fmt.Errorf("add the lines of the plot: %w", err)
 	}
 	if err := p.Save(16*vg.Centimeter, 10*vg.Centimeter, path); err != nil {
-		return fmt.Errorf("the plot %s: %w", path, err)
+		return fmt.Errorf("save the plot %s: %w", path, err)
 	}
 	return nil
 }
--- a/proof/forwarding/request.go
+++ b/proof/forwarding/request.go
@@ -9,7 +9,7 @@
 	"arbutusdeck/core/placement"
 )
 
-// avoided returns the servers of the entries that one doesn't hear.
+// avoided returns the servers owned by running entries that the given entry can't hear.
 func (s *simulation) avoided(entry int) map[string]bool {
 	now := enginemodel.MillisToDuration(s.now)
 	var silent []string
@@ -26,7 +26,8 @@
 
 func entryName(entry int) string { return fmt.Sprintf("entry-%d", entry) }
 
-// maxTries bounds the choices whose reservations were refused.
+// maxFailures bounds the choices of a request that fail at one entry: refused reservations and failed
+// attempts.
 const maxFailures = 3
 
 func (s *simulation) send(r *request) {
@@ -68,7 +69,7 @@
 	s.watchStall(r, id, query)
 }
 
-// watchStall moves a request to another server if its own is stalled.
+// watchStall redispatches a request whose server is stalled.
 func (s *simulation) watchStall(r *request, id string, query placement.Query) {
 	check := placement.RedispatchCheckDelay(r.choice, query.Engine)
 	if check == 0 || r.attempts >= maxAttempts {
@@ -88,19 +89,19 @@
 	s.at(s.now+ms(placement.RedispatchCheckInterval), func() { s.checkStall(r, id, query) })
 }
 
-// refuse answers a request that was not run. Its caller comes back once, when it was told to,
-// as long as that is within a third of its time.
+// refuse rejects a request that has not run. Its caller retries once after the delay it was told, but
+// at the latest after a third of its remaining time.
 func (s *simulation) refuse(r *request, after time.Duration) {
 	if !s.mayRetry(r) {
 		return
 	}
-	left := ms(r.class.Deadline) - (s.now - r.arrived)
-	told := ms(after) * (0.75 + 0.5*s.ties.Float64())
-	s.retryAfter(r, min(told, left/3))
+	remaining := ms(r.class.Deadline) - (s.now - r.arrived)
+	delay := ms(after) * (0.75 + 0.5*s.ties.Float64())
+	s.retryAfter(r, min(delay, remaining/3))
 }
 
-// mayReturn counts a caller's return and forgets what it met before; one that has come back
-// often enough leaves.
+// mayRetry counts a retry of the caller and resets what its earlier attempts met; a caller that has
+// used up its retries gives up.
 func (s *simulation) mayRetry(r *request) bool {
 	r.callerRetries++
 	if r.callerRetries > maxCallerRetries {
@@ -111,7 +112,7 @@
 	return true
 }
 
-// callerReturns is how often callers come back after a refusal or a broken connection.
+// maxCallerRetries bounds the retries of a caller after a refusal or a broken connection.
 const maxCallerRetries = 1
 
 func (s *simulation) reserve(choice placement.Choice) bool {
@@ -138,8 +139,8 @@
 	})
 }
 
-// everywhere does something at an entry now and at the others of its part when the news
-// has reached them. News to or from an entry that is cut off are lost.
+// broadcast calls do for the load table of an entry now and for those of the other entries of its
+// shard after the update delay. Updates to or from a partitioned entry are lost.
 func (s *simulation) broadcast(entry int, do func(b *placement.LoadTable, own bool)) {
 	do(s.entries[entry], true)
 	sentAt := enginemodel.MillisToDuration(s.now)
@@ -174,7 +175,7 @@
 	}
 }
 
-// urgency is the entries' rank by length.
+// urgency returns the priority that entries give to a prompt by its length.
 func urgency(promptTokens int64) int {
 	if promptTokens <= 12_000 {
 		return 1
@@ -182,7 +183,7 @@
 	return 5
 }
 
-// drive changes an engine and schedules the end of the pass that this begins.
+// updateEngine changes an engine and schedules the end of the pass that this starts.
 func (s *simulation) updateEngine(id string, do func(b *enginemodel.Batcher)) {
 	b := s.engines[id]
 	_, busy := b.PassEnd()
@@ -268,7 +269,7 @@
 	}
 }
 
-// leave ends a request that got no whole answer.
+// fail ends a request that got no complete response.
 func (s *simulation) fail(r *request) {
 	if r.done {
 		return
@@ -278,7 +279,7 @@
 	s.end(r)
 }
 
-// cancel ends the work of a request's try at the engines.
+// cancel cancels the current attempt of a request at the engines.
 func (s *simulation) cancel(r *request) {
 	if r.id == "" {
 		return
@@ -286,20 +287,20 @@
 	s.cancelAt(r.choice, r.id)
 }
 
-// cancelAt ends a try at all engines that read it.
+// cancelAt cancels an attempt at all engines that prefill it.
 func (s *simulation) cancelAt(choice placement.Choice, id string) {
 	for i := range len(choice.Helpers) + 1 {
 		s.engines[choice.ServerAt(i).ID].Cancel(id)
 	}
 }
 
-// end ends a request.
+// end marks a request as done and ends its attempt.
 func (s *simulation) end(r *request) {
 	r.done = true
 	s.endAttempt(r)
 }
 
-// endTry ends a try in the books of the entries.
+// endAttempt removes the attempt from the load tables of the entries.
 func (s *simulation) endAttempt(r *request) {
 	if r.id == "" {
 		return
--- a/proof/forwarding/result.go
+++ b/proof/forwarding/result.go
@@ -5,35 +5,37 @@
 	"slices"
 )
 
-// Outcome is what a class's callers got.
+// ClassResult counts the results of the requests of a class.
 type ClassResult struct {
 	Requests, InTime, Late, Failed int
-	// LateFirst and LateGap divide the late ones by what was late first.
+	// LateFirstEvent and LateGap divide the late requests by what was late first: the first event or a
+	// gap.
 	LateFirstEvent, LateGap int
 	Demand, Earned          float64
-	// Sizes divides what was owed and earned by the lengths of prompts.
+	// BySize divides demand and earned worth by the length of the prompt.
 	BySize [sizeClasses]Window
-	// FirstMs is the times to the first event, Longest the longest pauses.
+	// FirstEventMs are the times to the first event and LongestGapMs the longest gaps between events,
+	// both of the requests that finished.
 	FirstEventMs, LongestGapMs []float64
 }
 
-// size is the place of a prompt's length within its class.
+// sizeClass ranks the length of a prompt within its class.
 type sizeClass int
 
 const (
 	usualSize   sizeClass = iota
-	largeSize             // the fifth below the largest tenth
+	largeSize             // the two tenths below the largest tenth
 	largestSize           // the largest tenth
 	sizeClasses
 )
 
-// Quantiles of the normal distribution above which a tenth and three tenths lie.
+// Quantiles of the normal distribution above which 10 % and 30 % of the values lie.
 const (
 	largestQuantile = 1.2816
 	largeQuantile   = 0.5244
 )
 
-// sizeOf returns the place of a prompt's length within its class.
+// sizeClassOf ranks the length of a prompt within its class.
 func (c *Class) sizeClassOf(promptTokens float64) sizeClass {
 	above := (math.Log(promptTokens/c.Prompt) + c.PromptSpread*c.PromptSpread/2) / c.PromptSpread
 	switch {
@@ -45,14 +47,14 @@
 	return usualSize
 }
 
-// Window is what the requests of a short span of a day owed and earned.
+// Window holds the demand and the earned worth of the requests that arrive in a short span.
 type Window struct{ Demand, Earned float64 }
 
-// Result is a day's outcome by class and by the moment of asking.
+// Result holds the results by class and by time of arrival.
 type Result struct {
 	Classes []ClassResult
 	Windows []Window
-	// Limit is a worth that no scheduler can exceed on the day.
+	// UpperBound is a worth that no scheduler can exceed, as a share of the demand.
 	UpperBound float64
 	// Connections counts the new connections to servers.
 	Connections int
@@ -61,26 +63,26 @@
 // windowMs is the length of a Window in milliseconds.
 const windowMs = 2000
 
-// Worth is the earned part of the worth of all requests.
+// Worth returns the earned share of the worth of all requests.
 func (r *Result) Worth() float64 {
-	owed, earned := 0.0, 0.0
+	demand, earned := 0.0, 0.0
 	for _, c := range r.Classes {
-		owed += c.Demand
+		demand += c.Demand
 		earned += c.Earned
 	}
-	return earned / owed
+	return earned / demand
 }
 
-// Weights of a Score: the whole day, its worst moments and its worst class.
+// Weights of Score: the whole run, its worst windows and its worst class.
 const (
 	weightWhole  = 0.7
 	weightWorst  = 0.15
 	worstWindows = 2
 )
 
-// Score weighs the worth of the whole day with that of its two worst windows and of its
-// worst class, about as the users do. The largest prompts of a class and the large ones
-// count as classes by themselves.
+// Score weights the worth of the whole run with that of its two worst windows and of its worst class,
+// similar to the users' own score. The largest and the large prompts of a class count as classes of
+// their own.
 func (r *Result) Score() float64 {
 	var windows []float64
 	for _, w := range r.Windows {
@@ -103,7 +105,7 @@
 	return weightWhole*r.Worth() + weightWorst*sum + weightWorst*class
 }
 
-// earn books what a request earned.
+// addEarned adds the earned worth of a request.
 func (r *Result) addEarned(q *request, worth float64) {
 	q.stats.Earned += worth
 	q.stats.BySize[q.sizeClass].Earned += worth
--- a/proof/forwarding/simulation.go
+++ b/proof/forwarding/simulation.go
@@ -12,17 +12,17 @@
 	"arbutusdeck/core/placement"
 )
 
-// Times of the network, in milliseconds.
+// Network delays, in milliseconds.
 const (
-	toServerMs = 3.5 // opening a connection and the request's way
-	backMs     = 1.5 // an event's way back
+	toServerMs = 3.5 // connection setup and sending the request
+	backMs     = 1.5 // delivery of an event
 )
 
 type simulation struct {
 	deployment *Deployment
 	random     *rand.Rand
-	// ties and picks are apart from random, so that all policies see the same callers: a
-	// policy decides how often callers return, and each return picks an entry.
+	// ties and picks are separate from random so that all policies see the same callers: the policy
+	// decides how often callers retry, and each retry picks an entry.
 	ties    *rand.Rand
 	picks   *rand.Rand
 	now     float64
@@ -30,27 +30,26 @@
 	entries []*placement.LoadTable
 	servers []directory.Server
 	engines map[string]*enginemodel.Batcher
-	// jobs are the tries that engines work on, by their identifiers.
+	// jobs are the attempts that engines work on, by their identifiers.
 	jobs map[string]*request
-	// live are the requests that are not over.
-	active []*request
-	// all are the requests of the day.
+	// active are the requests that are not done.
+	active   []*request
 	requests []*request
 	result   *Result
 	sequence int
-	// owners names the entry that keeps each server while entries are cut off.
+	// owners maps servers to the entries that own them during a partition.
 	owners  map[string]string
 	options placement.Options
-	// away are the entries that don't run, down the engines.
+	// stoppedEntries and crashedEngines are out of service.
 	stoppedEntries map[int]bool
 	crashedEngines map[string]bool
-	// orphans is the work of entries that lost power.
+	// orphans are attempts whose entry has lost power.
 	orphans []orphan
 }
 
-// request is one caller's request.
+// request is the request of one caller.
 type request struct {
-	// id names the try under way, empty between tries.
+	// id names the current attempt; empty between attempts.
 	id             string
 	class          *Class
 	stats          *ClassResult
@@ -63,20 +62,20 @@
 	choice         placement.Choice
 	pendingParts   int
 	events         int
-	lastActivityMs float64 // of the caller's patience
+	lastActivityMs float64 // start of the caller's current wait
 	lastEventMs    float64
 	firstEventMs   float64
 	longestGapMs   float64
 	done           bool
-	// tries counts the servers that could not take it, sent those that it went to,
-	// returns how often its caller came back.
+	// failures counts the servers that could not take it, attempts those that it was sent to,
+	// callerRetries the retries of its caller.
 	failures      int
 	attempts      int
 	callerRetries int
 	excluded      []string
-	// written is the events that were delivered before the try under way.
+	// written counts the events that were delivered before the current attempt.
 	written int
-	// asleep says that the caller waits to come back.
+	// waiting marks a caller that waits for its next retry.
 	waiting bool
 }
 
@@ -101,7 +100,7 @@
 	return last
 }
 
-// Play plays one day with the options of the entries' placement.
+// Simulate runs a deployment with a seed and the given placement options of its entries.
 func Simulate(deployment Deployment, seed uint64, options placement.Options) *Result {
 	s := &simulation{deployment: &deployment, random: rand.New(rand.NewPCG(seed, 1)), ties: rand.New(rand.NewPCG(seed, 2)), picks: rand.New(rand.NewPCG(seed, 3)), engines: map[string]*enginemodel.Batcher{},
 		jobs: map[string]*request{}, stoppedEntries: map[int]bool{}, crashedEngines: map[string]bool{}, result: &Result{Classes: make([]ClassResult, len(deployment.Classes))}}
@@ -129,10 +128,10 @@
 	return s.result
 }
 
-// partOf returns the part of an entry or engine.
+// shardOf returns the shard of an entry or engine.
 func (s *simulation) shardOf(index int) int { return index % max(s.deployment.Shards, 1) }
 
-// listedFor returns the engines that an entry chooses among.
+// serversFor returns the engines that an entry chooses among.
 func (s *simulation) serversFor(entry int) []directory.Server {
 	if s.deployment.Shards <= 1 {
 		return s.servers
@@ -165,8 +164,8 @@
 	return time.Unix(0, 0).Add(enginemodel.MillisToDuration(s.now))
 }
 
-// maxRateStep bounds how far ahead an arrival is drawn, so that a change of the
-// mix takes hold, in milliseconds.
+// maxArrivalStepMs bounds how far ahead an arrival is drawn, in milliseconds, so that a change of the
+// mix takes effect.
 const maxArrivalStepMs = 500
 
 func (s *simulation) scheduleArrival(class int, from float64) {
@@ -205,7 +204,7 @@
 	s.connect(r)
 }
 
-// connect takes a caller to an entry; while none runs it comes back a little later.
+// connect sends a caller to a running entry; while there is none, it retries after a delay.
 func (s *simulation) connect(r *request) {
 	if r.done {
 		return
@@ -220,16 +219,16 @@
 	s.send(r)
 }
 
-// reconnectMs is after how long, on the mean, a caller tries again that finds no entry.
+// reconnectMs is the mean delay of a caller that finds no running entry, in milliseconds.
 const reconnectMs = 250
 
-// sleep makes a caller come back after a time; it does not lose patience meanwhile.
+// retryAfter lets a caller retry after a delay, which does not count against its patience.
 func (s *simulation) retryAfter(r *request, ms float64) {
 	r.waiting = true
 	s.at(s.now+ms, func() { s.connect(r) })
 }
 
-// pickEntry draws one of the entries that take requests; false if there is none.
+// pickEntry draws one of the running entries; false if there is none.
 func (s *simulation) pickEntry() (int, bool) {
 	var running []int
 	for entry := range s.deployment.Entries {
@@ -244,8 +243,8 @@
 	return running[s.picks.IntN(len(running))], true
 }
 
-// watch makes the caller leave after a pause that is longer than its patience. One that
-// waits to come back loses none.
+// watchPatience lets a caller give up after a gap longer than its patience. The wait for a retry does
+// not count.
 func (s *simulation) watchPatience(r *request) {
 	patience := ms(r.class.patience())
 	if r.waiting {
@@ -262,5 +261,5 @@
 	})
 }
 
-// roundingMs covers the rounding of times that were added up.
+// roundingMs absorbs rounding errors of summed times, in milliseconds.
 const roundingMs = 1e-6
--- a/proof/forwarding/tuning_test.go
+++ b/proof/forwarding/tuning_test.go
@@ -14,31 +14,31 @@
 	"arbutusdeck/core/placement"
 )
 
-// namedDay is a kind of day, played with several seeds.
+// scenario is a deployment simulated with several seeds.
 type scenario struct {
 	name       string
 	deployment Deployment
 	seeds      int
 }
 
-// tuned are the days that options are tuned for; with 13 engines the slots don't
-// suffice for the turn to short prompts.
+// usualScenarios are the runs that options are tuned for. With 13 engines the slots don't suffice for
+// the phase of short prompts.
 var usualScenarios = []scenario{{"0.7", Zagara(0.7), 100}, {"1", Zagara(1), 100}, {"1.2", Zagara(1.2), 100}, {"13 engines", withEngines(Zagara(1), 13), 100},
 	{"grown 0.7", ZagaraGrown(0.7), 20}, {"grown 1", ZagaraGrown(1), 20}}
 
-// hardDays are days with the moments that lose most: all entries stop beside mostly long
-// prompts (25 s) and beside mostly short ones (15 s), sharp turns, engines that crash or
-// are slow.
+// hardScenarios contain the events that lose most: all entries restart during mostly long prompts (25
+// s) and during mostly short ones (15 s), sharp changes of the mix, engines that crash or are slow.
 var hardScenarios = []scenario{{"sanad", Sanad(1), 16}, {"killed", WithEntryRestart(Sanad(1), 24*time.Second, false), 16}, {"power", WithEntryRestart(Sanad(1), 14*time.Second, true), 16},
 	{"spells", withEngineFaults(Sanad(1)), 16}, {"grown", WithEntryRestart(SanadGrown(1), 24*time.Second, false), 3}}
 
-// largeDays are days of a zone of the large deployment: usual, heavier, and with a restart of
-// all entries beside mostly short prompts.
+// largeScenarios simulate one zone of the large deployment: at usual and higher load, and with a
+// restart of all entries during mostly short prompts.
 var largeScenarios = []scenario{{"large 0.8", ZagaraLarge(0.8, 27), 12}, {"large 1", ZagaraLarge(1, 27), 12}, {"large 1.1", ZagaraLarge(1.1, 27), 12},
 	{"large power", WithEntryRestart(ZagaraLarge(1, 27), 14*time.Second, true), 12}}
 
-// turnedDays are days of the press's deployment once its work has shifted: usual, heavier, and with a
-// restart of all entries beside mostly long prompts, each with servers shared and divided by zone.
+// shiftedScenarios simulate the press's deployment after its traffic has shifted: at usual and higher
+// load, and with a restart of all entries during mostly long prompts, each with shared servers and
+// with zone-local routing.
 var shiftedDays = []scenario{{"turned 0.85", ZagaraShifted(0.85), 6}, {"turned 1", ZagaraShifted(1), 6}, {"turned 1.1", ZagaraShifted(1.1), 6},
 	{"turned power", WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 6}, {"divided 1", sharded(ZagaraShifted(1), 3), 6},
 	{"divided power", sharded(WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 3), 6}}
@@ -48,7 +48,7 @@
 	return deployment
 }
 
-// BenchmarkTurned plays variants of the options on days of the press's deployment once its work has shifted.
+// BenchmarkTurned compares variants of the options on the shifted scenarios.
 func BenchmarkTurned(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
 		mean, line := simulateNamed(shiftedDays, options, (*Result).Score)
@@ -56,7 +56,7 @@
 	})
 }
 
-// BenchmarkLarge plays variants of the options on days of a zone of the large deployment.
+// BenchmarkLarge compares variants of the options on the large scenarios.
 func BenchmarkLarge(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
 		mean, line := simulateNamed(largeScenarios, options, (*Result).Score)
@@ -64,7 +64,7 @@
 	})
 }
 
-// BenchmarkParts plays the large deployment in parts of different sizes.
+// BenchmarkParts simulates the large deployment in shards of different sizes.
 func BenchmarkParts(b *testing.B) {
 	options := placement.DefaultOptions("")
 	whole := ZagaraLarge(1, largeEngines)
@@ -82,23 +82,23 @@
 	return deployment
 }
 
-// Drawn deployments are divided by their seeds: options are chosen by the tuning set alone,
-// and the test set tells what a choice is worth on deployments that it never saw.
+// The seeds divide the random deployments: options are chosen by the tuning set alone, and the test
+// set measures a choice on deployments that were not used for it.
 const (
 	tuningSeeds = 24
 	testSeeds   = 24
 	testFrom    = 1000
 )
 
-// playDrawn plays drawn deployments, one day each, and returns their scores.
+// simulateRandom simulates random deployments, one run each, and returns their scores.
 func simulateRandom(from, count int, options placement.Options) []float64 {
 	scores := make([]float64, count)
 	forEach(count, func(i int) { scores[i] = Simulate(RandomDeployment(uint64(from+i)), uint64(i), options).Score() })
 	return scores
 }
 
-// BenchmarkHard plays variants of the options on hard days and drawn deployments.
-// ARBUTUS_SET=test plays the test set in place of the tuning set.
+// BenchmarkHard compares variants of the options on the hard scenarios and on random deployments.
+// ARBUTUS_SET=test selects the test set in place of the tuning set.
 func BenchmarkHard(b *testing.B) {
 	from, count := 0, tuningSeeds
 	if os.Getenv("ARBUTUS_SET") == "test" {
@@ -119,7 +119,7 @@
 	return deployment
 }
 
-// playNamed plays named days and returns the mean of a measure and a line of the figures.
+// simulateNamed simulates scenarios and returns the mean of a measure and a line with the figures.
 func simulateNamed(days []scenario, options placement.Options, measure func(*Result) float64) (float64, string) {
 	line, mean := "", 0.0
 	for _, c := range days {
@@ -136,11 +136,12 @@
 	return mean, line
 }
 
-// largestNamed is the worth of the largest prompts of a class below which a line tells it.
+// reportLargestBelow is the share of worth of the largest prompts of a class below which a line
+// reports it.
 const reportLargestBelow = 0.8
 
-// variants are the options that ARBUTUS_TUNING names, as in
-// "PackGain=0.01;PackGain=0.02,PackShare=0.5", after the defaults.
+// variants calls do with the defaults and then with each variant named by ARBUTUS_TUNING, as in
+// "PackGain=0.01;PackGain=0.02,PackShare=0.5".
 func variants(b *testing.B, do func(name string, options placement.Options)) {
 	for _, variant := range strings.Split(";"+os.Getenv("ARBUTUS_TUNING"), ";") {
 		options := placement.DefaultOptions("")
@@ -149,7 +150,7 @@
 	}
 }
 
-// BenchmarkTuning plays variants of the options on usual days.
+// BenchmarkTuning compares variants of the options on the usual scenarios.
 func BenchmarkTuning(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
 		mean, line := simulateNamed(usualScenarios, options, (*Result).Worth)
@@ -165,11 +166,11 @@
 		}
 		field := reflect.ValueOf(options).Elem().FieldByName(name)
 		if !field.IsValid() {
-			return fmt.Errorf("no option is named %q", name)
+			return fmt.Errorf("unknown option %q", name)
 		}
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fmt.Errorf("%s: %w", setting, err)
+			return fmt.Errorf("parse option %s: %w", setting, err)
 		}
 		if field.CanFloat() {
 			field.SetFloat(value)
--- a/proof/forwarding/upper_bound.go
+++ b/proof/forwarding/upper_bound.go
@@ -9,40 +9,40 @@
 	"arbutusdeck/core/enginemodel"
 )
 
-// The limit of a day is a worth that no scheduler can exceed, one with full knowledge of
-// arrivals and of the engines' state included. It is the answer to an easier problem:
+// The upper bound is a worth that no scheduler can exceed, even with full knowledge of arrivals and of
+// the state of the engines. It solves a relaxed problem:
 //
-//   - Every answer is worth at least what a late one is worth.
-//   - An answer can be in time only if some entry runs to give it its first event within its
-//     target, and if it is not cut by the end of all entries however fast it is written.
-//   - Those in time need their reading before their targets. Of the requests that arrive in a
-//     segment of the day, the reading lies between its begin and its end plus the longest
-//     target; all engines together can't read more in that time. The segment's requests fill
-//     it by their gain for each millisecond of reading, the last one in part.
+//   - Every response is worth at least what a late one is worth.
+//   - A response can be in time only if some entry runs to deliver its first event within the target,
+//     and if no outage of all entries cuts it off however fast it is written.
+//   - Responses in time need their prefill before their target. The prefills of the requests that
+//     arrive in a segment lie between its start and its end plus the longest target, and are limited by
+//     the time of all engines in that span. Requests fill it in the order of their gain per millisecond of
+//     prefill, the last one in part.
 //
-// Each step only leaves conditions out (division costs nothing, writing takes no time from
-// reading, slots, memory and pauses don't count, requests of other segments take nothing), so
-// no schedule can earn more.
+// Each step only drops constraints (dividing a prompt costs nothing, writing takes no time from
+// prefills, slots, memory and gaps don't count, requests of other segments take nothing), so no
+// schedule can earn more.
 
-// segmentMs is the length of a segment in milliseconds. Shorter ones count the time after
-// their end more often, longer ones see less of a turn. On the shops' day at 1.2 times the load
-// with a restart, 2, 4, 8 and 16 s give the same limit, 0.976: reading alone does not bind
+// segmentMs is the length of a segment in milliseconds. Shorter segments count the time after their
+// end more often, longer ones average over changes of the mix. For Sanad at 1.2 times the load with a
+// restart, 2, 4, 8 and 16 s give the same bound, 0.976: prefill time is not the binding constraint
 // there.
 const segmentMs = 8000
 
-// asked is what the limit needs to know of a request.
+// candidate is the part of a request that the upper bound depends on.
 type candidate struct {
 	at, target, workMs float64
 	gain               float64
 }
 
-// limit returns a worth that can't be exceeded, as a share of what is owed.
+// upperBound returns a worth that can't be exceeded, as a share of the demand.
 func (s *simulation) upperBound() float64 {
 	segments := map[int][]candidate{}
-	longestTargetMs, owed, worth := 0.0, 0.0, 0.0
+	longestTargetMs, demand, worth := 0.0, 0.0, 0.0
 	for _, r := range s.requests {
 		full, late := r.class.worth(float64(r.promptTokens))
-		owed += full
+		demand += full
 		worth += late
 		a := candidate{at: r.arrived, target: ms(r.class.Target), workMs: s.deployment.Engine.PrefillMs(r.promptTokens, 1), gain: full - late}
 		if !s.canBeInTime(r, a) {
@@ -55,10 +55,11 @@
 	for _, index := range slices.Sorted(maps.Keys(segments)) {
 		worth += fillSegment(segments[index], float64(s.deployment.Engines)*(segmentMs+longestTargetMs))
 	}
-	return worth / owed
+	return worth / demand
 }
 
-// fill takes requests by their gain for each millisecond of reading until the room is full.
+// fillSegment takes requests in the order of their gain per millisecond of prefill until the capacity
+// is used up, and returns their gain.
 func fillSegment(segment []candidate, capacityMs float64) float64 {
 	slices.SortFunc(segment, func(x, y candidate) int { return cmp.Compare(y.gain/y.workMs, x.gain/x.workMs) })
 	gained := 0.0
@@ -70,7 +71,7 @@
 	return gained
 }
 
-// reachable says whether a request could be in time though all entries are away for a time.
+// canBeInTime tells whether a response could be in time despite the outages of all entries.
 func (s *simulation) canBeInTime(r *request, a candidate) bool {
 	alone := s.deployment.Engine.PassMs(enginemodel.Batch{Answers: 1, ContextTokens: r.promptTokens}) / float64(s.deployment.Engine.Stride)
 	writing := float64(r.outputTokens) * alone
