--- a/proof/processes/callers_test.go
+++ b/proof/processes/callers_test.go
@@ -16,11 +16,11 @@
 	"arbutusdeck/standin/fleet"
 )
 
-// Bad requests get a 4xx with a stable code, say that nothing was run, and leave
-// nothing behind.
+// Bad requests get a 4xx with a stable code, are reported as not run, and leave no open request
+// behind.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
+	s := startTestbed(t, fastSpec())
 	good := completionBody(prompt(10), 2, false)
 	kind := func(name string) map[string]string { return map[string]string{"X-Request-Kind": name} }
 	cases := []struct {
@@ -53,7 +53,7 @@
 			a := s.do(c.call)
 			require.NoError(t, a.err)
 			require.Equal(t, c.status, a.status, a.body)
-			p := problemOf(t, a)
+			p := decodeError(t, a)
 			require.Equal(t, c.code, p.Error.Code)
 			require.Contains(t, a.body, strings.ReplaceAll(c.message, `"`, `\"`))
 			require.NotEqual(t, "finished", p.Error.Run)
@@ -65,18 +65,17 @@
 	require.Equal(t, 200, s.do(call{path: "/v1/completions", body: good}).status)
 }
 
-// A prompt that needs three engines runs on a group of them; afterwards none of
-// them holds memory.
+// A prompt that needs three engines runs on a group of them; afterwards none of them holds memory.
 func TestEngineGroup(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
 	spec.Speed, spec.Grouped = 100, true
-	s := startSite(t, spec)
+	s := startTestbed(t, spec)
 	a := s.do(call{path: "/v1/completions", body: completionBody(strings.Repeat("poem", 900_000), 3, true),
 		headers: map[string]string{"X-Request-Kind": fleet.LongKind}})
 	require.Equal(t, 200, a.status, a.body)
 	require.Contains(t, a.body, "[DONE]")
-	s.eventually("all parts are given back", func() bool {
+	s.eventually("all parts are released", func() bool {
 		for i := range spec.Servers {
 			var memory struct{ Leases []any }
 			if !s.status(fleet.ServerName(i), "memory", &memory) || len(memory.Leases) > 0 {
@@ -87,17 +86,17 @@
 	})
 }
 
-// An operator publishes a new version. Every engine gets one order for it, and
-// the audit trail says so.
-func TestNewVersionIsOrdered(t *testing.T) {
+// An operator publishes a new version: every engine gets one order for it, and the audit trail records
+// it.
+func TestANewVersionIsOrderedOncePerEngine(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
+	s := startTestbed(t, fastSpec())
 	hall := s.fleet.Config.Halls[fleet.Hall]
 	hall.Version = "v2"
 	s.fleet.Config.Halls[fleet.Hall] = hall
 	require.NoError(t, s.fleet.Publish())
 	for i := range s.fleet.Spec.Servers {
-		s.eventually("the engine is as wanted", func() bool {
+		s.eventually("the engine is in its desired state", func() bool {
 			var engines []struct {
 				Matches bool
 				Wanted  string
@@ -115,37 +114,37 @@
 	require.Contains(t, s.get(fleet.EntryName(0), "/metrics"), "arbutusdeck_requests 0")
 }
 
-// A plain service that checks fencing numbers gets one that grows with each start
-// of its daemon, so that a killed daemon's late call is refused.
+// The fencing number that a plain service receives grows with each start of its daemon, so that a late
+// call of a killed daemon is refused.
 func TestFencedServiceSeesGrowingNumbers(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
 	spec.Servers, spec.Entries = 1, 1
-	s := startSite(t, spec)
+	s := startTestbed(t, spec)
 	service := s.fleet.Config.Services[fleet.Service]
 	service.ChecksFencing = true
 	s.fleet.Config.Services[fleet.Service] = service
 	require.NoError(t, s.fleet.Publish())
-	s.eventually("the new revision is in force", func() bool { return s.revisionEverywhere(2) })
+	s.eventually("the new revision is current everywhere", func() bool { return s.revisionEverywhere(2) })
 	require.Equal(t, 200, s.do(call{path: "/v1/services/orders/a", body: "1"}).status)
 	first := s.fleet.Services[0].Fence()
 	require.Positive(t, first)
 	s.signal(fleet.ServerName(0), syscall.SIGKILL)
 	s.restart(fleet.ServerName(0))
-	s.eventually("the entry knows the new daemon", func() bool { return s.do(call{path: "/v1/services/orders/a", body: "2"}).status == 200 })
+	s.eventually("the entry reaches the restarted daemon", func() bool { return s.do(call{path: "/v1/services/orders/a", body: "2"}).status == 200 })
 	require.Greater(t, s.fleet.Services[0].Fence(), first)
 	require.Contains(t, s.get(fleet.EntryName(0), "/v1/status/peers"), fleet.ServerName(0))
 }
 
-// Engines report load with a lag and cache events late; operators see them.
+// Delayed load reports and cache events of engines appear in the status.
 func TestEngineReportsAreShown(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
+	s := startTestbed(t, fastSpec())
 	for i := range 30 {
 		text := fmt.Sprintf("%04d %s", i, prompt(500))
 		require.Equal(t, 200, s.do(call{path: "/v1/completions", body: completionBody(text, 2, false)}).status)
 	}
-	s.eventually("cached prefixes are shown", func() bool {
+	s.eventually("cached prefixes are reported", func() bool {
 		cached := 0
 		for i := range s.fleet.Spec.Servers {
 			var reports map[string]struct{ CachedPrefixes int }
@@ -157,30 +156,30 @@
 	})
 }
 
-// A bad folder is published: it is refused whole everywhere, with file and line
-// in the audit trail, and the last good one stays in force.
-func TestBadFolderIsRefusedEverywhere(t *testing.T) {
+// An invalid folder is rejected as a whole everywhere, with file and line in the audit trail, and the
+// last valid one stays current.
+func TestInvalidFolderIsRejectedEverywhere(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
+	s := startTestbed(t, fastSpec())
 	s.fleet.Platform.Publish([]config.File{{Name: "99-typo.yaml", Content: []byte("kinds:\n  gloss:\n    hal: x\n")}})
 	for name := range s.daemons {
-		s.eventually(name+" has refused it", func() bool { return strings.Contains(s.get(name, "/v1/audit"), "99-typo.yaml:3: unknown key") })
+		s.eventually(name+" has rejected it", func() bool { return strings.Contains(s.get(name, "/v1/audit"), "99-typo.yaml:3: unknown key") })
 	}
 	require.True(t, s.revisionEverywhere(1))
 	require.Equal(t, 200, s.do(call{path: "/v1/completions", body: completionBody(prompt(10), 2, false)}).status)
 }
 
-// The host list says that a server leaves. It gets no new work; requests go on.
-func TestListedAsLeavingGetsNothingNew(t *testing.T) {
+// A server that the host list marks as draining gets no new work; its requests go on.
+func TestServerListedAsDrainingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
-	time.Sleep(21 * time.Second) // the list may lag that long behind a restart
+	s := startTestbed(t, fastSpec())
+	time.Sleep(21 * time.Second) // the list may lag that far behind a restart
 	var hosts []core.Host
 	for name, server := range s.fleet.Config.Servers {
 		hosts = append(hosts, core.Host{Server: name, Address: server.Address, Leaving: name == fleet.ServerName(0)})
 	}
 	s.fleet.Platform.SetHosts(hosts)
-	s.eventually("both sides know", func() bool {
+	s.eventually("the entry and the host know", func() bool {
 		return strings.Contains(s.get(fleet.EntryName(0), "/v1/status/members"), "leaving") &&
 			strings.Contains(s.get(fleet.ServerName(0), "/v1/audit"), "the host list says so")
 	})
@@ -191,8 +190,8 @@
 	}
 }
 
-// get reads a page of a daemon's administration API.
-func (s *site) get(name, path string) string {
+// get returns a page of a daemon's administration API; empty if the request fails.
+func (s *testbed) get(name, path string) string {
 	request, err := http.NewRequest(http.MethodGet, s.fleet.AdminURL(name)+path, nil)
 	require.NoError(s.t, err)
 	request.Header.Set("Authorization", "Bearer "+fleet.AdminToken)
--- a/proof/processes/forward_test.go
+++ b/proof/processes/forward_test.go
@@ -21,33 +21,33 @@
 	"arbutusdeck/platform/standin"
 )
 
-// forwarding is some entries that forward requests, as processes, before a store and backend
-// servers.
-type forwarding struct {
-	*site
+// forwardTestbed runs entries that forward requests as processes, with a store and backend servers.
+type forwardTestbed struct {
+	*testbed
 	store   *standin.Store
 	entries []gateway.Settings
 }
 
-// forwardingSpec describes the entries.
-type forwardingSpec struct {
+// forwardSpec describes the entries.
+type forwardSpec struct {
 	entries, processors int
 	stopLimit           time.Duration
-	// memoryMB is what a process may have, in MB; 0 for the usual 200. bodyBytes bounds a request's body; 0 for the usual bound.
+	// memoryMB is the memory limit of a process in MB; 0 for the usual 200. bodyBytes bounds the body
+	// of a request; 0 for the usual bound.
 	memoryMB, bodyBytes int64
 }
 
-var forwardingHosts atomic.Int32
+var usedForwardHosts atomic.Int32
 
-// forwardingHost returns a loopback host that no other entry of these tests has.
-func forwardingHost() string {
-	pid, n := os.Getpid(), int(forwardingHosts.Add(1))
+// nextForwardHost returns a loopback address that no other entry of these tests uses.
+func nextForwardHost() string {
+	pid, n := os.Getpid(), int(usedForwardHosts.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d", 200+pid%50, pid/50%200+n/200, 1+n%200)
 }
 
-// startForwarding starts entries that know the workers and waits until they are ready.
-func startForwarding(t testing.TB, spec forwardingSpec, workers ...*standin.Worker) *forwarding {
-	f := &forwarding{site: &site{t: t, folder: t.TempDir(), daemons: map[string]*daemon{}, client: &http.Client{}}, store: standin.NewStore()}
+// startForwardTestbed starts entries that know the workers and waits until they are ready.
+func startForwardTestbed(t testing.TB, spec forwardSpec, workers ...*standin.Worker) *forwardTestbed {
+	f := &forwardTestbed{testbed: &testbed{t: t, folder: t.TempDir(), daemons: map[string]*daemon{}, client: &http.Client{}}, store: standin.NewStore()}
 	t.Cleanup(f.store.Close)
 	t.Cleanup(f.store.CloseClientConnections)
 	configuration := standin.Configuration(1)
@@ -67,8 +67,8 @@
 	return f
 }
 
-func (f *forwarding) startEntry(index int, spec forwardingSpec) {
-	host := forwardingHost()
+func (f *forwardTestbed) startEntry(index int, spec forwardSpec) {
+	host := nextForwardHost()
 	settings := gateway.Settings{Name: fmt.Sprintf("forward-%d", index), Zone: "here", ListenAddress: host + ":7801", ReadyAddress: host + ":7802",
 		PeerAddress: host + ":7803", MetricsAddress: host + ":7804", Store: f.store.Address(), MemoryMB: cmp.Or(spec.memoryMB, 200), Processors: spec.processors,
 		StopLimit: config.Duration(spec.stopLimit), RetryRatio: 0.2, RetryExtra: 100, RetryWindow: config.Duration(10 * time.Second),
@@ -84,7 +84,7 @@
 	f.launch(settings.Name, []string{filepath.Join(binaries, "arbutus-entry"), "forward", "--settings", path})
 }
 
-func (f *forwarding) isReady(settings gateway.Settings) bool {
+func (f *forwardTestbed) isReady(settings gateway.Settings) bool {
 	response, err := f.client.Get("http://" + settings.ReadyAddress + platform.ReadyPath)
 	if err != nil {
 		return false
@@ -94,24 +94,24 @@
 }
 
 // stop sends SIGTERM to an entry.
-func (f *forwarding) stop(entry int) { f.signal(f.entries[entry].Name, syscall.SIGTERM) }
+func (f *forwardTestbed) stop(entry int) { f.signal(f.entries[entry].Name, syscall.SIGTERM) }
 
-// stream asks an entry for a stream, on a connection of its own. begun is called with the first
-// byte of the answer.
-func (f *forwarding) stream(entry int, id string, prompt, length int64, begun func()) answer {
+// stream requests a stream from an entry on a connection of its own and calls onFirstByte at the first
+// byte of the response.
+func (f *forwardTestbed) stream(entry int, id string, prompt, length int64, onFirstByte func()) callResult {
 	request := standin.Asking(standin.Call(f.entries[entry].ListenAddress, http.MethodPost, "/stream/x", id, 0, "x"), prompt, length)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	response, err := (&http.Client{Transport: transport}).Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
-	return readAnswer(response, begun)
+	return readResponse(response, onFirstByte)
 }
 
-// runOf returns what an entry's error says of the request's run.
-func runOf(t testing.TB, a answer) string {
-	var problem struct{ Run string }
-	require.NoError(t, json.Unmarshal([]byte(a.body), &problem), a.body)
-	return problem.Run
+// runField returns the run state that an entry's error reports.
+func runField(t testing.TB, a callResult) string {
+	var errorBody struct{ Run string }
+	require.NoError(t, json.Unmarshal([]byte(a.body), &errorBody), a.body)
+	return errorBody.Run
 }
--- a/proof/processes/harness_test.go
+++ b/proof/processes/harness_test.go
@@ -1,5 +1,5 @@
-// Package processes runs the two daemons as real processes on loopback and lets
-// them be killed, stopped and cut off.
+// Package processes tests the two daemons as real processes on loopback, and kills, stops and suspends
+// them.
 package processes
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/goccy/go-yaml"
 	"github.com/stretchr/testify/require"
 
-	_ "arbutusdeck/entry/server" // the cache of test results must see the daemons' code
+	_ "arbutusdeck/entry/server" // imported so that cached test results depend on the daemons' code
 	_ "arbutusdeck/host/server"
 	"arbutusdeck/standin/fleet"
 )
 
-// binaries are built once for all tests.
+// binaries is the folder with the daemons, built once for all tests.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -43,34 +43,33 @@
 	os.Exit(code)
 }
 
-// patience bounds every wait of these tests. It is no expectation: a test fails
-// on it only if what it waits for never comes.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait of these tests. It is not an expected duration: a test reaches it only
+// if the awaited condition never holds.
+const waitTimeout = 30 * time.Second
 
 // daemon is one running process.
 type daemon struct {
 	name    string
 	cmd     *exec.Cmd
 	out     *bytes.Buffer
-	waited  chan struct{}
+	exited  chan struct{}
 	command []string
 }
 
-type site struct {
+type testbed struct {
 	t       testing.TB
 	fleet   *fleet.Fleet
 	folder  string
 	daemons map[string]*daemon
-	// wait starts the daemons only once this many are up.
-	client *http.Client
+	client  *http.Client
 }
 
-// startSite starts the stand-ins and all daemons and waits until they are ready.
-func startSite(t testing.TB, spec fleet.Spec) *site {
+// startTestbed starts the stand-ins and all daemons and waits until they are ready.
+func startTestbed(t testing.TB, spec fleet.Spec) *testbed {
 	f, err := fleet.Start(spec)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
-	s := &site{t: t, fleet: f, folder: t.TempDir(), daemons: map[string]*daemon{}, client: &http.Client{}}
+	s := &testbed{t: t, fleet: f, folder: t.TempDir(), daemons: map[string]*daemon{}, client: &http.Client{}}
 	t.Cleanup(s.client.CloseIdleConnections)
 	for i := range spec.Servers {
 		settings, err := f.HostSettings(i)
@@ -88,7 +87,7 @@
 	return s
 }
 
-func (s *site) start(binary, name string, settings any) {
+func (s *testbed) start(binary, name string, settings any) {
 	content, err := yaml.Marshal(settings)
 	require.NoError(s.t, err)
 	path := filepath.Join(s.folder, name+".yaml")
@@ -96,49 +95,49 @@
 	s.launch(name, []string{filepath.Join(binaries, binary), "serve", "--settings", path})
 }
 
-func (s *site) launch(name string, command []string) {
-	d := &daemon{name: name, command: command, out: &bytes.Buffer{}, waited: make(chan struct{})}
+func (s *testbed) launch(name string, command []string) {
+	d := &daemon{name: name, command: command, out: &bytes.Buffer{}, exited: make(chan struct{})}
 	d.cmd = exec.Command(command[0], command[1:]...)
 	d.cmd.Stderr = d.out
 	d.cmd.Stdout = d.out
 	require.NoError(s.t, d.cmd.Start())
 	go func() {
 		_ = d.cmd.Wait()
-		close(d.waited)
+		close(d.exited)
 	}()
 	s.daemons[name] = d
 	s.t.Cleanup(func() {
 		_ = d.cmd.Process.Signal(syscall.SIGCONT)
 		_ = d.cmd.Process.Kill()
-		<-d.waited
+		<-d.exited
 		if s.t.Failed() {
 			s.t.Logf("%s:\n%s", name, d.out)
 		}
 	})
 }
 
-// restart starts a daemon anew after it has ended.
-func (s *site) restart(name string) {
-	<-s.daemons[name].waited
+// restart waits until a daemon has exited and starts it again.
+func (s *testbed) restart(name string) {
+	<-s.daemons[name].exited
 	s.launch(name, s.daemons[name].command)
 	s.awaitReady(name)
 }
 
-func (s *site) signal(name string, signal syscall.Signal) {
+func (s *testbed) signal(name string, signal syscall.Signal) {
 	require.NoError(s.t, s.daemons[name].cmd.Process.Signal(signal))
 }
 
-// awaitExit waits for a daemon's end and returns its exit code.
-func (s *site) awaitExit(name string) int {
+// awaitExit waits until a daemon has exited and returns its exit code.
+func (s *testbed) awaitExit(name string) int {
 	select {
-	case <-s.daemons[name].waited:
-	case <-time.After(patience):
-		s.t.Fatalf("%s did not end", name)
+	case <-s.daemons[name].exited:
+	case <-time.After(waitTimeout):
+		s.t.Fatalf("%s did not exit", name)
 	}
 	return s.daemons[name].cmd.ProcessState.ExitCode()
 }
 
-func (s *site) awaitReady(name string) {
+func (s *testbed) awaitReady(name string) {
 	s.eventually(name+" is ready", func() bool {
 		response, err := s.client.Get(s.fleet.AdminURL(name) + "/readyz")
 		if err != nil {
@@ -149,19 +148,19 @@
 	})
 }
 
-func (s *site) eventually(what string, check func() bool) {
+func (s *testbed) eventually(what string, check func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !check() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("never came true: %s", what)
+			s.t.Fatalf("timed out before: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// status reads one section of a daemon's status into target.
-func (s *site) status(name, section string, target any) bool {
+// status decodes one section of a daemon's status into target; false if it can't be read.
+func (s *testbed) status(name, section string, target any) bool {
 	request, err := http.NewRequest(http.MethodGet, s.fleet.AdminURL(name)+"/v1/status/"+section, nil)
 	require.NoError(s.t, err)
 	request.Header.Set("Authorization", "Bearer "+fleet.AdminToken)
@@ -173,7 +172,7 @@
 	return json.NewDecoder(response.Body).Decode(target) == nil
 }
 
-// call is one caller's request.
+// call describes the request of a caller.
 type call struct {
 	entry   int
 	path    string
@@ -181,19 +180,19 @@
 	headers map[string]string
 }
 
-// answer is what the caller saw.
-type answer struct {
+// callResult is the response that a caller received, or its error.
+type callResult struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-func (s *site) do(c call) answer { return s.doAfterFirst(c, func() {}) }
+func (s *testbed) do(c call) callResult { return s.doOnFirstByte(c, func() {}) }
 
-// doAfterFirst makes a call and, once the first byte of its answer is there, does
-// something before it reads on.
-func (s *site) doAfterFirst(c call, then func()) answer {
+// doOnFirstByte sends a request and calls onFirstByte between the first byte of the response and the
+// rest.
+func (s *testbed) doOnFirstByte(c call, onFirstByte func()) callResult {
 	request, err := http.NewRequest(http.MethodPost, s.fleet.CallerURL(c.entry)+c.path, strings.NewReader(c.body))
 	require.NoError(s.t, err)
 	request.Header.Set("Authorization", "Bearer "+fleet.APIKey)
@@ -203,24 +202,24 @@
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
-	return readAnswer(response, then)
+	return readResponse(response, onFirstByte)
 }
 
-// readAnswer reads an answer and does something once its first byte is there.
-func readAnswer(response *http.Response, then func()) answer {
+// readResponse reads a response and calls onFirstByte after its first byte.
+func readResponse(response *http.Response, onFirstByte func()) callResult {
 	defer response.Body.Close()
 	first := make([]byte, 1)
 	n, _ := io.ReadFull(response.Body, first)
-	then()
+	onFirstByte()
 	rest, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, body: string(first[:n]) + string(rest), header: response.Header, err: err}
+	return callResult{status: response.StatusCode, body: string(first[:n]) + string(rest), header: response.Header, err: err}
 }
 
-// goDo makes a call in the background.
-func (s *site) goDo(c call) <-chan answer {
-	result := make(chan answer, 1)
+// doAsync sends a request in the background.
+func (s *testbed) doAsync(c call) <-chan callResult {
+	result := make(chan callResult, 1)
 	go func() { result <- s.do(c) }()
 	return result
 }
--- a/proof/processes/measure_test.go
+++ b/proof/processes/measure_test.go
@@ -18,9 +18,9 @@
 	"arbutusdeck/standin/fleet"
 )
 
-// These benchmarks print figures of real processes. They assert nothing.
+// These benchmarks print measurements of real processes and assert nothing.
 
-// instantSpec makes the engine's own time small beside the path's.
+// instantSpec makes the engine's time small compared with the time of the request path.
 func instantSpec() fleet.Spec {
 	spec := fleet.DefaultSpec()
 	spec.Servers, spec.Entries, spec.Speed, spec.Slots = 3, 1, 1000, 2000
@@ -54,10 +54,10 @@
 	return all[int(q*float64(len(all)-1))]
 }
 
-// BenchmarkPath prints the time to the first byte through both daemons and from
-// the engine directly, in turn, in one run.
+// BenchmarkPath prints the time to the first byte through both daemons and from the engine directly,
+// alternating within one run.
 func BenchmarkPath(b *testing.B) {
-	s := startSite(b, instantSpec())
+	s := startTestbed(b, instantSpec())
 	const rounds = 3000
 	body := completionBody(prompt(200), 1, true)
 	var direct, through []time.Duration
@@ -73,16 +73,16 @@
 	}
 }
 
-// BenchmarkAtRest prints what each daemon holds without requests and with 1,000
-// open streams, and its time from the start to ready.
+// BenchmarkAtRest prints the memory and goroutines of each daemon without requests and with 1,000 open
+// streams, and the time from start to ready.
 func BenchmarkAtRest(b *testing.B) {
 	spec := instantSpec()
 	spec.Speed = 1
 	spec.Servers = 1
 	begun := time.Now()
-	s := startSite(b, spec)
+	s := startTestbed(b, spec)
 	b.Logf("start to ready, both daemons and the stand-ins' publication: %s", time.Since(begun).Round(time.Millisecond))
-	s.printUse(b, "at rest")
+	s.printUsage(b, "at rest")
 	s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 2000}
 	var wait sync.WaitGroup
 	for range 1000 {
@@ -92,16 +92,16 @@
 		var status struct{ OpenRequests int }
 		return s.status(fleet.EntryName(0), "daemon", &status) && status.OpenRequests == 1000
 	})
-	s.printUse(b, "1,000 open streams")
+	s.printUsage(b, "1,000 open streams")
 	wait.Wait()
 }
 
-// BenchmarkMillionTokens prints the entry's memory for one prompt of a million
-// tokens, and for eight at once.
+// BenchmarkMillionTokens prints the entry's memory for one prompt of a million tokens, and for eight
+// at once.
 func BenchmarkMillionTokens(b *testing.B) {
 	spec := instantSpec()
-	s := startSite(b, spec)
-	s.printUse(b, "at rest")
+	s := startTestbed(b, spec)
+	s.printUsage(b, "at rest")
 	for _, count := range []int{1, 8} {
 		var wait sync.WaitGroup
 		for range count {
@@ -112,14 +112,14 @@
 			})
 		}
 		wait.Wait()
-		s.printUse(b, fmt.Sprintf("after %d prompts of 4,000,000 bytes at once", count))
+		s.printUsage(b, fmt.Sprintf("after %d prompts of 4,000,000 bytes at once", count))
 	}
 }
 
 var goroutines = regexp.MustCompile(`(?m)^arbutusdeck_goroutines (\S+)`)
 
-// printUse prints resident memory now and at its highest, and goroutines.
-func (s *site) printUse(b *testing.B, when string) {
+// printUsage prints the current and the peak resident memory and the goroutines of each daemon.
+func (s *testbed) printUsage(b *testing.B, when string) {
 	for name, d := range s.daemons {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 		require.NoError(b, err)
@@ -145,11 +145,11 @@
 	return "?"
 }
 
-// clockTick is the unit of processor times in /proc, on every Linux.
+// clockTick is the unit of CPU times in /proc, the same on every Linux.
 const clockTick = 10 * time.Millisecond
 
-// processorTime reads how much processor time a daemon has used.
-func (s *site) processorTime(b *testing.B, name string) time.Duration {
+// processorTime returns the CPU time that a daemon has used.
+func (s *testbed) processorTime(b *testing.B, name string) time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", s.daemons[name].cmd.Process.Pid))
 	require.NoError(b, err)
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
@@ -160,9 +160,9 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// BenchmarkIdle prints the processor time of daemons that have nothing to do.
+// BenchmarkIdle prints the CPU time of idle daemons.
 func BenchmarkIdle(b *testing.B) {
-	s := startSite(b, fleet.DefaultSpec())
+	s := startTestbed(b, fleet.DefaultSpec())
 	const wait = 20 * time.Second
 	before := map[string]time.Duration{}
 	for name := range s.daemons {
@@ -175,12 +175,11 @@
 	}
 }
 
-// BenchmarkTokens prints the processor time that one token and one request cost
-// each daemon.
+// BenchmarkTokens prints the CPU time that each daemon uses for one token and for one request.
 func BenchmarkTokens(b *testing.B) {
 	spec := instantSpec()
 	spec.Servers, spec.Speed = 1, 2
-	s := startSite(b, spec)
+	s := startTestbed(b, spec)
 	s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 500}
 	for _, c := range []struct{ requests, tokens int }{{2000, 1}, {400, 400}} {
 		before := map[string]time.Duration{}
--- a/proof/processes/memory_test.go
+++ b/proof/processes/memory_test.go
@@ -18,8 +18,9 @@
 	"arbutusdeck/platform/standin"
 )
 
-// Five hundred callers don't take their answers, and two hundred prompts of megabytes come at the same moment. Each held
-// what it liked, more in all than the smallest host has, and the process was killed with everything that it served.
+// Guards against an entry that runs out of memory: 500 callers don't read their responses while 200
+// prompts of several megabytes arrive at once. Without bounds each held what it liked, more in total
+// than the smallest host has, and the process was killed with all its requests.
 func TestSlowReadersAndEnormousPromptsStayWithinTheMemory(t *testing.T) {
 	const (
 		memoryMB, callers, prompts = 184, 500, 200
@@ -39,15 +40,15 @@
 		t.Cleanup(worker.Close)
 	}
 	t.Cleanup(release)
-	f := startForwarding(t, forwardingSpec{entries: 1, processors: 4, stopLimit: usualStop, memoryMB: memoryMB, bodyBytes: 4 << 20}, plain, engine)
+	f := startForwardTestbed(t, forwardSpec{entries: 1, processors: 4, stopLimit: usualStopLimit, memoryMB: memoryMB, bodyBytes: 4 << 20}, plain, engine)
 	entry := f.entries[0]
 
 	var opening sync.WaitGroup
 	var begun atomic.Int32
 	for i := range callers {
 		opening.Go(func() {
-			for until := time.Now().Add(patience); time.Now().Before(until); {
-				if f.readBegin(entry.ListenAddress, fmt.Sprint("reader-", i)) {
+			for until := time.Now().Add(waitTimeout); time.Now().Before(until); {
+				if f.readResponseStart(entry.ListenAddress, fmt.Sprint("reader-", i)) {
 					begun.Add(1)
 					return
 				}
@@ -64,7 +65,7 @@
 			statuses <- statusOf(request)
 		}()
 	}
-	f.eventually("all prompts are held or refused", func() bool { return len(statuses)+len(engine.Runs()) >= prompts })
+	f.eventually("all prompts are buffered or refused", func() bool { return len(statuses)+len(engine.Runs()) >= prompts })
 	release()
 	counts := map[int]int{}
 	for range prompts {
@@ -72,13 +73,14 @@
 	}
 	require.Equal(t, prompts, counts[http.StatusOK]+counts[http.StatusServiceUnavailable], "%v", counts)
 	require.NotZero(t, counts[http.StatusOK])
-	highest := f.highestMemory(entry.Name)
-	t.Logf("%d MB at the highest; prompts by status: %v", highest>>20, counts)
-	require.Less(t, highest, int64(memoryMB)<<20)
+	peak := f.peakMemory(entry.Name)
+	t.Logf("%d MB at the highest; prompts by status: %v", peak>>20, counts)
+	require.Less(t, peak, int64(memoryMB)<<20)
 }
 
-// readBegin sends a request and takes the first bytes of its answer alone; false if that is no success.
-func (f *forwarding) readBegin(address, id string) bool {
+// readResponseStart sends a request and reads only the first bytes of the response; false unless they
+// report success.
+func (f *forwardTestbed) readResponseStart(address, id string) bool {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -93,7 +95,7 @@
 	return err == nil && string(begin) == "HTTP/1.1 200"
 }
 
-// statusOf returns the status of a request's answer, 0 if there is none.
+// statusOf returns the status of a response, 0 if there is none.
 func statusOf(request *http.Request) int {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -106,8 +108,8 @@
 	return response.StatusCode
 }
 
-// highestMemory is the most memory that a daemon has had resident, in bytes.
-func (s *site) highestMemory(name string) int64 {
+// peakMemory returns the peak resident memory of a daemon, in bytes.
+func (s *testbed) peakMemory(name string) int64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.daemons[name].cmd.Process.Pid))
 	require.NoError(s.t, err)
 	kilobytes, err := strconv.ParseInt(strings.TrimSuffix(field(status, "VmHWM"), " kB"), 10, 64)
--- a/proof/processes/path_test.go
+++ b/proof/processes/path_test.go
@@ -18,12 +18,12 @@
 	return spec
 }
 
-// fingerprint is what the stand-in engine puts into each token of an answer.
+// fingerprint returns what the stand-in engine puts into each token of a response.
 func fingerprint(prompt string) string { return engine.Fingerprint([]byte(`"` + prompt + `"`)) }
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	t.Parallel()
-	s := startSite(t, fastSpec())
+	s := startTestbed(t, fastSpec())
 	text := prompt(500)
 	streamed := s.do(call{path: "/v1/completions", body: completionBody(text, 5, true)})
 	require.NoError(t, streamed.err)
