--- a/proof/matrix/groups_test.go
+++ b/proof/matrix/groups_test.go
@@ -12,12 +12,12 @@
 	"arbutusdeck/proof/lab"
 )
 
-func kindNamed(name string) kind {
-	return kinds[slices.IndexFunc(kinds, func(k kind) bool { return k.name == name })]
+func kindNamed(name string) requestKind {
+	return requestKinds[slices.IndexFunc(requestKinds, func(k requestKind) bool { return k.name == name })]
 }
 
-// Two enormous prompts want the same group at once. They are served one after
-// the other; the one that waits holds no engine's memory meanwhile.
+// Guards against a deadlock of two prompts that need the same group of engines: they are served one
+// after the other, and the waiting one holds no engine's memory meanwhile.
 func TestGroupsDoNotWaitWhileHolding(t *testing.T) {
 	c := newCell(kindNamed("engine group"))
 	c.lab.Run(2 * time.Second)
@@ -37,8 +37,8 @@
 	c.check(t)
 }
 
-// Prompts that need one engine keep coming while one needs three. It is not
-// overtaken for ever: its refused parts claim the memory that becomes free.
+// Guards against starvation of a prompt that needs three engines while prompts that need one keep
+// arriving: its refused parts claim the memory that becomes free.
 func TestGroupsAreNotStarved(t *testing.T) {
 	c := newCell(kindNamed("engine group"))
 	c.lab.Run(2 * time.Second)
@@ -50,15 +50,15 @@
 	c.lab.Run(20 * time.Second)
 	request := c.kind.request
 	request.Workspace, request.PromptTokens = lab.Workspace, 850_000
-	big := c.lab.Entries[1].Submit(request)
+	largest := c.lab.Entries[1].Submit(request)
 	c.lab.Run(3 * time.Minute)
-	require.NotNil(t, big.Conclusion)
-	require.Equal(t, execution.Finished, big.Conclusion.Outcome)
+	require.NotNil(t, largest.Conclusion)
+	require.Equal(t, execution.Finished, largest.Conclusion.Outcome)
 }
 
-// The lead is gone when a member's late grant arrives, or the reservation was
-// refused elsewhere meanwhile: the part is given back at once.
-func TestGroupsGiveBackALateGrant(t *testing.T) {
+// A grant that arrives after the reservation was refused elsewhere is released at once, so that its
+// memory does not stay reserved.
+func TestGroupsReleaseALateGrant(t *testing.T) {
 	group := memory.NewGroup(6 * time.Second)
 	parts := []memory.Part{{Server: "a", Engine: "e0", Tokens: 5}, {Server: "b", Engine: "e0", Tokens: 5}}
 	require.Len(t, group.Begin(lab.Epoch, "r", parts), 2)
@@ -66,12 +66,12 @@
 	require.Equal(t, []memory.GroupAction{memory.GiveBack{Reservation: "r", Part: parts[1]}}, group.Answered("r", parts[1], true))
 }
 
-// A host is cut off in mid-stream; no reset reaches the entry. The silence is
-// noticed within seconds and another server answers, long before the deadline.
-func TestSilenceIsNoticed(t *testing.T) {
+// A host is partitioned in mid-stream and no reset reaches the entry. The entry detects the silence
+// within seconds and another server responds, long before the deadline.
+func TestSilenceIsDetected(t *testing.T) {
 	c := newCell(kindNamed("whole"))
 	c.lab.Run(2 * time.Second)
-	c.arm(strike{step: "first frame", fault: fault{strike: cut(true, true), heal: none}})
+	c.armFaults(injection{step: "first frame", fault: fault{inject: partition(true, true), clear: noClear}})
 	request := c.kind.request
 	request.Workspace = lab.Workspace
 	s := c.lab.Entries[0].Submit(request)
--- a/proof/matrix/matrix_test.go
+++ b/proof/matrix/matrix_test.go
@@ -1,5 +1,5 @@
-// Package matrix holds every fault against every step of the life of a request,
-// a reservation, an order and a snapshot, on the real cores in virtual time.
+// Package matrix combines every fault with every step of a request, a reservation, an order and a
+// snapshot, on the real cores in virtual time.
 package matrix
 
 import (
@@ -18,7 +18,7 @@
 	"arbutusdeck/standin/engine"
 )
 
-// TestMain fixes the seed: the same pairs of faults are drawn in every run.
+// TestMain fixes the seed so that every run draws the same pairs of faults.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -27,20 +27,20 @@
 	os.Exit(m.Run())
 }
 
-// A step is the message at whose first sending the fault strikes.
+// steps are the messages whose first sending triggers a fault.
 var steps = []string{"offer", "offer reply", "open", "first frame", "frame", "last frame", "reserve", "reserve reply", "probe reply"}
 
-// fault is something that goes wrong, and the healing that follows later.
+// fault injects a failure and clears it later.
 type fault struct {
 	name   string
-	strike func(c *cell, m lab.Message) lab.Fate
-	heal   func(c *cell)
+	inject func(c *cell, m lab.Message) lab.Fate
+	clear  func(c *cell)
 }
 
-// faultTime is how long a fault lasts: longer than every lease.
-const faultTime = 12 * time.Second
+// faultDuration is longer than every lease.
+const faultDuration = 12 * time.Second
 
-func none(*cell) {}
+func noClear(*cell) {}
 
 func (c *cell) parties(m lab.Message) (host *lab.Host, entry *lab.Entry) {
 	for _, h := range c.lab.Hosts {
@@ -73,23 +73,23 @@
 	}
 }
 
-func cut(there, back bool) func(c *cell, m lab.Message) lab.Fate {
+func partition(forward, reverse bool) func(c *cell, m lab.Message) lab.Fate {
 	return func(c *cell, m lab.Message) lab.Fate {
-		if there {
+		if forward {
 			c.lab.Cut(m.From, m.To)
 		}
-		if back {
+		if reverse {
 			c.lab.Cut(m.To, m.From)
 		}
 		return lab.Fate{}
 	}
 }
 
-func fate(f lab.Fate) func(*cell, lab.Message) lab.Fate {
+func withMessageFault(f lab.Fate) func(*cell, lab.Message) lab.Fate {
 	return func(*cell, lab.Message) lab.Fate { return f }
 }
 
-func (c *cell) reviveAll() {
+func (c *cell) restoreAll() {
 	for _, h := range c.lab.Hosts {
 		if !h.Alive() {
 			h.Start()
@@ -106,31 +106,31 @@
 }
 
 var faults = []fault{
-	{"nothing", fate(lab.Fate{}), none},
-	{"host killed", onHost(func(c *cell, h *lab.Host) { h.Kill() }), (*cell).reviveAll},
-	{"host restarted at once", onHost(func(c *cell, h *lab.Host) { h.Kill(); h.Start() }), none},
-	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Freeze() }), (*cell).reviveAll},
-	{"host drains", onHost(func(c *cell, h *lab.Host) { c.drained = h; h.Drain() }), none},
-	{"entry killed", onEntry(func(c *cell, e *lab.Entry) { e.Kill() }), (*cell).reviveAll},
-	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Freeze() }), (*cell).reviveAll},
-	{"cut one way", cut(true, false), (*cell).reviveAll},
-	{"cut the way back", cut(false, true), (*cell).reviveAll},
-	{"cut both ways", cut(true, true), (*cell).reviveAll},
-	{"message lost", fate(lab.Fate{Drop: true}), none},
-	{"message doubled", fate(lab.Fate{Duplicate: true}), none},
-	{"message late", fate(lab.Fate{Delay: 8 * time.Second}), none},
-	{"message overtaken", fate(lab.Fate{Delay: 40 * time.Millisecond}), none},
-	{"doubled and late", fate(lab.Fate{Duplicate: true, Delay: 6 * time.Second}), none},
+	{"nothing", withMessageFault(lab.Fate{}), noClear},
+	{"host killed", onHost(func(c *cell, h *lab.Host) { h.Kill() }), (*cell).restoreAll},
+	{"host restarted at once", onHost(func(c *cell, h *lab.Host) { h.Kill(); h.Start() }), noClear},
+	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Freeze() }), (*cell).restoreAll},
+	{"host drains", onHost(func(c *cell, h *lab.Host) { c.drained = h; h.Drain() }), noClear},
+	{"entry killed", onEntry(func(c *cell, e *lab.Entry) { e.Kill() }), (*cell).restoreAll},
+	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Freeze() }), (*cell).restoreAll},
+	{"cut one way", partition(true, false), (*cell).restoreAll},
+	{"cut the way back", partition(false, true), (*cell).restoreAll},
+	{"cut both ways", partition(true, true), (*cell).restoreAll},
+	{"message lost", withMessageFault(lab.Fate{Drop: true}), noClear},
+	{"message doubled", withMessageFault(lab.Fate{Duplicate: true}), noClear},
+	{"message late", withMessageFault(lab.Fate{Delay: 8 * time.Second}), noClear},
+	{"message overtaken", withMessageFault(lab.Fate{Delay: 40 * time.Millisecond}), noClear},
+	{"doubled and late", withMessageFault(lab.Fate{Duplicate: true, Delay: 6 * time.Second}), noClear},
 }
 
-// kind is a sort of request.
-type kind struct {
+// requestKind is a request template of the matrix.
+type requestKind struct {
 	name    string
 	request lab.Request
 	keyed   bool
 }
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{"streamed", lab.Request{Kind: "short", Hall: lab.Hall, PromptTokens: 2000, AnswerTokens: 30, Repeatable: true, Deadline: 20 * time.Second}, false},
 	{"whole", lab.Request{Kind: "short", Hall: lab.Hall, PromptTokens: 2000, AnswerTokens: 30, Repeatable: true, Buffered: true, Deadline: 20 * time.Second}, false},
 	{"once", lab.Request{Kind: "short", Hall: lab.Hall, PromptTokens: 2000, AnswerTokens: 30, Deadline: 20 * time.Second}, false},
@@ -142,14 +142,14 @@
 
 // cell is one run of the matrix.
 type cell struct {
-	lab     *lab.Lab
-	kind    kind
-	sent    []*lab.Submission
-	struck  int
-	drained *lab.Host
+	lab      *lab.Lab
+	kind     requestKind
+	sent     []*lab.Submission
+	injected int
+	drained  *lab.Host
 }
 
-func newCell(k kind) *cell {
+func newCell(k requestKind) *cell {
 	spec := engine.DefaultSpec()
 	site := lab.Site{Servers: 3, Entries: 2, Zones: 3, Slots: 8, Engine: spec, Groups: 1}
 	c := &cell{kind: k}
@@ -157,11 +157,11 @@
 	return c
 }
 
-// strike arms a fault for the nth message of a step.
-func (c *cell) arm(strikes ...strike) {
+// armFaults injects each fault at its message: the first one of its step after skip others.
+func (c *cell) armFaults(injections ...injection) {
 	c.lab.Intercept = func(m lab.Message) lab.Fate {
-		for i := range strikes {
-			s := &strikes[i]
+		for i := range injections {
+			s := &injections[i]
 			if m.Kind != s.step || s.done {
 				continue
 			}
@@ -170,15 +170,15 @@
 				continue
 			}
 			s.done = true
-			c.struck++
-			c.lab.After(faultTime, func() { s.fault.heal(c) })
-			return s.fault.strike(c, m)
+			c.injected++
+			c.lab.After(faultDuration, func() { s.fault.clear(c) })
+			return s.fault.inject(c, m)
 		}
 		return lab.Fate{}
 	}
 }
 
-type strike struct {
+type injection struct {
 	step  string
 	fault fault
 	skip  int
@@ -186,9 +186,9 @@
 	done  bool
 }
 
-// run lets the callers do what callers do: submit, and for a key resend through
-// the other entry until there is an answer.
-func (c *cell) run(strikes ...strike) {
+// run submits the request and, if it has a key, sends it again through the other entry until one run
+// has finished.
+func (c *cell) run(injections ...injection) {
 	c.lab.Run(2 * time.Second)
 	request := c.kind.request
 	request.Workspace = lab.Workspace
@@ -197,7 +197,7 @@
 		request.Home = execution.Target{Server: host.Name, Incarnation: host.Core.Incarnation()}
 		request.Key = execution.Key{ID: "key", Issued: true, Fingerprint: 1, Made: c.lab.Now}
 	}
-	c.arm(strikes...)
+	c.armFaults(injections...)
 	c.sent = append(c.sent, c.lab.Entries[0].Submit(request))
 	for i := range 3 {
 		c.lab.Run(7 * time.Second)
@@ -217,8 +217,8 @@
 	return false
 }
 
-// starts counts the runs of a submission.
-func (c *cell) starts(s *lab.Submission) int {
+// countRuns counts the runs of a submission.
+func (c *cell) countRuns(s *lab.Submission) int {
 	count := 0
 	for _, h := range c.lab.Hosts {
 		for _, id := range s.Attempts {
@@ -228,23 +228,23 @@
 	return count
 }
 
-// check holds every promise against the run.
+// check verifies every guarantee after a run.
 func (c *cell) check(t require.TestingT) {
 	total := 0
 	for i, s := range c.sent {
-		total += c.starts(s)
-		require.False(t, s.Ended.IsZero(), "a request has no final answer")
-		require.LessOrEqual(t, s.Ended.Sub(s.Sent), s.Request().Deadline+faultTime+time.Second, "the answer came after the deadline")
+		total += c.countRuns(s)
+		require.False(t, s.Ended.IsZero(), "a request has no final response")
+		require.LessOrEqual(t, s.Ended.Sub(s.Sent), s.Request().Deadline+faultDuration+time.Second, "the response came after the deadline")
 		if s.Conclusion != nil {
 			c.checkConclusion(t, i, s)
 		}
 	}
 	if !c.kind.request.Repeatable {
-		require.LessOrEqual(t, total, 1, "a request that may not be repeated ran again")
+		require.LessOrEqual(t, total, 1, "a request that may not be retried ran again")
 	}
 	for _, h := range c.lab.Hosts {
-		require.Zero(t, h.Used(), "%s: engine memory is lost", h.Name)
-		require.Empty(t, h.Core.Memory().Leases, "%s: leases are left", h.Name)
+		require.Zero(t, h.Used(), "%s: engine memory is leaked", h.Name)
+		require.Empty(t, h.Core.Memory().Leases, "%s: leases remain", h.Name)
 	}
 	c.checkDrained(t)
 }
@@ -257,40 +257,40 @@
 			earlier = c.sent[:i+1]
 		}
 		for _, earlier := range earlier {
-			require.Zero(t, c.starts(earlier), "notRun was told of a request that ran")
+			require.Zero(t, c.countRuns(earlier), "notRun was reported for a request that ran")
 		}
 	case execution.Finished:
-		require.Len(t, s.Answer, max(int(s.Request().AnswerTokens), 1), "the answer is not whole")
+		require.Len(t, s.Answer, max(int(s.Request().AnswerTokens), 1), "the response is incomplete")
 	}
 	c.checkAnswer(t, s)
 }
 
-// checkAnswer: what a caller got comes from one attempt of its own, in order and
+// checkAnswer requires that the response of a caller comes from one attempt of its own, in order and
 // without gaps, even if it broke off.
 func (c *cell) checkAnswer(t require.TestingT, s *lab.Submission) {
 	if len(s.Answer) == 0 {
 		return
 	}
-	cutAt := strings.LastIndexByte(s.Answer[0], '/')
-	attempt := s.Answer[0][:cutAt]
+	slash := strings.LastIndexByte(s.Answer[0], '/')
+	attempt := s.Answer[0][:slash]
 	own := false
 	for _, other := range c.sent {
 		for _, id := range other.Attempts {
 			own = own || string(id) == attempt && (other == s || c.kind.keyed)
 		}
 	}
-	require.True(t, own, "the answer belongs to another request: %s", attempt)
+	require.True(t, own, "the response belongs to another request: %s", attempt)
 	for i, piece := range s.Answer {
 		require.Equal(t, fmt.Sprintf("%s/%d", attempt, i+1), piece)
 	}
 }
 
-// checkDrained: a leaving server starts nothing that was offered after its
-// notice; here every attempt is offered within seconds, so nothing later starts.
+// checkDrained requires that a draining server starts nothing that was offered after its notice. Every
+// attempt is offered within seconds here, so nothing may start later.
 func (c *cell) checkDrained(t require.TestingT) {
 	drained := c.drained
 	if drained == nil || !drained.Core.Draining() {
-		return // none, or another fault has restarted it
+		return // no server drained, or another fault has restarted it
 	}
 	c.lab.Intercept = nil
 	before := len(drained.Starts)
@@ -300,22 +300,21 @@
 		c.lab.Entries[i%2].Submit(request)
 	}
 	c.lab.Run(5 * time.Second)
-	require.Len(t, drained.Starts, before, "a leaving server got new work")
+	require.Len(t, drained.Starts, before, "a draining server got new work")
 }
 
-// Every fault strikes at every step of every kind of request. Whatever happens,
-// the caller gets a final answer in time that is true, nothing that may not be
-// repeated runs twice, and no engine memory stays behind.
+// For every fault at every step of every request kind, the caller gets a correct final response in
+// time, a request that may not be retried runs at most once, and no engine memory is leaked.
 func TestFaultMatrix(t *testing.T) {
 	t.Parallel()
-	struck, cells := 0, 0
+	injected, cells := 0, 0
 	outcomes := map[string]int{}
-	for _, k := range kinds {
+	for _, k := range requestKinds {
 		for _, f := range faults {
 			for _, step := range steps {
 				t.Run(k.name+"/"+f.name+"/"+step, func(t *testing.T) {
 					c := newCell(k)
-					c.run(strike{step: step, fault: f})
+					c.run(injection{step: step, fault: f})
 					c.check(t)
 					if f.name == "nothing" && k.name != "endless" {
 						require.True(t, c.finished())
@@ -324,12 +323,12 @@
 						outcomes[outcomeOf(sent)]++
 					}
 					cells++
-					struck += min(c.struck, 1)
+					injected += min(c.injected, 1)
 				})
 			}
 		}
 	}
-	t.Logf("%d cells, the fault struck in %d; the callers saw %v", cells, struck, outcomes)
+	t.Logf("%d cells, the fault was injected in %d; outcomes of the callers: %v", cells, injected, outcomes)
 }
 
 func outcomeOf(s *lab.Submission) string {
@@ -339,13 +338,13 @@
 	return s.Conclusion.Outcome.String()
 }
 
-// Two faults strike in the same run, the second at a later message.
+// Two faults occur in the same run, the second at a later message.
 func TestPairsOfFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCell(rapid.SampledFrom(kinds).Draw(t, "kind"))
-		draw := func(name string) strike {
-			return strike{step: rapid.SampledFrom(steps).Draw(t, name+" step"), fault: rapid.SampledFrom(faults).Draw(t, name),
+		c := newCell(rapid.SampledFrom(requestKinds).Draw(t, "kind"))
+		draw := func(name string) injection {
+			return injection{step: rapid.SampledFrom(steps).Draw(t, name+" step"), fault: rapid.SampledFrom(faults).Draw(t, name),
 				skip: rapid.IntRange(0, 3).Draw(t, name+" after")}
 		}
 		c.run(draw("first"), draw("second"))
