--- a/proof/regression/cmd/regression/main.go
+++ b/proof/regression/cmd/regression/main.go
@@ -32,10 +32,10 @@
 }
 
 func run(_ context.Context, c *cli.Command) error {
-	record, err := regression.LoadRecord(c.String("records"))
+	baseline, err := regression.LoadBaseline(c.String("records"))
 	if err != nil {
 		return err
 	}
-	options := regression.Options{Bench: c.String("bench"), Sites: c.String("sites"), All: c.Bool("all"), Jobs: c.Int("jobs"), Why: c.String("why")}
-	return regression.Run(record, options, os.Stdout)
+	options := regression.Options{Bench: c.String("bench"), Sites: c.String("sites"), All: c.Bool("all"), Jobs: c.Int("jobs"), Reason: c.String("why")}
+	return regression.Run(baseline, options, os.Stdout)
 }
--- a/proof/regression/regression.go
+++ b/proof/regression/regression.go
@@ -21,7 +21,7 @@
 const Tolerance = 0.03
 
 // Record is the deployments that are played, as the file of records holds them.
-type Record struct {
+type Baseline struct {
 	Deployments []Deployment `yaml:"deployments"`
 }
 
@@ -33,25 +33,25 @@
 	Mean float64 `yaml:"mean"`
 	// InForce says that it is played at each change; the others only before a landing that
 	// changes decisions.
-	InForce bool `yaml:"inForce"`
+	Active bool `yaml:"inForce"`
 }
 
 // LoadRecord reads a file of records.
-func LoadRecord(path string) (Record, error) {
+func LoadBaseline(path string) (Baseline, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return Record{}, fmt.Errorf("the records: %w", err)
+		return Baseline{}, fmt.Errorf("the records: %w", err)
 	}
-	var record Record
-	if err := yaml.UnmarshalWithOptions(content, &record, yaml.Strict()); err != nil {
-		return Record{}, fmt.Errorf("the records in %s: %w", path, err)
+	var baseline Baseline
+	if err := yaml.UnmarshalWithOptions(content, &baseline, yaml.Strict()); err != nil {
+		return Baseline{}, fmt.Errorf("the records in %s: %w", path, err)
 	}
-	for _, d := range record.Deployments {
+	for _, d := range baseline.Deployments {
 		if d.Site == "" || d.Mean <= 0 {
-			return Record{}, fmt.Errorf("the records in %s: deployment %q needs a site and a mean above 0", path, d.Site)
+			return Baseline{}, fmt.Errorf("the records in %s: deployment %q needs a site and a mean above 0", path, d.Site)
 		}
 	}
-	return record, nil
+	return baseline, nil
 }
 
 // Score is what one deployment's standard days gave.
@@ -70,8 +70,8 @@
 var (
 	dayLine = regexp.MustCompile(`(?m)^([a-z]+-\S+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s`)
 	// withTrouble are the names of the days that count for the mean.
-	withTrouble = regexp.MustCompile(`^(trouble|scale)-`)
-	errNoDays   = errors.New("the output names no day")
+	dayWithFaults = regexp.MustCompile(`^(trouble|scale)-`)
+	errNoDays     = errors.New("the output names no day")
 )
 
 // ParseScore reads what the bench prints.
@@ -94,7 +94,7 @@
 func (s Score) Mean() float64 {
 	sum, count := 0.0, 0
 	for _, day := range s.Days {
-		if withTrouble.MatchString(day.Name) {
+		if dayWithFaults.MatchString(day.Name) {
 			sum += day.Worth
 			count++
 		}
@@ -111,21 +111,21 @@
 	// Jobs is how many days are played at once.
 	Jobs int
 	// Why goes into the bench's journal.
-	Why string
+	Reason string
 }
 
 // Run plays the deployments and writes a table. It returns an error if one has fallen by
 // more than Tolerance, broke a rule or could not be played.
-func Run(record Record, options Options, out io.Writer) error {
+func Run(baseline Baseline, options Options, out io.Writer) error {
 	var failed []string
 	if _, err := fmt.Fprintf(out, "%-36s %8s %8s %8s  %s\n", "deployment", "recorded", "now", "change", "verdict"); err != nil {
 		return err
 	}
-	for _, d := range record.Deployments {
-		if !d.InForce && !options.All {
+	for _, d := range baseline.Deployments {
+		if !d.Active && !options.All {
 			continue
 		}
-		verdict, line := play(d, options)
+		verdict, line := runBench(d, options)
 		if verdict != "holds" {
 			failed = append(failed, d.Site+": "+verdict)
 		}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-func play(d Deployment, options Options) (verdict, line string) {
-	command := exec.Command(options.Bench, "score", filepath.Join(options.Sites, d.Site), "--jobs", strconv.Itoa(options.Jobs), "--why", options.Why)
+func runBench(d Deployment, options Options) (verdict, line string) {
+	command := exec.Command(options.Bench, "score", filepath.Join(options.Sites, d.Site), "--jobs", strconv.Itoa(options.Jobs), "--why", options.Reason)
 	output, err := command.CombinedOutput()
 	score, parseErr := ParseScore(string(output))
 	if err := errors.Join(err, parseErr); parseErr != nil {
