--- a/proof/mutations/evacuation_mutations_test.go
+++ b/proof/mutations/evacuation_mutations_test.go
@@ -5,26 +5,26 @@
 	coldstartPkg  = "arbutusdeck/core/coldstart"
 )
 
-// evacuationMutations remove the safeguards around zones that are evacuated, and around cold servers.
+// evacuationMutations remove the safeguards of zone evacuations and of cold servers.
 var evacuationMutations = []mutation{
-	{"an evacuated zone gets nothing new", "core/directory/directory.go", "!server.Draining && !d.evacuated[server.Zone]", "!server.Draining", gatewayPkg, "TestAnEvacuatedZone"},
-	{"an older state of a zone changes nothing", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderState"},
-	{"a zone that is not listed is taken back", "core/evacuation/zones.go", "		if !isListed[zone] && z.Take(back) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
-	{"an evacuation outlives an older copy of the store", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
-	{"a lost evacuation is fetched", "entry/gateway/view.go", "	evacuations := s.takeViewedEvacuations(v)\n", "	var evacuations []evacuation.State\n", gatewayPkg, "TestALostEvacuation"},
-	{"an entry of an earlier version takes no zone back", "entry/gateway/evacuation.go", "v.Evacuations == nil || ", "", gatewayPkg, "TestALostEvacuation"},
-	{"a place in an evacuated zone is not used", "entry/gateway/crossing.go", " || !s.directory.TakesWork(server)", "", gatewayPkg, "TestAPlaceInAnEvacuated"},
+	{"an evacuated zone gets no new requests", "core/directory/directory.go", "!server.Draining && !d.evacuated[server.Zone]", "!server.Draining", gatewayPkg, "TestAnEvacuatedZone"},
+	{"an older state of a zone is ignored", "core/evacuation/zones.go", "	if state.Revision <= known.Revision {\n", "	if false {\n", evacuationPkg, "TestAnOlderState"},
+	{"the evacuation of an unlisted zone ends", "core/evacuation/zones.go", "		if !isListed[zone] && z.Take(back) {\n", "		if false {\n", evacuationPkg, "TestAZoneThatIsNotListed"},
+	{"an evacuation survives a store restored from a backup", "entry/gateway/evacuation.go", "platform.EraOf(listed.Revision) > s.era", "false", gatewayPkg, "TestAnEvacuationOutlives"},
+	{"a missed evacuation is fetched from a peer", "entry/gateway/view.go", "	evacuations := s.takeViewedEvacuations(v)\n", "	var evacuations []evacuation.State\n", gatewayPkg, "TestALostEvacuation"},
+	{"a view of an earlier version ends no evacuation", "entry/gateway/evacuation.go", "v.Evacuations == nil || ", "", gatewayPkg, "TestALostEvacuation"},
+	{"a placement in an evacuated zone is not used", "entry/gateway/crossing.go", " || !s.directory.TakesWork(server)", "", gatewayPkg, "TestAPlaceInAnEvacuated"},
 	{"an entry sends a cold server one request a second", "core/coldstart/limiter.go", "	if !known.sent.IsZero() && now.Sub(known.sent) < interval {", "	if false {", coldstartPkg, "TestAnEntrySends|TestNoCold"},
-	{"few entries send to a cold server", "core/coldstart/limiter.go", "	return known.place < Senders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
-	{"room is left for entries that know too few", "core/coldstart/limiter.go", "const knownShare = 0.5", "const knownShare = 1", coldstartPkg, "TestNoCold"},
-	{"cold servers are known by their rows", "entry/gateway/cold.go", "		if server.WarmupRemaining > 0 {", "		if false {", gatewayPkg, "TestAColdServer"},
-	{"a choice counts for a cold server", "entry/gateway/cold.go", "		s.cold.Sent(now, choice.Server.IncarnationID())\n", "", gatewayPkg, "TestAColdServer"},
+	{"few entries send requests to a cold server", "core/coldstart/limiter.go", "	return known.place < Senders(perSecond)", "	return true", coldstartPkg, "TestOfMany|TestNoCold"},
+	{"the cold rate allows for entries that know too few others", "core/coldstart/limiter.go", "const knownShare = 0.5", "const knownShare = 1", coldstartPkg, "TestNoCold"},
+	{"cold servers are recognized by their rows", "entry/gateway/cold.go", "		if server.WarmupRemaining > 0 {", "		if false {", gatewayPkg, "TestAColdServer"},
+	{"a dispatch counts against the rate of a cold server", "entry/gateway/cold.go", "		s.cold.Sent(now, choice.Server.IncarnationID())\n", "", gatewayPkg, "TestAColdServer"},
 }
 
-// memoryMutations remove the bounds on what callers make an entry hold.
+// memoryMutations remove the bounds on the memory that callers make an entry use.
 var memoryMutations = []mutation{
-	{"a caller that does not read is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetWriteDeadline, e.deadline.Add(answerSlack))\n", "", gatewayPkg, "TestACallerThatDoesNotRead"},
-	{"a caller that sends slowly is ended", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetReadDeadline, e.deadline)\n", "", gatewayPkg, "TestACallerThatSendsItsBodySlowly"},
-	{"bodies together are bounded", "core/admission/bytes.go", "	if b.held+count > b.limit {\n", "	if false {\n", gatewayPkg, "TestEnormousPromptsTogether"},
-	{"the room of a body comes back", "entry/gateway/front.go", "	defer e.held.release()\n", "", gatewayPkg, "TestEnormousPromptsTogether"},
+	{"a caller that does not read is disconnected", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetWriteDeadline, e.deadline.Add(answerSlack))\n", "", gatewayPkg, "TestACallerThatDoesNotRead"},
+	{"a caller that sends slowly is disconnected", "entry/gateway/held.go", "	e.setDeadline((*http.ResponseController).SetReadDeadline, e.deadline)\n", "", gatewayPkg, "TestACallerThatSendsItsBodySlowly"},
+	{"the total size of bodies is bounded", "core/admission/bytes.go", "	if b.held+count > b.limit {\n", "	if false {\n", gatewayPkg, "TestEnormousPromptsTogether"},
+	{"the memory of a body is released", "entry/gateway/front.go", "	defer e.held.release()\n", "", gatewayPkg, "TestEnormousPromptsTogether"},
 }
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -1,6 +1,5 @@
-// Package mutations removes each safeguard in turn, by overlaying a changed
-// source file, and checks that the named test turns red. A safeguard whose
-// removal no test notices is not proved.
+// Package mutations tests the tests: it removes each safeguard in turn by overlaying a changed source
+// file, and checks that the named test fails. A safeguard whose removal fails no test is unproven.
 package mutations
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	_ "arbutusdeck/proof/lab" // the cache of test results must see the cores
+	_ "arbutusdeck/proof/lab" // imported so that cached test results depend on the cores
 	"arbutusdeck/proof/removal"
 )
 
@@ -24,7 +23,7 @@
 	file string
 	old  string
 	new  string
-	// pkg and test name the test that has to fail.
+	// pkg and test select the test that has to fail.
 	pkg  string
 	test string
 }
@@ -44,18 +43,18 @@
 	{"incarnation named by a run message", "core/execution/ledger.go", "	if target != l.options.Incarnation {", "	if false {", execution, explorer},
 	{"incarnation named by a cancel", "core/execution/ledger.go", "	if request.Target != l.options.Incarnation || now", "	if now", execution, explorer},
 	{"second run message is not notRun", "core/execution/ledger.go", "	return Unknown, &Refusal{Code: CodeAlreadyOpen", "	return NotRun, &Refusal{Code: CodeAlreadyOpen", execution, explorer},
-	{"an entry that ends asks its host", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened || true {", execution, "TestAnEntryThatEnds"},
-	{"an entry that ends waits once", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened {", execution, "TestAnEntryThatEnds"},
-	{"an entry that ends tries nothing again", "core/execution/request.go", "	case r.ending, r.attempts", "	case r.attempts", execution, "TestAnEntryThatEnds"},
-	{"a host that ends refuses what waits", "core/backend/run.go", "		c.cancelOwn(now, c.work[id])\n		effects = append(effects, c.end(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,\n			Detail: \"the server's daemon ends\", RetryAfter: time.Second})...)\n", "", "arbutusdeck/core/backend", "TestADaemonThatEnds"},
-	{"start only from the queue", "core/execution/ledger.go", "	if !ok || a.phase != Queued {", "	if !ok {", execution, "TestLedger"},
-	{"key record answers a resend", "core/execution/ledger.go", "	if ran && !offer.Key.None() && record.Attempt != offer.Attempt {", "	if ran && false {", execution, explorer},
+	{"a stopping entry asks the host about its request", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened || true {", execution, "TestAnEntryThatEnds"},
+	{"a stopping entry waits once for the host", "core/execution/request.go", "	if !opened || r.ending {", "	if !opened {", execution, "TestAnEntryThatEnds"},
+	{"a stopping entry retries nothing", "core/execution/request.go", "	case r.ending, r.attempts", "	case r.attempts", execution, "TestAnEntryThatEnds"},
+	{"a stopping host refuses queued requests", "core/backend/run.go", "		c.cancelOwn(now, c.work[id])\n		effects = append(effects, c.end(now, id, execution.NotRun, execution.Refusal{Code: execution.CodeDraining,\n			Detail: \"the server's daemon ends\", RetryAfter: time.Second})...)\n", "", "arbutusdeck/core/backend", "TestADaemonThatEnds"},
+	{"a run starts only from the queue", "core/execution/ledger.go", "	if !ok || a.phase != Queued {", "	if !ok {", execution, "TestLedger"},
+	{"the key record answers a repeated request", "core/execution/ledger.go", "	if ran && !offer.Key.None() && record.Attempt != offer.Attempt {", "	if ran && false {", execution, explorer},
 	{"key barrier after a refusal or cancel", "core/execution/record.go", "now.Before(until) {\n		return &Refusal{Code: CodeKeyBarred", "false {\n		return &Refusal{Code: CodeKeyBarred", execution, explorer},
-	{"unknown for a restarted home", "core/execution/record.go", "	case CodeWrongIncarnation, CodeKeyTooOld", "	case CodeKeyTooOld", execution, explorer},
-	{"a copy is answered no better", "core/execution/ledger.go", "	case known.phase == Tombstoned && !known.unsure:", "	case known.phase == Tombstoned:", execution, explorer},
-	{"old answers are not believed", "core/execution/request.go", "	if now.Sub(r.asked) > r.options.OfferLife {", "	if false {", execution, explorer},
+	{"a restarted home reports unknown", "core/execution/record.go", "	case CodeWrongIncarnation, CodeKeyTooOld", "	case CodeKeyTooOld", execution, explorer},
+	{"a duplicate offer gets no better answer", "core/execution/ledger.go", "	case known.phase == Tombstoned && !known.unsure:", "	case known.phase == Tombstoned:", execution, explorer},
+	{"old offer replies are ignored", "core/execution/request.go", "	if now.Sub(r.asked) > r.options.OfferLife {", "	if false {", execution, explorer},
 	{"offer expiry", "core/execution/ledger.go", "	case !now.Before(offer.Expires):", "	case false:", execution, explorer},
-	{"a request that may not be repeated is not", "core/execution/request.go", "	again := r.options.Repeatable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
+	{"a request that may not be retried is not", "core/execution/request.go", "	again := r.options.Repeatable && !r.ending && !mixed", "	again := !r.ending && !mixed", execution, explorer},
 	{"an earlier run is remembered", "core/execution/request.go", "	if outcome == NotRun && r.ran != 0 {", "	if false {", execution, explorer},
 	{"key older than the ledger", "core/execution/record.go", "	if made.Before(l.options.Began.Add(allowance)) {", "	if false {", execution, "TestLedger"},
 	{"key older than its retention", "core/execution/record.go", "	if now.Sub(made) > l.options.Retention-allowance {", "	if false {", execution, "TestLedger"},
@@ -63,46 +62,46 @@
 	{"key with another body", "core/execution/record.go", "	if record.Fingerprint != offer.Key.Fingerprint {", "	if false {", execution, "TestLedger"},
 	{"frames of another attempt", "core/execution/frame.go", "	case frame.Request != c.request || frame.Attempt != c.attempt:", "	case false:", execution, "TestFrames"},
 	{"repeated frames", "core/execution/frame.go", "	case frame.Sequence < c.next:\n		return FrameRepeated", "	case frame.Sequence < c.next:\n		return FrameNext", execution, "TestFrames"},
-	{"gaps between frames", "core/execution/frame.go", "	case frame.Sequence > c.next:", "	case false:", execution, "TestFrames"},
+	{"gaps between frames are detected", "core/execution/frame.go", "	case frame.Sequence > c.next:", "	case false:", execution, "TestFrames"},
 	{"checksum and count", "core/execution/frame.go", "	if len(frame.Payload) > 0 || frame.Count != c.next-1 || frame.Checksum != c.sum.Sum64() {", "	if false {", execution, "TestFrames"},
 	{"no mixing of two runs", "core/execution/request.go", "	mixed := r.delivered && !r.options.Buffered", "	mixed := false", matrixPkg, matrix},
 	{"an abandoned run is cancelled", "core/execution/request.go", "	if frame.Outcome == Unknown || (", "	if (", matrixPkg, matrix},
-	{"lease of a lost stream", "core/execution/leases.go", "		case a.phase == Running:\n			if !a.stopping {", "		case a.phase == Running:\n			if false {", matrixPkg, matrix},
-	{"offers lapse", "core/execution/ledger.go", "	a.phase, a.outcome, a.forgetAt = Tombstoned, NotRun, now.Add(l.options.Retention)\n	delete(l.open, id)\n}", "}", matrixPkg, matrix},
+	{"the lease of a lost stream expires", "core/execution/leases.go", "		case a.phase == Running:\n			if !a.stopping {", "		case a.phase == Running:\n			if false {", matrixPkg, matrix},
+	{"offers expire", "core/execution/ledger.go", "	a.phase, a.outcome, a.forgetAt = Tombstoned, NotRun, now.Add(l.options.Retention)\n	delete(l.open, id)\n}", "}", matrixPkg, matrix},
 	{"orphans are cancelled", "core/memory/recovery.go", "		if now.Sub(since) >= r.grace {", "		if false && now.Sub(since) >= r.grace {", matrixPkg, matrix},
-	{"parts of a group end by themselves", "core/memory/leases.go", "		if !lease.Expires.IsZero() && !now.Before(lease.Expires) {", "		if false {", matrixPkg, matrix},
-	{"a late grant is given back", "core/memory/group.go", "			return []GroupAction{GiveBack{id, part}}", "			return nil", matrixPkg, "TestGroups|" + matrix},
-	{"a leaving server refuses", "core/execution/ledger.go", "	case l.draining:", "	case false:", execution, "TestLedger"},
+	{"reservations of a group expire", "core/memory/leases.go", "		if !lease.Expires.IsZero() && !now.Before(lease.Expires) {", "		if false {", matrixPkg, matrix},
+	{"a late grant is released", "core/memory/group.go", "			return []GroupAction{GiveBack{id, part}}", "			return nil", matrixPkg, "TestGroups|" + matrix},
+	{"a draining server refuses", "core/execution/ledger.go", "	case l.draining:", "	case false:", execution, "TestLedger"},
 	{"silence ends a stream", "core/wire/frames.go", "	StreamIdle        = 4 * time.Second", "	StreamIdle        = 4000 * time.Second", matrixPkg, "TestSilence"},
-	{"configuration never back", "core/config/store.go", "	if previous == nil || revision > previous.Revision {", "	if previous == nil || revision != previous.Revision {", configPkg, "TestStoreNeverGoesBack"},
+	{"a configuration is never replaced by an older one", "core/config/store.go", "	if previous == nil || revision > previous.Revision {", "	if previous == nil || revision != previous.Revision {", configPkg, "TestStoreNeverGoesBack"},
 	{"same revision, other content", "core/config/store.go", "	if revision == previous.Revision && Digest(files) != previous.Digest {", "	if false {", configPkg, "TestStoreNeverGoesBack"},
-	{"a starting daemon asks its peers", "core/config/sync.go", "	return s.heardAll || len(s.heard) >= wanted || now", "	return true || len(s.heard) >= wanted || now", configPkg, "TestReplacedHostUnderStalePlatform"},
-	{"an awoken daemon asks its peers", "core/config/sync.go", "	s.heard = map[string]bool{}\n	s.heardAll", "	s.heardAll", configPkg, "TestAwokenDaemonAsksAgain"},
+	{"a starting daemon asks its peers for the revision", "core/config/sync.go", "	return s.heardAll || len(s.heard) >= wanted || now", "	return true || len(s.heard) >= wanted || now", configPkg, "TestReplacedHostUnderStalePlatform"},
+	{"a daemon resumed after a pause asks its peers", "core/config/sync.go", "	s.heard = map[string]bool{}\n	s.heardAll", "	s.heardAll", configPkg, "TestAwokenDaemonAsksAgain"},
 	{"peers are chosen at random", "core/config/sync.go", "min(int(s.random()*float64(len(s.peers))), len(s.peers)-1)", "s.asked%len(s.peers)", configPkg, "TestWholeFleetRestarts"},
 	{"a slot's former holder is retired", "core/config/homes.go", "		if !slices.Contains(home.Retired, former) {", "		if false {", configPkg, "TestHomeSlotMoves"},
-	{"a slot begins when its last former holder is off", "core/config/homes.go", "	if clear && !s.clear {", "	if s.since.IsZero() {", configPkg, "TestHomeSlotMoves"},
-	{"a slot's own beginning", "core/config/homes.go", "	if made.Before(held.since.Add(allowance)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
-	{"a panic of the YAML library", "core/config/merge.go", "		if cause := recover(); cause != nil {", "		if cause := any(nil); cause != nil {", configPkg, "TestGuard"},
-	{"leaving is sticky", "core/membership/view.go", "	if m.left[incarnation] && !draining {", "	if false {", "arbutusdeck/core/membership", "TestView"},
-	{"a list that shrinks is not believed", "core/membership/view.go", "	if vanished > 1 && float64(vanished)", "	if vanished > 1000 && float64(vanished)", "arbutusdeck/core/membership", "TestView"},
-	{"nothing live after a pause", "core/membership/view.go", "		if m.state == Live {\n			m.retryAt", "		if false {\n			m.retryAt", "arbutusdeck/core/membership", "TestView"},
-	{"one order at a time", "core/orders/reconciler.go", "	case e.inFlight || e.observed.Busy:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
-	{"orders rest on a fresh look", "core/orders/reconciler.go", "	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.ObservationAge:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
+	{"a slot starts when its last former holder is retired", "core/config/homes.go", "	if clear && !s.clear {", "	if s.since.IsZero() {", configPkg, "TestHomeSlotMoves"},
+	{"keys older than a slot are refused", "core/config/homes.go", "	if made.Before(held.since.Add(allowance)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
+	{"a panic of the YAML library is contained", "core/config/merge.go", "		if cause := recover(); cause != nil {", "		if cause := any(nil); cause != nil {", configPkg, "TestGuard"},
+	{"draining is sticky", "core/membership/view.go", "	if m.left[incarnation] && !draining {", "	if false {", "arbutusdeck/core/membership", "TestView"},
+	{"a list that shrinks too much is not trusted", "core/membership/view.go", "	if vanished > 1 && float64(vanished)", "	if vanished > 1000 && float64(vanished)", "arbutusdeck/core/membership", "TestView"},
+	{"no member counts as live after a pause", "core/membership/view.go", "		if m.state == Live {\n			m.retryAt", "		if false {\n			m.retryAt", "arbutusdeck/core/membership", "TestView"},
+	{"one order is open at a time", "core/orders/reconciler.go", "	case e.inFlight || e.observed.Busy:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
+	{"orders need a recent observation", "core/orders/reconciler.go", "	case e.observedAt.IsZero() || now.Sub(e.observedAt) > r.options.ObservationAge:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
 	{"a predecessor's order is waited out", "core/orders/reconciler.go", "	case !e.checksFencing && now.Sub(r.started) < r.options.LongestOrder:", "	case false:", "arbutusdeck/core/orders", "TestReconciler"},
-	{"the number is above the last seen", "core/orders/reconciler.go", "max(e.fence, e.observed.Fence, r.revision) + 1", "r.revision", "arbutusdeck/core/orders", "TestReconciler"},
+	{"the fencing number exceeds the last one seen", "core/orders/reconciler.go", "max(e.fence, e.observed.Fence, r.revision) + 1", "r.revision", "arbutusdeck/core/orders", "TestReconciler"},
 	{"weight loads take turns", "core/orders/reconciler.go", "	case e.loads() && now.Before(e.loadSlot):", "	case false:", "arbutusdeck/core/orders", "TestWeightStore"},
-	{"an older snapshot gives no orders", "core/orders/reconciler.go", "	if revision < r.revision {", "	if false {", "arbutusdeck/core/orders", "TestReconciler"},
+	{"an older snapshot issues no orders", "core/orders/reconciler.go", "	if revision < r.revision {", "	if false {", "arbutusdeck/core/orders", "TestReconciler"},
 }
 
-// root is the top of the repository.
-func root(t *testing.T) string {
+// repositoryRoot returns the absolute path of the repository.
+func repositoryRoot(t *testing.T) string {
 	path, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	return path
 }
 
-// all are the mutations of all tables.
-func all() []mutation {
+// allMutations returns the rows of all tables.
+func allMutations() []mutation {
 	return slices.Concat(mutations, forwardingMutations, quarantineMutations, evacuationMutations, memoryMutations, fleetMutations)
 }
 
@@ -110,30 +109,30 @@
 	return removal.Change{File: m.file, Old: m.old, New: m.new}
 }
 
-// A safeguard is moved to another file, or the lines beside it are changed. Its row then names text
-// that is not there, and nothing shows any more that the safeguard is missed. This takes a second,
-// the test below some minutes.
+// Guards against rows that quote text which is no longer in the source, because the safeguard was
+// moved to another file or adjacent lines changed: such a row would not remove the safeguard. This
+// test takes a second, the one below some minutes.
 func TestTheTextOfEverySafeguardStandsOnce(t *testing.T) {
-	for _, m := range all() {
-		_, err := removal.Overlay(root(t), t.TempDir(), m.change())
+	for _, m := range allMutations() {
+		_, err := removal.Overlay(repositoryRoot(t), t.TempDir(), m.change())
 		assert.NoError(t, err, m.name)
 	}
 }
 
 func TestEverySafeguardIsMissed(t *testing.T) {
-	top := root(t)
-	for _, m := range all() {
+	top := repositoryRoot(t)
+	for _, m := range allMutations() {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			output, err := runWithout(t, top, m)
-			require.Error(t, err, "nothing fails without this safeguard")
-			require.Contains(t, output, "--- FAIL", "the build broke instead of the test:\n%s", output)
+			require.Error(t, err, "no test fails without this safeguard")
+			require.Contains(t, output, "--- FAIL", "the build failed instead of the test:\n%s", output)
 			t.Log(firstFailure(output))
 		})
 	}
 }
 
-// runWithout runs a mutation's test with the safeguard overlaid.
+// runWithout runs the test of a mutation with the safeguard removed and returns its output.
 func runWithout(t *testing.T, top string, m mutation) (string, error) {
 	overlay, err := removal.Overlay(top, t.TempDir(), m.change())
 	require.NoError(t, err)
@@ -145,7 +144,7 @@
 
 var failure = regexp.MustCompile(`(?m)^\s*(--- FAIL: .*|Messages:.*|Error:.*)$`)
 
-// firstFailure shortens a red run to its first messages.
+// firstFailure returns the first messages of a failed test run.
 func firstFailure(output string) string {
 	found := failure.FindAllString(output, 6)
 	for i := range found {
