--- a/proof/forwarding/tuning_test.go
+++ b/proof/forwarding/tuning_test.go
@@ -39,7 +39,7 @@
 // shiftedScenarios simulate the press's deployment after its traffic has shifted: at usual and higher
 // load, and with a restart of all entries during mostly long prompts, each with shared servers and
 // with zone-local routing.
-var shiftedDays = []scenario{{"turned 0.85", ZagaraShifted(0.85), 6}, {"turned 1", ZagaraShifted(1), 6}, {"turned 1.1", ZagaraShifted(1.1), 6},
+var shiftedScenarios = []scenario{{"turned 0.85", ZagaraShifted(0.85), 6}, {"turned 1", ZagaraShifted(1), 6}, {"turned 1.1", ZagaraShifted(1.1), 6},
 	{"turned power", WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 6}, {"divided 1", sharded(ZagaraShifted(1), 3), 6},
 	{"divided power", sharded(WithEntryRestart(ZagaraShifted(1), 31*time.Second, true), 3), 6}}
 
@@ -51,7 +51,7 @@
 // BenchmarkTurned compares variants of the options on the shifted scenarios.
 func BenchmarkTurned(b *testing.B) {
 	variants(b, func(name string, options placement.Options) {
-		mean, line := simulateNamed(shiftedDays, options, (*Result).Score)
+		mean, line := simulateNamed(shiftedScenarios, options, (*Result).Score)
 		fmt.Fprintf(os.Stderr, "turned %-40s mean %.4f%s\n", name, mean, line)
 	})
 }
--- a/proof/processes/faults_test.go
+++ b/proof/processes/faults_test.go
@@ -110,14 +110,14 @@
 	s := startTestbed(t, slowSpec())
 	text := prompt(300)
 	result := s.doAsync(call{path: "/v1/completions", body: completionBody(text, 120, true)})
-	leaving := s.awaitBusyServer()
-	s.signal(fleet.ServerName(leaving), syscall.SIGTERM)
+	draining := s.awaitBusyServer()
+	s.signal(fleet.ServerName(draining), syscall.SIGTERM)
 	later := s.do(call{entry: 1, path: "/v1/completions", body: completionBody(prompt(10), 3, false)})
 	require.Equal(t, 200, later.status, later.body)
 	a := <-result
 	require.Equal(t, 120, strings.Count(a.body, fingerprint(text)))
 	require.Contains(t, a.body, "[DONE]")
-	require.Equal(t, 0, s.awaitExit(fleet.ServerName(leaving)))
+	require.Equal(t, 0, s.awaitExit(fleet.ServerName(draining)))
 }
 
 // An entry gets SIGTERM while it streams: the stream completes and the exit code is 0.
--- a/proof/processes/measure_test.go
+++ b/proof/processes/measure_test.go
@@ -36,7 +36,7 @@
 	request.Header.Set("Authorization", "Bearer "+fleet.APIKey)
 	request.Header.Set("X-Request-Kind", fleet.Kind)
 	request.Header.Set("X-Stream-Id", strconv.FormatInt(time.Now().UnixNano(), 36))
-	begun := time.Now()
+	startedAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
 		panic(err)
@@ -44,7 +44,7 @@
 	defer response.Body.Close()
 	var one [1]byte
 	_, _ = io.ReadFull(response.Body, one[:])
-	took := time.Since(begun)
+	took := time.Since(startedAt)
 	_, _ = io.Copy(io.Discard, response.Body)
 	return took
 }
@@ -79,9 +79,9 @@
 	spec := instantSpec()
 	spec.Speed = 1
 	spec.Servers = 1
-	begun := time.Now()
+	startedAt := time.Now()
 	s := startTestbed(b, spec)
-	b.Logf("start to ready, both daemons and the stand-ins' publication: %s", time.Since(begun).Round(time.Millisecond))
+	b.Logf("start to ready, both daemons and the stand-ins' publication: %s", time.Since(startedAt).Round(time.Millisecond))
 	s.printUsage(b, "at rest")
 	s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 2000}
 	var wait sync.WaitGroup
--- a/proof/processes/memory_test.go
+++ b/proof/processes/memory_test.go
@@ -44,19 +44,19 @@
 	entry := f.entries[0]
 
 	var opening sync.WaitGroup
-	var begun atomic.Int32
+	var started atomic.Int32
 	for i := range callers {
 		opening.Go(func() {
 			for until := time.Now().Add(waitTimeout); time.Now().Before(until); {
 				if f.readResponseStart(entry.ListenAddress, fmt.Sprint("reader-", i)) {
-					begun.Add(1)
+					started.Add(1)
 					return
 				}
 			}
 		})
 	}
 	opening.Wait()
-	require.EqualValues(t, callers, begun.Load(), "answers that have begun")
+	require.EqualValues(t, callers, started.Load(), "responses that have started")
 	body := strings.Repeat("y", promptBytes)
 	statuses := make(chan int, prompts)
 	for i := range prompts {
--- a/proof/processes/path_test.go
+++ b/proof/processes/path_test.go
@@ -31,12 +31,12 @@
 	require.Equal(t, 5, strings.Count(streamed.body, fingerprint(text)))
 	require.True(t, strings.HasSuffix(streamed.body, "data: [DONE]\n\n"))
 
-	whole := s.do(call{entry: 1, path: "/v1/completions", body: completionBody(text, 5, false)})
-	require.Equal(t, 200, whole.status, whole.body)
+	complete := s.do(call{entry: 1, path: "/v1/completions", body: completionBody(text, 5, false)})
+	require.Equal(t, 200, complete.status, complete.body)
 	var decoded struct {
 		Choices []struct{ Text string }
 	}
-	require.NoError(t, json.Unmarshal([]byte(whole.body), &decoded))
+	require.NoError(t, json.Unmarshal([]byte(complete.body), &decoded))
 	require.Equal(t, 5, strings.Count(decoded.Choices[0].Text, fingerprint(text)))
 
 	plain := s.do(call{path: "/v1/services/orders/subscribe", body: "order 1"})
--- a/proof/processes/stop_test.go
+++ b/proof/processes/stop_test.go
@@ -74,9 +74,9 @@
 		t.Parallel()
 		f := startForwardTestbed(t, spec, newWorkers(t, 1, sendsFirstEventOnly)...)
 		for range 8 {
-			begun := make(chan struct{})
-			go f.stream(0, "short", shortPrompt, shortOutput, func() { close(begun) })
-			<-begun
+			firstByte := make(chan struct{})
+			go f.stream(0, "short", shortPrompt, shortOutput, func() { close(firstByte) })
+			<-firstByte
 		}
 		held := f.streamAsync("long", longPrompt, shortOutput)
 		time.Sleep(200 * time.Millisecond)
@@ -256,14 +256,14 @@
 		return s.status(fleet.ServerName(0), "daemon", &status) && status.OpenRequests == 2
 	})
 	s.startDrain(stopped)
-	began := time.Now()
+	stoppedAt := time.Now()
 	s.signal(stopped, syscall.SIGINT)
 	a := <-queued
 	require.NoError(t, a.err)
 	require.Equal(t, http.StatusServiceUnavailable, a.status, a.body)
 	require.Equal(t, "notRun", decodeError(t, a).Error.Run)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
-	require.Less(t, time.Since(began), time.Second)
+	require.Less(t, time.Since(stoppedAt), time.Second)
 	require.Equal(t, 4, s.awaitExit(stopped))
 }
 
