--- a/proof/forwarding/forwarding_test.go
+++ b/proof/forwarding/forwarding_test.go
@@ -17,15 +17,15 @@
 	"arbutusdeck/core/placement"
 )
 
-// policy is a way to place requests that is compared.
+// policy is a placement policy under comparison.
 type policy struct {
 	name   string
 	change func(o *placement.Options)
 }
 
-// policies are the product's own and what it is held against: prompts that are
-// never divided, answers that are spread, no regard for what a read does to others,
-// and late prompts that never wait.
+// policies are the default policy and its baselines: prompts that are never divided, responses that
+// are spread, no regard for the delay that a prefill causes to others, and late prompts that never
+// wait.
 var policies = []policy{
 	{"own", func(*placement.Options) {}},
 	{"undivided", func(o *placement.Options) { o.UsualParts, o.MaxParts = 1, 1 }},
@@ -44,39 +44,39 @@
 
 // sum adds the results of several seeds.
 func sum(results []*Result) *Result {
-	total := &Result{Classes: make([]Outcome, len(results[0].Classes))}
+	total := &Result{Classes: make([]ClassResult, len(results[0].Classes))}
 	for _, r := range results {
 		for i, c := range r.Classes {
 			total.Classes[i].add(c)
 		}
 		for i, w := range r.Windows {
 			sum := total.window(float64(i) * windowMs)
-			sum.Owed, sum.Earned = sum.Owed+w.Owed, sum.Earned+w.Earned
+			sum.Demand, sum.Earned = sum.Demand+w.Demand, sum.Earned+w.Earned
 		}
 		total.Connections += r.Connections
-		total.Limit += r.Limit / float64(len(results))
+		total.UpperBound += r.UpperBound / float64(len(results))
 	}
 	return total
 }
 
-func (o *Outcome) add(c Outcome) {
-	o.Asked += c.Asked
+func (o *ClassResult) add(c ClassResult) {
+	o.Requests += c.Requests
 	o.InTime += c.InTime
 	o.Late += c.Late
 	o.Failed += c.Failed
-	o.LateFirst += c.LateFirst
+	o.LateFirstEvent += c.LateFirstEvent
 	o.LateGap += c.LateGap
-	o.Owed += c.Owed
+	o.Demand += c.Demand
 	o.Earned += c.Earned
-	for i, s := range c.Sizes {
-		o.Sizes[i].Owed += s.Owed
-		o.Sizes[i].Earned += s.Earned
+	for i, s := range c.BySize {
+		o.BySize[i].Demand += s.Demand
+		o.BySize[i].Earned += s.Earned
 	}
-	o.FirstMs = append(o.FirstMs, c.FirstMs...)
-	o.Longest = append(o.Longest, c.Longest...)
+	o.FirstEventMs = append(o.FirstEventMs, c.FirstEventMs...)
+	o.LongestGapMs = append(o.LongestGapMs, c.LongestGapMs...)
 }
 
-// forEach does something for each of count numbers, some at a time.
+// forEach calls do for each of count numbers, several at a time.
 func forEach(count int, do func(i int)) {
 	slots := make(chan struct{}, max(runtime.GOMAXPROCS(0)-2, 1))
 	var wait sync.WaitGroup
@@ -90,14 +90,14 @@
 	wait.Wait()
 }
 
-// playSeeds plays a site with several seeds, some at a time.
-func playSeeds(site Site, seeds int, options placement.Options) *Result {
+// simulateSeeds simulates a deployment with several seeds, several at a time, and adds the results.
+func simulateSeeds(deployment Deployment, seeds int, options placement.Options) *Result {
 	results := make([]*Result, seeds)
-	forEach(seeds, func(seed int) { results[seed] = Play(site, uint64(seed), options) })
+	forEach(seeds, func(seed int) { results[seed] = Simulate(deployment, uint64(seed), options) })
 	return sum(results)
 }
 
-// percentile returns a percentile of sorted values.
+// percentile returns the value at a share of sorted values; 0 if there are none.
 func percentile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -105,30 +105,29 @@
 	return values[int(float64(len(values)-1)*share)]
 }
 
-// Every caller of a day gets exactly one end, and a day played again is the same.
-func TestADayIsWholeAndRepeats(t *testing.T) {
-	first := Play(Zagara(0.8), 3, placement.DefaultOptions(""))
+// Every caller ends exactly once, and a simulation repeated with the same seed gives the same result.
+func TestASimulationIsCompleteAndDeterministic(t *testing.T) {
+	first := Simulate(Zagara(0.8), 3, placement.DefaultOptions(""))
 	for _, c := range first.Classes {
-		require.Equal(t, c.Asked, c.InTime+c.Late+c.Failed)
+		require.Equal(t, c.Requests, c.InTime+c.Late+c.Failed)
 	}
-	require.Equal(t, first, Play(Zagara(0.8), 3, placement.DefaultOptions("")))
+	require.Equal(t, first, Simulate(Zagara(0.8), 3, placement.DefaultOptions("")))
 }
 
-// At a usual load nine in ten of the worth are served in time, short prompts stay
-// quick beside long ones, and each part of the policy serves more than a day
-// without it.
+// At a usual load nine tenths of the worth are served in time, short prompts stay fast beside long
+// ones, and each part of the policy serves more than a run without it.
 func TestTheOwnPolicyServesMoreThanItsBaselines(t *testing.T) {
 	const seeds = 24
-	site := Zagara(0.7)
+	deployment := Zagara(0.7)
 	worth := map[string]float64{}
 	for _, p := range policies[:4] {
-		total := playSeeds(site, seeds, optionsOf(p))
+		total := simulateSeeds(deployment, seeds, optionsOf(p))
 		worth[p.name] = total.Worth()
 		if p.name == "own" {
 			short := total.Classes[0]
-			slices.Sort(short.FirstMs)
-			require.Less(t, percentile(short.FirstMs, 0.95), 300.0)
-			require.Greater(t, float64(short.InTime)/float64(short.Asked), 0.9)
+			slices.Sort(short.FirstEventMs)
+			require.Less(t, percentile(short.FirstEventMs, 0.95), 300.0)
+			require.Greater(t, float64(short.InTime)/float64(short.Requests), 0.9)
 		}
 	}
 	require.Greater(t, worth["own"], 0.91, worth)
@@ -137,36 +136,35 @@
 	}
 }
 
-// Callers of the longest kind got their first event in time and then waited for seconds for the second:
-// long reads were sent to servers whose own long prompt was about to be answered. Plays a mix with most of
-// the work in long prompts.
-func TestLongAnswersHardlyPauseBesideLongReads(t *testing.T) {
-	total := playSeeds(ZagaraTurned(1), 2, placement.DefaultOptions(""))
+// Guards against long prefills on servers whose own long prompt is about to produce output: callers of
+// the longest class got their first event in time and then waited for seconds for the second one. Most
+// of the work of the simulated mix is in long prompts.
+func TestLongAnswersHardlyPauseDuringLongPrefills(t *testing.T) {
+	total := simulateSeeds(ZagaraShifted(1), 2, placement.DefaultOptions(""))
 	long := total.Classes[2]
-	require.Less(t, float64(long.LateGap), 0.05*float64(long.Asked))
+	require.Less(t, float64(long.LateGap), 0.05*float64(long.Requests))
 }
 
-// One worker alone: the same short prompts at a real worker gave a median
-// first event of 37, 105 and 124 ms at half a request, three and six a second.
+// The model of one server matches a real one: the same short prompts gave a median time to the first
+// event of 37, 105 and 124 ms at 0.5, 3 and 6 requests per second.
 func TestOneWorkerAloneIsAsFastAsMeasured(t *testing.T) {
 	for _, c := range []struct{ rate, from, to float64 }{{0.5, 30, 90}, {3, 90, 120}, {6, 110, 180}} {
-		site := Zagara(1)
-		site.Engines, site.Entries = 1, 1
-		site.Classes = site.Classes[:1]
-		site.Classes[0].PerSecond = c.rate
-		site.Phases = []Phase{{Load: []float64{1}}}
-		site.Length = 34 * time.Second
-		short := playSeeds(site, 10, placement.DefaultOptions("")).Classes[0]
-		slices.Sort(short.FirstMs)
-		median := percentile(short.FirstMs, 0.5)
+		deployment := Zagara(1)
+		deployment.Engines, deployment.Entries = 1, 1
+		deployment.Classes = deployment.Classes[:1]
+		deployment.Classes[0].PerSecond = c.rate
+		deployment.Phases = []Phase{{Load: []float64{1}}}
+		deployment.Length = 34 * time.Second
+		short := simulateSeeds(deployment, 10, placement.DefaultOptions("")).Classes[0]
+		slices.Sort(short.FirstEventMs)
+		median := percentile(short.FirstEventMs, 0.5)
 		require.Greater(t, median, c.from, c.rate)
 		require.Less(t, median, c.to, c.rate)
 	}
 }
 
-// BenchmarkPolicies compares the policies at several loads as a table, as CSV in the file
-// that ARBUTUS_CSV names, and as a plot (SVG, PNG or PDF) in the one that ARBUTUS_PLOT
-// names.
+// BenchmarkPolicies compares the policies at several loads: as a table on standard error, as CSV in
+// the file named by ARBUTUS_CSV, and as a plot (SVG, PNG or PDF) in the file named by ARBUTUS_PLOT.
 func BenchmarkPolicies(b *testing.B) {
 	const seeds = 100
 	rows := [][]string{{"policy", "load", "class", "worth", "late first", "late gap", "failed", "asked", "first p50 ms", "first p95 ms"}}
@@ -174,16 +172,16 @@
 	for _, load := range []float64{0.7, 1, 1.2} {
 		for i, p := range policies {
 			curves[i].name = p.name
-			site := Zagara(load)
-			total := playSeeds(site, seeds, optionsOf(p))
+			deployment := Zagara(load)
+			total := simulateSeeds(deployment, seeds, optionsOf(p))
 			curves[i].points = append(curves[i].points, plotter.XY{X: load, Y: total.Worth()})
 			fmt.Fprintf(os.Stderr, "%-22s load %.1f worth %.3f", p.name, load, total.Worth())
 			for i, c := range total.Classes {
-				slices.Sort(c.FirstMs)
-				p50, p95 := percentile(c.FirstMs, 0.5), percentile(c.FirstMs, 0.95)
-				fmt.Fprintf(os.Stderr, " | %s %.3f p95 %.0f ms", site.Classes[i].Name, c.Earned/c.Owed, p95)
-				rows = append(rows, []string{p.name, fmt.Sprint(load), site.Classes[i].Name, fmt.Sprintf("%.4f", c.Earned/c.Owed), strconv.Itoa(c.LateFirst),
-					strconv.Itoa(c.LateGap), strconv.Itoa(c.Failed), strconv.Itoa(c.Asked), fmt.Sprintf("%.0f", p50), fmt.Sprintf("%.0f", p95)})
+				slices.Sort(c.FirstEventMs)
+				p50, p95 := percentile(c.FirstEventMs, 0.5), percentile(c.FirstEventMs, 0.95)
+				fmt.Fprintf(os.Stderr, " | %s %.3f p95 %.0f ms", deployment.Classes[i].Name, c.Earned/c.Demand, p95)
+				rows = append(rows, []string{p.name, fmt.Sprint(load), deployment.Classes[i].Name, fmt.Sprintf("%.4f", c.Earned/c.Demand), strconv.Itoa(c.LateFirstEvent),
+					strconv.Itoa(c.LateGap), strconv.Itoa(c.Failed), strconv.Itoa(c.Requests), fmt.Sprintf("%.0f", p50), fmt.Sprintf("%.0f", p95)})
 			}
 			fmt.Fprintln(os.Stderr)
 		}
@@ -199,35 +197,41 @@
 func writeCSV(path string, rows [][]string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("the table: %w", err)
+		return fmt.Errorf("create the CSV file: %w", err)
 	}
 	defer file.Close()
 	if err := csv.NewWriter(file).WriteAll(rows); err != nil {
-		return fmt.Errorf("the table %s: %w", path, err)
+		return fmt.Errorf("write the CSV file %s: %w", path, err)
 	}
 	return nil
 }
 
-// exchanges are ways in which entries know of each other's requests. Without delay is
-// more than a daemon beside each engine could tell them: it would know as exactly, but
-// its answer takes a way there and back.
-var exchanges = []struct {
+// exchangeModes are ways in which entries learn of each other's requests. No delay at all is more than
+// a daemon beside each engine could offer: its knowledge would be as exact, but its response takes a
+// round trip.
+var exchangeModes = []struct {
 	name   string
-	change func(s *Site)
+	change func(s *Deployment)
 }{
-	{"news at once", func(s *Site) { s.News = 0 }},
-	{"news after 3 ms", func(s *Site) { s.News = 3 * time.Millisecond }},
-	{"news after 6 ms", func(*Site) {}},
-	{"news after 20 ms", func(s *Site) { s.News = 20 * time.Millisecond }},
-	{"news after 200 ms", func(s *Site) { s.News = 200 * time.Millisecond }},
-	{"nothing exchanged", func(s *Site) { s.NoSlices, s.CutOff = true, func(int, time.Duration) bool { return true } }},
-	{"nothing, own servers", func(s *Site) { s.CutOff = func(int, time.Duration) bool { return true } }},
-	{"one cut off", func(s *Site) { s.NoSlices, s.CutOff = true, firstEntry }},
-	{"one cut off, own servers", func(s *Site) { s.CutOff = firstEntry }},
-	{"one dead", func(s *Site) { s.CutOff, s.Dead, s.NoSlices = firstEntry, firstOf(1), true }},
-	{"one dead, own servers", func(s *Site) { s.CutOff, s.Dead = firstEntry, firstOf(1) }},
-	{"all dead but one", func(s *Site) { s.CutOff, s.Dead, s.NoSlices = allCutOff, allButLast(s.Entries), true }},
-	{"all dead but one, own", func(s *Site) { s.CutOff, s.Dead = allCutOff, allButLast(s.Entries) }},
+	{"news at once", func(s *Deployment) { s.UpdateDelay = 0 }},
+	{"news after 3 ms", func(s *Deployment) { s.UpdateDelay = 3 * time.Millisecond }},
+	{"news after 6 ms", func(*Deployment) {}},
+	{"news after 20 ms", func(s *Deployment) { s.UpdateDelay = 20 * time.Millisecond }},
+	{"news after 200 ms", func(s *Deployment) { s.UpdateDelay = 200 * time.Millisecond }},
+	{"nothing exchanged", func(s *Deployment) {
+		s.ShareWhenPartitioned, s.Partitioned = true, func(int, time.Duration) bool { return true }
+	}},
+	{"nothing, own servers", func(s *Deployment) { s.Partitioned = func(int, time.Duration) bool { return true } }},
+	{"one cut off", func(s *Deployment) { s.ShareWhenPartitioned, s.Partitioned = true, firstEntry }},
+	{"one cut off, own servers", func(s *Deployment) { s.Partitioned = firstEntry }},
+	{"one dead", func(s *Deployment) {
+		s.Partitioned, s.Terminated, s.ShareWhenPartitioned = firstEntry, firstOf(1), true
+	}},
+	{"one dead, own servers", func(s *Deployment) { s.Partitioned, s.Terminated = firstEntry, firstOf(1) }},
+	{"all dead but one", func(s *Deployment) {
+		s.Partitioned, s.Terminated, s.ShareWhenPartitioned = allCutOff, allButLast(s.Entries), true
+	}},
+	{"all dead but one, own", func(s *Deployment) { s.Partitioned, s.Terminated = allCutOff, allButLast(s.Entries) }},
 }
 
 func firstEntry(entry int, _ time.Duration) bool { return entry == 0 }
@@ -235,18 +239,18 @@
 func firstOf(count int) func(int) bool           { return func(entry int) bool { return entry < count } }
 func allButLast(count int) func(int) bool        { return firstOf(count - 1) }
 
-// BenchmarkExchange compares what entries exchange, over both sizes of a deployment.
+// BenchmarkExchange compares the exchange modes over both sizes of a deployment.
 func BenchmarkExchange(b *testing.B) {
-	for _, x := range exchanges {
+	for _, x := range exchangeModes {
 		for _, c := range []struct {
-			name  string
-			site  Site
-			seeds int
+			name       string
+			deployment Deployment
+			seeds      int
 		}{{"usual", Zagara(1), 60}, {"grown", ZagaraGrown(1), 12}} {
-			x.change(&c.site)
+			x.change(&c.deployment)
 			options := placement.DefaultOptions("")
 			require.NoError(b, vary(&options, os.Getenv("ARBUTUS_TUNING")))
-			total := playSeeds(c.site, c.seeds, options)
+			total := simulateSeeds(c.deployment, c.seeds, options)
 			fmt.Fprintf(os.Stderr, "%-26s %-6s worth %.3f\n", x.name, c.name, total.Worth())
 		}
 	}
