--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -115,7 +115,7 @@
 // SetSlow makes the engines slower by a factor.
 func (h *Host) SetSlow(factor float64) {
 	for _, e := range h.Engines {
-		e.Model.SetSlow(factor)
+		e.Model.SetSlowdown(factor)
 	}
 }
 
@@ -152,7 +152,7 @@
 			e := h.Engines[name]
 			var held []memory.EngineStream
 			for _, s := range e.Model.Streams() {
-				held = append(held, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.Memory()})
+				held = append(held, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.MemoryTokens()})
 			}
 			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observed{State: e.State, Fence: e.Fence}, held))
 		}
@@ -265,7 +265,7 @@
 func (h *Host) Used() int64 {
 	var used int64
 	for _, e := range h.Engines {
-		used += e.Model.Used()
+		used += e.Model.UsedTokens()
 	}
 	return used
 }
--- a/proof/lab/host_engines.go
+++ b/proof/lab/host_engines.go
@@ -43,7 +43,7 @@
 // those talk to each other without the daemons.
 func (h *Host) addStream(e backend.Start, s *stream) error {
 	r := s.submitted.request
-	whole := engine.Stream{ID: string(e.Attempt), Prompt: r.PromptTokens, Answer: r.AnswerTokens, Priority: e.Priority, Prefix: r.Prefix}
+	whole := engine.Stream{ID: string(e.Attempt), PromptTokens: r.PromptTokens, OutputTokens: r.AnswerTokens, Priority: e.Priority, Prefix: r.Prefix}
 	if len(e.Group) == 0 {
 		return h.Engines[e.Engine].Model.Add(whole)
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	e.ticking = true
-	h.lab.After(e.Model.Step(), func() { h.batch(e) })
+	h.lab.After(e.Model.StepTime(), func() { h.batch(e) })
 }
 
 func (h *Host) batch(e *Engine) {
--- a/proof/processes/callers_test.go
+++ b/proof/processes/callers_test.go
@@ -70,7 +70,7 @@
 func TestEngineGroup(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
-	spec.Speed, spec.Grouped = 100, true
+	spec.Speed, spec.EngineGroup = 100, true
 	s := startSite(t, spec)
 	a := s.do(call{path: "/v1/completions", body: completionBody(strings.Repeat("poem", 900_000), 3, true),
 		headers: map[string]string{"X-Request-Kind": fleet.LongKind}})
--- a/proof/processes/fatal_test.go
+++ b/proof/processes/fatal_test.go
@@ -25,7 +25,7 @@
 func TestAPromptThatEndsEnginesIsNotSentOnWithoutEnd(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
-	spec.Servers, spec.FatalText = 10, fatalText
+	spec.Servers, spec.PoisonText = 10, fatalText
 	s := startSite(t, spec)
 	fatal := func(entry int) answer {
 		return s.do(call{entry: entry, path: "/v1/completions", body: completionBody(fatalText, 2, false)})
@@ -35,7 +35,7 @@
 		last = fatal(i % 2)
 		require.NoError(t, last.err)
 	}
-	require.LessOrEqual(t, s.fleet.Ended(), mostEnded)
+	require.LessOrEqual(t, s.fleet.CrashedEngines(), mostEnded)
 	require.Equal(t, http.StatusServiceUnavailable, last.status, last.body)
 	require.Equal(t, "quarantined", problemOf(t, last).Error.Code)
 	require.Equal(t, "notRun", problemOf(t, last).Error.Run)
@@ -44,10 +44,10 @@
 	for entry := range 2 {
 		require.Equal(t, 200, s.do(call{entry: entry, path: "/v1/completions", body: sound}).status)
 	}
-	ended := s.fleet.Ended()
+	ended := s.fleet.CrashedEngines()
 	started := fleet.EntryName(1)
 	s.signal(started, syscall.SIGKILL)
 	s.restart(started)
 	require.Equal(t, http.StatusServiceUnavailable, fatal(1).status, "at an entry that has started since")
-	require.Equal(t, ended, s.fleet.Ended())
+	require.Equal(t, ended, s.fleet.CrashedEngines())
 }
--- a/proof/processes/faults_test.go
+++ b/proof/processes/faults_test.go
@@ -40,7 +40,7 @@
 	found := -1
 	s.eventually("a server runs an attempt", func() bool {
 		for i := range s.fleet.Spec.Servers {
-			if s.fleet.Engines[i].Used() > 0 {
+			if s.fleet.Engines[i].UsedTokens() > 0 {
 				found = i
 				return true
 			}
@@ -52,7 +52,7 @@
 
 func (s *site) memoryIsFree() bool {
 	for _, e := range s.fleet.Engines {
-		if e.Used() > 0 {
+		if e.UsedTokens() > 0 {
 			return false
 		}
 	}
@@ -233,7 +233,7 @@
 func TestCallerMadeKeyRunsOnce(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
-	spec.Homes = true
+	spec.HomeSlots = true
 	s := startSite(t, spec)
 	headers := map[string]string{}
 	var first answer
@@ -252,19 +252,19 @@
 func TestPlatformDownThenStale(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, fastSpec())
-	s.fleet.Platform.Freeze()
+	s.fleet.Platform.ServeStale()
 	s.fleet.Platform.SetDown(true)
 	s.signal(fleet.ServerName(0), syscall.SIGKILL)
 	s.restart(fleet.ServerName(0))
 	s.fleet.Platform.SetDown(false)
-	s.fleet.Platform.Thaw()
+	s.fleet.Platform.ServeCurrent()
 	kind := s.fleet.Config.Kinds[fleet.Kind]
 	kind.MaxAnswerTokens = 99
 	s.fleet.Config.Kinds[fleet.Kind] = kind
 	require.NoError(t, s.fleet.Publish())
 	s.eventually("the new revision is in force everywhere", func() bool { return s.revisionEverywhere(2) })
 	s.signal(fleet.ServerName(1), syscall.SIGKILL)
-	s.fleet.Platform.Freeze()
+	s.fleet.Platform.ServeStale()
 	s.restart(fleet.ServerName(1))
 	require.True(t, s.revisionEverywhere(2))
 }
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -14,35 +14,35 @@
 type Spec struct {
 	// PrefillRate is in prompt tokens a second.
 	PrefillRate float64
-	// Step is the time of one batch: every decoding stream gets one token in
-	// it, and prefills share PrefillRate times Step tokens.
-	Step time.Duration
+	// StepTime is the time of one batch: every decoding stream gets one token in
+	// it, and prefills share PrefillRate times StepTime tokens.
+	StepTime time.Duration
 	// MemoryTokens is the size of the KV memory.
 	MemoryTokens int64
 	// CachedPrefixes is the number of prompt prefixes that are kept.
 	CachedPrefixes int
-	// PrefixShare is the part of a prompt that a cached prefix saves.
-	PrefixShare float64
+	// PrefixSaving is the part of a prompt that a cached prefix saves.
+	PrefixSaving float64
 }
 
 // DefaultSpec returns an engine of middling size.
 func DefaultSpec() Spec {
-	return Spec{PrefillRate: 16000, Step: 25 * time.Millisecond, MemoryTokens: 400_000, CachedPrefixes: 64, PrefixShare: 0.5}
+	return Spec{PrefillRate: 16000, StepTime: 25 * time.Millisecond, MemoryTokens: 400_000, CachedPrefixes: 64, PrefixSaving: 0.5}
 }
 
 // Errors of Model.Add.
 var (
-	ErrDuplicate = errors.New("the stream exists already")
-	ErrNoMemory  = errors.New("not enough KV memory")
+	ErrDuplicate          = errors.New("the stream exists already")
+	ErrInsufficientMemory = errors.New("not enough KV memory")
 )
 
 // Stream is one request in the engine.
 type Stream struct {
-	ID       string
-	Prompt   int64
-	Answer   int64
-	Priority int
-	Prefix   uint64
+	ID           string
+	PromptTokens int64
+	OutputTokens int64
+	Priority     int
+	Prefix       uint64
 	// Share is the part of the memory and the prefill that this engine bears,
 	// for a group; 0 means all.
 	Share float64
@@ -54,12 +54,12 @@
 	finished bool
 }
 
-// Memory is what the stream holds here.
-func (s *Stream) Memory() int64 {
+// MemoryTokens is what the stream holds here.
+func (s *Stream) MemoryTokens() int64 {
 	if s.Share > 0 {
-		return int64(s.Share * float64(s.Prompt+s.Answer))
+		return int64(s.Share * float64(s.PromptTokens+s.OutputTokens))
 	}
-	return s.Prompt + s.Answer
+	return s.PromptTokens + s.OutputTokens
 }
 
 // Token is one token given out. The first has Index 1.
@@ -95,17 +95,17 @@
 	return &Model{spec: spec, streams: map[string]*Stream{}, slow: 1}
 }
 
-// SetSlow makes the engine slower by a factor.
-func (m *Model) SetSlow(factor float64) { m.slow = factor }
+// SetSlowdown makes the engine slower by a factor.
+func (m *Model) SetSlowdown(factor float64) { m.slow = factor }
 
-// Step returns the present time of one batch.
-func (m *Model) Step() time.Duration { return time.Duration(float64(m.spec.Step) * m.slow) }
+// StepTime returns the present time of one batch.
+func (m *Model) StepTime() time.Duration { return time.Duration(float64(m.spec.StepTime) * m.slow) }
 
-// Used returns the memory in use, in tokens.
-func (m *Model) Used() int64 {
+// UsedTokens returns the memory in use, in tokens.
+func (m *Model) UsedTokens() int64 {
 	var used int64
 	for _, s := range m.streams {
-		used += s.Memory()
+		used += s.MemoryTokens()
 	}
 	return used
 }
@@ -124,17 +124,17 @@
 	if m.streams[s.ID] != nil {
 		return ErrDuplicate
 	}
-	if m.Used()+s.Memory() > m.spec.MemoryTokens {
-		return ErrNoMemory
+	if m.UsedTokens()+s.MemoryTokens() > m.spec.MemoryTokens {
+		return ErrInsufficientMemory
 	}
 	m.next++
 	s.order = m.next
-	s.left = float64(s.Prompt)
+	s.left = float64(s.PromptTokens)
 	if s.Share > 0 {
 		s.left *= s.Share
 	}
 	if slices.Contains(m.cache, s.Prefix) && s.Prefix != 0 {
-		s.left *= 1 - m.spec.PrefixShare
+		s.left *= 1 - m.spec.PrefixSaving
 	}
 	m.streams[s.ID] = &s
 	return nil
@@ -187,7 +187,7 @@
 		}
 		tokens = append(tokens, s.decode())
 	}
-	budget := m.spec.PrefillRate * m.spec.Step.Seconds()
+	budget := m.spec.PrefillRate * m.spec.StepTime.Seconds()
 	slices.SortStableFunc(all, func(a, b *Stream) int { return a.Priority - b.Priority })
 	for _, s := range all {
 		if s.paused || s.left <= 0 || budget <= 0 {
@@ -206,7 +206,7 @@
 
 func (s *Stream) decode() Token {
 	s.decoded++
-	s.finished = s.decoded >= max(s.Answer, 1)
+	s.finished = s.decoded >= max(s.OutputTokens, 1)
 	return Token{Stream: s.ID, Index: s.decoded, Last: s.finished}
 }
 
--- a/standin/engine/reports.go
+++ b/standin/engine/reports.go
@@ -34,7 +34,7 @@
 		select {
 		case <-ticker.C:
 			s.mu.Lock()
-			s.loads = append(s.loads, Load{Running: len(s.model.streams), UsedTokens: s.model.Used()})
+			s.loads = append(s.loads, Load{Running: len(s.model.streams), UsedTokens: s.model.UsedTokens()})
 			if len(s.loads) > int(reportLag/reportTick) {
 				s.loads = s.loads[1:]
 			}
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -22,13 +22,13 @@
 	Speed float64
 	// ChecksFencing refuses orders with an old fencing number.
 	ChecksFencing bool
-	// OrderTime is how long an order takes.
-	OrderTime time.Duration
+	// OrderDelay is how long an order takes.
+	OrderDelay time.Duration
 	// Model and Version are loaded at the start.
 	Model, Version string
-	// EndsUnder says under which prompts the engine's process ends as it begins to run them;
+	// CrashesOn says under which prompts the engine's process ends as it begins to run them;
 	// nil for none. It has ended when the call returns.
-	EndsUnder func(prompt []byte) bool
+	CrashesOn func(prompt []byte) bool
 }
 
 // Server is the HTTP stand-in of one engine. A stream whose caller is gone keeps
@@ -73,8 +73,8 @@
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	// Refused says that the fencing number was old.
-	Refused bool `json:"-"`
+	// Fenced says that the fencing number was old.
+	Fenced bool `json:"-"`
 }
 
 // New returns an engine that Close ends.
@@ -113,7 +113,7 @@
 func (s *Server) batches() {
 	for {
 		s.mu.Lock()
-		idle, step := s.model.Idle(), s.model.Step()
+		idle, step := s.model.Idle(), s.model.StepTime()
 		s.mu.Unlock()
 		if idle {
 			select {
@@ -162,7 +162,7 @@
 		return nil
 	}
 	stream, prompt := streamOf(r.Header, body)
-	if s.options.EndsUnder != nil && s.options.EndsUnder(prompt) {
+	if s.options.CrashesOn != nil && s.options.CrashesOn(prompt) {
 		panic(http.ErrAbortHandler)
 	}
 	sink, err := s.begin(stream, prompt)
@@ -180,9 +180,9 @@
 		prompt = body.Messages
 	}
 	priority, _ := strconv.Atoi(header.Get("X-Priority"))
-	stream := Stream{ID: header.Get("X-Stream-Id"), Prompt: int64(len(prompt)/bytesPerToken) + 1, Answer: body.MaxTokens, Priority: priority}
-	if stream.Answer == 0 {
-		stream.Answer = defaultAnswer
+	stream := Stream{ID: header.Get("X-Stream-Id"), PromptTokens: int64(len(prompt)/bytesPerToken) + 1, OutputTokens: body.MaxTokens, Priority: priority}
+	if stream.OutputTokens == 0 {
+		stream.OutputTokens = defaultAnswer
 	}
 	if group := header.Get("X-Engine-Group"); group != "" {
 		stream.Share = 1 / float64(1+strings.Count(group, ","))
@@ -201,13 +201,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refused {
-		return nil, ErrNoMemory
+		return nil, ErrInsufficientMemory
 	}
 	if err := s.model.Add(stream); err != nil {
 		return nil, err
 	}
 	s.runs[Fingerprint(prompt)]++
-	sink := make(chan Token, stream.Answer+1)
+	sink := make(chan Token, stream.OutputTokens+1)
 	s.sinks[stream.ID] = sink
 	select {
 	case s.wake <- struct{}{}:
@@ -296,7 +296,7 @@
 	s.mu.Lock()
 	state := s.state
 	for _, stream := range s.model.Streams() {
-		state.Streams = append(state.Streams, StreamInfo{ID: stream.ID, Tokens: stream.Memory()})
+		state.Streams = append(state.Streams, StreamInfo{ID: stream.ID, Tokens: stream.MemoryTokens()})
 	}
 	s.mu.Unlock()
 	return json.NewEncoder(w).Encode(state)
@@ -309,9 +309,9 @@
 		return nil
 	}
 	s.mu.Lock()
-	order.Refused = s.options.ChecksFencing && order.Fence <= s.state.Fence
+	order.Fenced = s.options.ChecksFencing && order.Fence <= s.state.Fence
 	s.orders = append(s.orders, order)
-	if order.Refused {
+	if order.Fenced {
 		s.mu.Unlock()
 		w.WriteHeader(http.StatusConflict)
 		return nil
@@ -319,7 +319,7 @@
 	s.state.Fence = max(s.state.Fence, order.Fence)
 	s.state.Busy = true
 	s.mu.Unlock()
-	time.Sleep(time.Duration(float64(s.options.OrderTime) / s.options.Speed))
+	time.Sleep(time.Duration(float64(s.options.OrderDelay) / s.options.Speed))
 	s.mu.Lock()
 	s.state.Model, s.state.Version, s.state.Adapters, s.state.Role = order.Model, order.Version, order.Adapters, order.Role
 	s.state.Busy = false
@@ -328,11 +328,11 @@
 	return nil
 }
 
-// Used returns the memory in use, in tokens.
-func (s *Server) Used() int64 {
+// UsedTokens returns the memory in use, in tokens.
+func (s *Server) UsedTokens() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.Used()
+	return s.model.UsedTokens()
 }
 
 // Runs returns how often a prompt ran.
@@ -356,16 +356,16 @@
 	s.broken = tokens
 }
 
-// Refuse makes the engine refuse new streams.
-func (s *Server) Refuse(refused bool) {
+// RefuseStreams makes the engine refuse new streams.
+func (s *Server) RefuseStreams(refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused = refused
 }
 
-// SetSlow makes the engine slower by a factor.
-func (s *Server) SetSlow(factor float64) {
+// SetSlowdown makes the engine slower by a factor.
+func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.SetSlow(factor)
+	s.model.SetSlowdown(factor)
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -47,20 +47,20 @@
 	// Speed makes engines run faster than real time.
 	Speed         float64
 	ChecksFencing bool
-	OrderTime     time.Duration
+	OrderDelay    time.Duration
 	ServiceDelay  time.Duration
-	// Homes gives the service home slots, one for each server.
-	Homes bool
-	// Grouped joins the first engine of each server into a group.
-	Grouped bool
-	// FatalText is part of the prompts under which engines end; empty for none.
-	FatalText string
+	// HomeSlots gives the service home slots, one for each server.
+	HomeSlots bool
+	// EngineGroup joins the first engine of each server into a group.
+	EngineGroup bool
+	// PoisonText is part of the prompts under which engines end; empty for none.
+	PoisonText string
 }
 
 // DefaultSpec returns a fleet of three servers and two entries.
 func DefaultSpec() Spec {
 	return Spec{Servers: 3, Entries: 2, Engine: engine.DefaultSpec(), Slots: 8, Speed: 1, ChecksFencing: true,
-		OrderTime: 50 * time.Millisecond}
+		OrderDelay: 50 * time.Millisecond}
 }
 
 // Fleet is a running set of stand-ins.
@@ -102,7 +102,7 @@
 func (f *Fleet) startServer(i int) error {
 	var process atomic.Pointer[http.Server]
 	e := engine.New(engine.Options{Name: ServerName(i), Spec: f.Spec.Engine, Speed: f.Spec.Speed, ChecksFencing: f.Spec.ChecksFencing,
-		OrderTime: f.Spec.OrderTime, Model: Model, Version: Version, EndsUnder: func(prompt []byte) bool { return f.endsUnder(prompt, process.Load()) }})
+		OrderDelay: f.Spec.OrderDelay, Model: Model, Version: Version, CrashesOn: func(prompt []byte) bool { return f.endsUnder(prompt, process.Load()) }})
 	f.Engines = append(f.Engines, e)
 	url, server, err := f.serve(e.Handler())
 	if err != nil {
@@ -120,7 +120,7 @@
 // endsUnder ends an engine if a prompt is one that it doesn't bear: its address refuses
 // connections, and all that it runs is cut off.
 func (f *Fleet) endsUnder(prompt []byte, process *http.Server) bool {
-	if f.Spec.FatalText == "" || !bytes.Contains(prompt, []byte(f.Spec.FatalText)) {
+	if f.Spec.PoisonText == "" || !bytes.Contains(prompt, []byte(f.Spec.PoisonText)) {
 		return false
 	}
 	f.ended.Add(1)
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Ended returns how many engines have ended under prompts.
-func (f *Fleet) Ended() int { return int(f.ended.Load()) }
+// CrashedEngines returns how many engines have ended under prompts.
+func (f *Fleet) CrashedEngines() int { return int(f.ended.Load()) }
 
 func (f *Fleet) serve(handler http.Handler) (string, *http.Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -220,12 +220,12 @@
 			MemoryTokens: f.Spec.Engine.MemoryTokens, PrefillRate: f.Spec.Engine.PrefillRate * f.Spec.Speed, Slots: f.Spec.Slots, ChecksFencing: f.Spec.ChecksFencing}}}
 		service.Servers = append(service.Servers, name)
 		group.Members = append(group.Members, name+"/e0")
-		if f.Spec.Homes {
+		if f.Spec.HomeSlots {
 			service.Homes[fmt.Sprintf("slot-%d", i)] = config.HomeSlot{Server: name}
 		}
 	}
 	c.Services = map[string]config.Service{Service: service}
-	if f.Spec.Grouped {
+	if f.Spec.EngineGroup {
 		c.Groups[Group] = group
 	}
 	for i := range f.Spec.Entries {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -62,15 +62,15 @@
 	s.signal()
 }
 
-// Freeze keeps serving the present contents, whatever is published, until Thaw.
-func (s *Server) Freeze() {
+// ServeStale keeps serving the present contents, whatever is published, until Thaw.
+func (s *Server) ServeStale() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = &published{s.revision, s.files}
 }
 
-// Thaw ends Freeze.
-func (s *Server) Thaw() {
+// ServeCurrent ends Freeze.
+func (s *Server) ServeCurrent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = nil
