--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -122,8 +122,8 @@
 	allCut := func(l *lab.Lab) {
 		for _, e := range l.Entries {
 			for _, h := range l.Hosts {
-				l.Cut(e.Name, h.Name)
-				l.Cut(h.Name, e.Name)
+				l.Partition(e.Name, h.Name)
+				l.Partition(h.Name, e.Name)
 			}
 		}
 	}
@@ -131,10 +131,10 @@
 	results := print(b,
 		base("no fault"),
 		with(base("a daemon killed"), during(func(l *lab.Lab) { l.Hosts[4].Kill() }, func(l *lab.Lab) { l.Hosts[4].Start() })),
-		with(base("a server ten times slower"), during(func(l *lab.Lab) { l.Hosts[4].SetSlow(10) }, func(l *lab.Lab) { l.Hosts[4].SetSlow(1) })),
+		with(base("a server ten times slower"), during(func(l *lab.Lab) { l.Hosts[4].SetSlowdown(10) }, func(l *lab.Lab) { l.Hosts[4].SetSlowdown(1) })),
 		with(base("a zone lost, 50 % load"), load(0.5), during(func(l *lab.Lab) { zone(l, (*lab.Host).Kill) }, func(l *lab.Lab) { zone(l, (*lab.Host).Start) })),
 		with(base("load reports frozen"), during(func(l *lab.Lab) { l.FreezeReports = true }, func(l *lab.Lab) { l.FreezeReports = false })),
-		with(base("all cut off, all resend"), resend, during(allCut, (*lab.Lab).Heal)),
+		with(base("all cut off, all resend"), resend, during(allCut, (*lab.Lab).HealPartitions)),
 		with(base("an entry killed"), during(func(l *lab.Lab) { l.Entries[0].Kill() }, func(l *lab.Lab) { l.Entries[0].Start() })),
 		with(base("no retry budget, zone lost"), load(0.5), func(s *Scenario) { s.NoRetries = true },
 			during(func(l *lab.Lab) { zone(l, (*lab.Host).Kill) }, none)),
--- a/proof/experiment/quota_test.go
+++ b/proof/experiment/quota_test.go
@@ -18,9 +18,9 @@
 func quotaRun(parts []float64, cut func(l *lab.Lab)) (before, during, after float64) {
 	const quota, demand = 10.0, 30.0
 	const phase = 60 * time.Second
-	site := lab.Site{Servers: 6, Entries: 3, Zones: 3, Slots: 64, Engine: engineSpec(),
+	site := lab.Deployment{Servers: 6, Entries: 3, Zones: 3, Slots: 64, Engine: engineSpec(),
 		Workspaces: map[string]config.Workspace{"w0": {Weight: 1, RequestsPerSecond: quota}}}
-	l := lab.New(lab.Options{Seed: 1, Snapshot: lab.Build(site), Engine: engineSpec(), Delay: time.Millisecond})
+	l := lab.New(lab.Options{Seed: 1, Snapshot: lab.BuildSnapshot(site), Engine: engineSpec(), Delay: time.Millisecond})
 	random := rand.New(rand.NewPCG(1, 1))
 	l.Run(2 * time.Second)
 	admitted := map[int]int{}
@@ -44,7 +44,7 @@
 	}
 	next()
 	l.After(phase, func() { cut(l) })
-	l.After(2*phase, l.Heal)
+	l.After(2*phase, l.HealPartitions)
 	l.Run(3 * phase)
 	rate := func(n int) float64 { return float64(admitted[n]) / phase.Seconds() }
 	return rate(0), rate(1), rate(2)
@@ -56,8 +56,8 @@
 	for i, e := range l.Entries {
 		for j, h := range l.Hosts {
 			if (i == 0) != (j < len(l.Hosts)/2) {
-				l.Cut(e.Name, h.Name)
-				l.Cut(h.Name, e.Name)
+				l.Partition(e.Name, h.Name)
+				l.Partition(h.Name, e.Name)
 			}
 		}
 	}
--- a/proof/experiment/run.go
+++ b/proof/experiment/run.go
@@ -81,9 +81,9 @@
 	if !s.NoPrefixes {
 		s.prefixShare = prefixShare
 	}
-	site := lab.Site{Servers: s.Servers, Entries: max(s.Entries, 3), Zones: 3, Slots: 16, Engine: engineSpec(), Workspaces: workspaces(), Groups: s.Servers / 3}
+	site := lab.Deployment{Servers: s.Servers, Entries: max(s.Entries, 3), Zones: 3, Slots: 16, Engine: engineSpec(), Workspaces: workspaces(), Groups: s.Servers / 3}
 	r := &runner{
-		lab: lab.New(lab.Options{Seed: s.Seed, Snapshot: lab.Build(site), Engine: engineSpec(), Routing: s.Routing, Scheduling: s.Scheduling,
+		lab: lab.New(lab.Options{Seed: s.Seed, Snapshot: lab.BuildSnapshot(site), Engine: engineSpec(), Routing: s.Routing, Scheduling: s.Scheduling,
 			Delay: 1100 * time.Microsecond, Patience: s.Patience,
 			NoRetries: s.NoRetries, TuneHost: s.TuneHost, TuneEntry: s.TuneEntry}),
 		scenario: s,
--- a/proof/lab/build.go
+++ b/proof/lab/build.go
@@ -15,14 +15,14 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Site describes a deployment for Build.
-type Site struct {
+// Deployment describes a deployment for Build.
+type Deployment struct {
 	Servers, Entries, Zones int
 	Slots                   int
 	Engine                  engine.Spec
 	Workspaces              map[string]config.Workspace
-	// Homes gives the service a home slot on each of its servers.
-	Homes bool
+	// HomeSlots gives the service a home slot on each of its servers.
+	HomeSlots bool
 	// Groups is the number of groups; each takes three servers, from the first.
 	Groups int
 	// NoFencing says that engines ignore fencing numbers.
@@ -48,8 +48,8 @@
 // EntryName names an entry, from 0 on.
 func EntryName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
-// Build returns the snapshot of a site.
-func Build(site Site) *config.Snapshot {
+// BuildSnapshot returns the snapshot of a site.
+func BuildSnapshot(site Deployment) *config.Snapshot {
 	c := &config.Snapshot{
 		LengthClasses: map[string]config.LengthClass{
 			"short":  {UpTo: 8_000, FirstToken: config.Duration(time.Second)},
@@ -80,7 +80,7 @@
 		if i < 3 {
 			service.Servers = append(service.Servers, name)
 		}
-		if i < 3 && site.Homes {
+		if i < 3 && site.HomeSlots {
 			service.Homes[fmt.Sprintf("slot-%d", i)] = config.HomeSlot{Server: name}
 		}
 	}
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -131,11 +131,11 @@
 	}
 }
 
-// Freeze stops the daemon until Thaw.
-func (e *Entry) Freeze() { e.frozen = true }
+// Suspend stops the daemon until Thaw.
+func (e *Entry) Suspend() { e.frozen = true }
 
-// Thaw wakes the daemon; its first act is a tick.
-func (e *Entry) Thaw() {
+// Resume wakes the daemon; its first act is a tick.
+func (e *Entry) Resume() {
 	if !e.alive || !e.frozen {
 		return
 	}
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -24,8 +24,8 @@
 	epoch   int
 	streams map[execution.AttemptID]*stream
 	pause   *membership.PauseDetector
-	// Starts counts what the engines were asked to run, by attempt.
-	Starts map[execution.AttemptID]int
+	// StartedRuns counts what the engines were asked to run, by attempt.
+	StartedRuns map[execution.AttemptID]int
 }
 
 // Engine is one stand-in engine in virtual time.
@@ -52,7 +52,7 @@
 }
 
 func newHost(l *Lab, name string) *Host {
-	h := &Host{Name: name, lab: l, Engines: map[string]*Engine{}, Starts: map[execution.AttemptID]int{}}
+	h := &Host{Name: name, lab: l, Engines: map[string]*Engine{}, StartedRuns: map[execution.AttemptID]int{}}
 	for engineName, spec := range l.Snapshot.Servers[name].Engines {
 		model := l.Engine
 		model.MemoryTokens = spec.MemoryTokens
@@ -99,11 +99,11 @@
 	}
 }
 
-// Freeze stops the daemon until Thaw.
-func (h *Host) Freeze() { h.frozen = true }
+// Suspend stops the daemon until Thaw.
+func (h *Host) Suspend() { h.frozen = true }
 
-// Thaw wakes the daemon; its first act is a tick.
-func (h *Host) Thaw() {
+// Resume wakes the daemon; its first act is a tick.
+func (h *Host) Resume() {
 	if !h.alive || !h.frozen {
 		return
 	}
@@ -112,8 +112,8 @@
 	h.wake()
 }
 
-// SetSlow makes the engines slower by a factor.
-func (h *Host) SetSlow(factor float64) {
+// SetSlowdown makes the engines slower by a factor.
+func (h *Host) SetSlowdown(factor float64) {
 	for _, e := range h.Engines {
 		e.Model.SetSlowdown(factor)
 	}
@@ -166,14 +166,14 @@
 	h.lab.After(time.Second, func() { h.observe(epoch) })
 }
 
-// OrderTime is how long an order is under way and being carried out.
-const OrderTime = 300 * time.Millisecond
+// OrderDelay is how long an order is under way and being carried out.
+const OrderDelay = 300 * time.Millisecond
 
 func (h *Host) sendOrders() {
 	epoch := h.epoch
 	for _, order := range h.Core.OrdersDue(h.lab.Now) {
 		checks := h.lab.Snapshot.Servers[h.Name].Engines[order.Engine].ChecksFencing
-		h.lab.After(OrderTime, func() {
+		h.lab.After(OrderDelay, func() {
 			e := h.Engines[order.Engine]
 			result := orders.Done
 			if checks && order.Fence <= e.Fence {
@@ -261,8 +261,8 @@
 	h.lab.send(Message{"release", h.Name, member.Name}, func() { member.carryOut(member.Core.ReleasePart(h.lab.Now, e.Reservation)) }, nil)
 }
 
-// Used returns the memory in use on the host's engines, in tokens.
-func (h *Host) Used() int64 {
+// UsedTokens returns the memory in use on the host's engines, in tokens.
+func (h *Host) UsedTokens() int64 {
 	var used int64
 	for _, e := range h.Engines {
 		used += e.Model.UsedTokens()
--- a/proof/lab/host_engines.go
+++ b/proof/lab/host_engines.go
@@ -14,7 +14,7 @@
 const serviceTime = 200 * time.Millisecond
 
 func (h *Host) start(e backend.Start) {
-	h.Starts[e.Attempt]++
+	h.StartedRuns[e.Attempt]++
 	s := h.streams[e.Attempt]
 	epoch := h.epoch
 	if s.submitted.request.Service != "" {
--- a/proof/lab/lab.go
+++ b/proof/lab/lab.go
@@ -47,14 +47,14 @@
 	Entries []*Entry
 	Hosts   []*Host
 	// Intercept may change the fate of a message; nil lets all pass.
-	Intercept func(m Message) Fate
+	Intercept func(m Message) MessageFault
 
 	// FreezeReports keeps load reports from the entries.
 	FreezeReports bool
 
-	random *rand.Rand
-	cuts   map[link]bool
-	Calls  map[string]int
+	random        *rand.Rand
+	cuts          map[link]bool
+	MessageCounts map[string]int
 }
 
 type link struct{ from, to string }
@@ -65,8 +65,8 @@
 	From, To string
 }
 
-// Fate is what becomes of a message.
-type Fate struct {
+// MessageFault is what becomes of a message.
+type MessageFault struct {
 	Drop      bool
 	Duplicate bool
 	Delay     time.Duration
@@ -78,7 +78,7 @@
 // New starts all daemons of a snapshot. They need a second of virtual time to
 // know each other.
 func New(options Options) *Lab {
-	l := &Lab{Options: options, Clock: virtualtime.NewClock(Epoch), random: rand.New(rand.NewPCG(options.Seed, 7)), cuts: map[link]bool{}, Calls: map[string]int{}}
+	l := &Lab{Options: options, Clock: virtualtime.NewClock(Epoch), random: rand.New(rand.NewPCG(options.Seed, 7)), cuts: map[link]bool{}, MessageCounts: map[string]int{}}
 	for _, name := range sortedKeys(options.Snapshot.Servers) {
 		l.Hosts = append(l.Hosts, newHost(l, name))
 	}
@@ -88,11 +88,11 @@
 	return l
 }
 
-// Cut drops all messages from one daemon to another until Heal.
-func (l *Lab) Cut(from, to string) { l.cuts[link{from, to}] = true }
+// Partition drops all messages from one daemon to another until Heal.
+func (l *Lab) Partition(from, to string) { l.cuts[link{from, to}] = true }
 
-// Heal ends all cuts.
-func (l *Lab) Heal() { clear(l.cuts) }
+// HealPartitions ends all cuts.
+func (l *Lab) HealPartitions() { clear(l.cuts) }
 
 // Host returns a host daemon by its server's name.
 func (l *Lab) Host(name string) *Host {
@@ -151,8 +151,8 @@
 // send carries a message. refused is called if nobody listens at its end; it may
 // be nil.
 func (l *Lab) send(m Message, deliver, refused func()) {
-	l.Calls[m.Kind]++
-	fate := Fate{}
+	l.MessageCounts[m.Kind]++
+	fate := MessageFault{}
 	if l.Intercept != nil {
 		fate = l.Intercept(m)
 	}
--- a/proof/matrix/matrix_test.go
+++ b/proof/matrix/matrix_test.go
@@ -33,7 +33,7 @@
 // fault is something that goes wrong, and the healing that follows later.
 type fault struct {
 	name   string
-	strike func(c *cell, m lab.Message) lab.Fate
+	strike func(c *cell, m lab.Message) lab.MessageFault
 	heal   func(c *cell)
 }
 
@@ -56,37 +56,37 @@
 	return host, entry
 }
 
-func onHost(act func(c *cell, h *lab.Host)) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func onHost(act func(c *cell, h *lab.Host)) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		h, _ := c.parties(m)
 		c.lab.After(0, func() { act(c, h) })
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func onEntry(act func(c *cell, e *lab.Entry)) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func onEntry(act func(c *cell, e *lab.Entry)) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		if _, e := c.parties(m); e != nil {
 			c.lab.After(0, func() { act(c, e) })
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func cut(there, back bool) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func cut(there, back bool) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		if there {
-			c.lab.Cut(m.From, m.To)
+			c.lab.Partition(m.From, m.To)
 		}
 		if back {
-			c.lab.Cut(m.To, m.From)
+			c.lab.Partition(m.To, m.From)
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func fate(f lab.Fate) func(*cell, lab.Message) lab.Fate {
-	return func(*cell, lab.Message) lab.Fate { return f }
+func fate(f lab.MessageFault) func(*cell, lab.Message) lab.MessageFault {
+	return func(*cell, lab.Message) lab.MessageFault { return f }
 }
 
 func (c *cell) reviveAll() {
@@ -94,33 +94,33 @@
 		if !h.Alive() {
 			h.Start()
 		}
-		h.Thaw()
+		h.Resume()
 	}
 	for _, e := range c.lab.Entries {
 		if !e.Alive() {
 			e.Start()
 		}
-		e.Thaw()
+		e.Resume()
 	}
-	c.lab.Heal()
+	c.lab.HealPartitions()
 }
 
 var faults = []fault{
-	{"nothing", fate(lab.Fate{}), none},
+	{"nothing", fate(lab.MessageFault{}), none},
 	{"host killed", onHost(func(c *cell, h *lab.Host) { h.Kill() }), (*cell).reviveAll},
 	{"host restarted at once", onHost(func(c *cell, h *lab.Host) { h.Kill(); h.Start() }), none},
-	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Freeze() }), (*cell).reviveAll},
+	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Suspend() }), (*cell).reviveAll},
 	{"host drains", onHost(func(c *cell, h *lab.Host) { c.drained = h; h.Drain() }), none},
 	{"entry killed", onEntry(func(c *cell, e *lab.Entry) { e.Kill() }), (*cell).reviveAll},
-	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Freeze() }), (*cell).reviveAll},
+	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Suspend() }), (*cell).reviveAll},
 	{"cut one way", cut(true, false), (*cell).reviveAll},
 	{"cut the way back", cut(false, true), (*cell).reviveAll},
 	{"cut both ways", cut(true, true), (*cell).reviveAll},
-	{"message lost", fate(lab.Fate{Drop: true}), none},
-	{"message doubled", fate(lab.Fate{Duplicate: true}), none},
-	{"message late", fate(lab.Fate{Delay: 8 * time.Second}), none},
-	{"message overtaken", fate(lab.Fate{Delay: 40 * time.Millisecond}), none},
-	{"doubled and late", fate(lab.Fate{Duplicate: true, Delay: 6 * time.Second}), none},
+	{"message lost", fate(lab.MessageFault{Drop: true}), none},
+	{"message doubled", fate(lab.MessageFault{Duplicate: true}), none},
+	{"message late", fate(lab.MessageFault{Delay: 8 * time.Second}), none},
+	{"message overtaken", fate(lab.MessageFault{Delay: 40 * time.Millisecond}), none},
+	{"doubled and late", fate(lab.MessageFault{Duplicate: true, Delay: 6 * time.Second}), none},
 }
 
 // kind is a sort of request.
@@ -151,15 +151,15 @@
 
 func newCell(k kind) *cell {
 	spec := engine.DefaultSpec()
-	site := lab.Site{Servers: 3, Entries: 2, Zones: 3, Slots: 8, Engine: spec, Groups: 1}
+	site := lab.Deployment{Servers: 3, Entries: 2, Zones: 3, Slots: 8, Engine: spec, Groups: 1}
 	c := &cell{kind: k}
-	c.lab = lab.New(lab.Options{Seed: 1, Snapshot: lab.Build(site), Engine: spec, Delay: time.Millisecond, TokenFrames: true})
+	c.lab = lab.New(lab.Options{Seed: 1, Snapshot: lab.BuildSnapshot(site), Engine: spec, Delay: time.Millisecond, TokenFrames: true})
 	return c
 }
 
 // strike arms a fault for the nth message of a step.
 func (c *cell) arm(strikes ...strike) {
-	c.lab.Intercept = func(m lab.Message) lab.Fate {
+	c.lab.Intercept = func(m lab.Message) lab.MessageFault {
 		for i := range strikes {
 			s := &strikes[i]
 			if m.Kind != s.step || s.done {
@@ -174,7 +174,7 @@
 			c.lab.After(faultTime, func() { s.fault.heal(c) })
 			return s.fault.strike(c, m)
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
@@ -222,7 +222,7 @@
 	count := 0
 	for _, h := range c.lab.Hosts {
 		for _, id := range s.Attempts {
-			count += h.Starts[id]
+			count += h.StartedRuns[id]
 		}
 	}
 	return count
@@ -243,7 +243,7 @@
 		require.LessOrEqual(t, total, 1, "a request that may not be repeated ran again")
 	}
 	for _, h := range c.lab.Hosts {
-		require.Zero(t, h.Used(), "%s: engine memory is lost", h.Name)
+		require.Zero(t, h.UsedTokens(), "%s: engine memory is lost", h.Name)
 		require.Empty(t, h.Core.Memory().Leases, "%s: leases are left", h.Name)
 	}
 	c.checkDrained(t)
@@ -293,14 +293,14 @@
 		return // none, or another fault has restarted it
 	}
 	c.lab.Intercept = nil
-	before := len(drained.Starts)
+	before := len(drained.StartedRuns)
 	for i := range 4 {
 		request := c.kind.request
 		request.Workspace = lab.Workspace
 		c.lab.Entries[i%2].Submit(request)
 	}
 	c.lab.Run(5 * time.Second)
-	require.Len(t, drained.Starts, before, "a leaving server got new work")
+	require.Len(t, drained.StartedRuns, before, "a leaving server got new work")
 }
 
 // Every fault strikes at every step of every kind of request. Whatever happens,
