--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model engine: continuous batching with
-// prefill and decode speeds, priorities, limited KV memory, pause, resume and
-// cancel, and orders with or without fencing numbers. Model is the pure part; it
-// serves experiments in virtual time as well as the HTTP stand-in.
+// Package engine simulates a model engine: continuous batching with prefill and
+// decode speeds, priorities, limited KV memory, pause, resume and cancel, and
+// orders with or without fencing tokens. Model has no I/O and no clock; the
+// experiments in virtual time and the HTTP server share it.
 package engine
 
 import (
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Spec is what an engine can do.
+// Spec describes the speed and the capacity of an engine.
 type Spec struct {
-	// PrefillRate is in prompt tokens a second.
+	// PrefillRate is in prompt tokens per second.
 	PrefillRate float64
 	// StepTime is the time of one batch: every decoding stream gets one token in
 	// it, and prefills share PrefillRate times StepTime tokens.
 	StepTime time.Duration
-	// MemoryTokens is the size of the KV memory.
+	// MemoryTokens is the size of the KV memory in tokens.
 	MemoryTokens int64
-	// CachedPrefixes is the number of prompt prefixes that are kept.
+	// CachedPrefixes bounds the number of prompt prefixes in the cache.
 	CachedPrefixes int
-	// PrefixSaving is the part of a prompt that a cached prefix saves.
+	// PrefixSaving is the fraction of a prompt's prefill that a cached prefix saves.
 	PrefixSaving float64
 }
 
-// DefaultSpec returns an engine of middling size.
+// DefaultSpec returns the spec of a medium-sized engine.
 func DefaultSpec() Spec {
 	return Spec{PrefillRate: 16000, StepTime: 25 * time.Millisecond, MemoryTokens: 400_000, CachedPrefixes: 64, PrefixSaving: 0.5}
 }
 
-// Errors of Model.Add.
+// Errors returned by Model.Add.
 var (
 	ErrDuplicate          = errors.New("the stream exists already")
 	ErrInsufficientMemory = errors.New("not enough KV memory")
@@ -43,18 +43,18 @@
 	OutputTokens int64
 	Priority     int
 	Prefix       uint64
-	// Share is the part of the memory and the prefill that this engine bears,
-	// for a group; 0 means all.
+	// Share is the fraction of the memory and the prefill that falls to this engine
+	// if the stream runs on a group; 0 means all.
 	Share float64
 
-	order    uint64
-	left     float64 // prompt tokens not yet prefilled
-	decoded  int64
-	paused   bool
-	finished bool
+	order       uint64
+	prefillLeft float64 // prompt tokens not yet prefilled
+	decoded     int64
+	paused      bool
+	finished    bool
 }
 
-// MemoryTokens is what the stream holds here.
+// MemoryTokens returns the KV memory that the stream takes on this engine.
 func (s *Stream) MemoryTokens() int64 {
 	if s.Share > 0 {
 		return int64(s.Share * float64(s.PromptTokens+s.OutputTokens))
@@ -62,44 +62,44 @@
 	return s.PromptTokens + s.OutputTokens
 }
 
-// Token is one token given out. The first has Index 1.
+// Token is one generated token. Index starts at 1.
 type Token struct {
 	Stream string
 	Index  int64
 	Last   bool
 }
 
-// Model is an engine's state.
+// Model simulates one engine, step by step.
 type Model struct {
-	spec    Spec
-	streams map[string]*Stream
-	next    uint64
-	slow    float64
-	cache   []uint64
-	events  []CacheEvent
+	spec     Spec
+	streams  map[string]*Stream
+	next     uint64
+	slowdown float64
+	cache    []uint64
+	events   []CacheEvent
 }
 
-// CacheEvent is one change of the prefix cache.
+// CacheEvent reports that a prefix was added to the prefix cache or evicted.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
 	Evicted  bool   `json:"evicted"`
 }
 
-func (m *Model) changed(prefix uint64, evicted bool) {
+func (m *Model) recordCacheEvent(prefix uint64, evicted bool) {
 	m.events = append(m.events, CacheEvent{uint64(len(m.events) + 1), prefix, evicted})
 }
 
-// NewModel returns an idle engine.
+// NewModel returns a model without streams.
 func NewModel(spec Spec) *Model {
-	return &Model{spec: spec, streams: map[string]*Stream{}, slow: 1}
+	return &Model{spec: spec, streams: map[string]*Stream{}, slowdown: 1}
 }
 
-// SetSlowdown makes the engine slower by a factor.
-func (m *Model) SetSlowdown(factor float64) { m.slow = factor }
+// SetSlowdown multiplies the duration of every batch by factor.
+func (m *Model) SetSlowdown(factor float64) { m.slowdown = factor }
 
-// StepTime returns the present time of one batch.
-func (m *Model) StepTime() time.Duration { return time.Duration(float64(m.spec.StepTime) * m.slow) }
+// StepTime returns the duration of one batch at the current slowdown.
+func (m *Model) StepTime() time.Duration { return time.Duration(float64(m.spec.StepTime) * m.slowdown) }
 
 // UsedTokens returns the memory in use, in tokens.
 func (m *Model) UsedTokens() int64 {
@@ -110,16 +110,16 @@
 	return used
 }
 
-// Streams returns the streams that hold memory, in order of arrival.
+// Streams returns the streams that occupy memory, in order of arrival.
 func (m *Model) Streams() []Stream {
 	var all []Stream
-	for _, s := range m.ordered() {
+	for _, s := range m.byArrival() {
 		all = append(all, *s)
 	}
 	return all
 }
 
-// Add takes a stream in.
+// Add starts a stream and reserves its memory.
 func (m *Model) Add(s Stream) error {
 	if m.streams[s.ID] != nil {
 		return ErrDuplicate
@@ -129,35 +129,35 @@
 	}
 	m.next++
 	s.order = m.next
-	s.left = float64(s.PromptTokens)
+	s.prefillLeft = float64(s.PromptTokens)
 	if s.Share > 0 {
-		s.left *= s.Share
+		s.prefillLeft *= s.Share
 	}
 	if slices.Contains(m.cache, s.Prefix) && s.Prefix != 0 {
-		s.left *= 1 - m.spec.PrefixSaving
+		s.prefillLeft *= 1 - m.spec.PrefixSaving
 	}
 	m.streams[s.ID] = &s
 	return nil
 }
 
-// Remove ends a stream and frees its memory. It is idempotent.
+// Remove deletes a stream and frees its memory. It is idempotent.
 func (m *Model) Remove(id string) { delete(m.streams, id) }
 
-// SetPaused stops a stream, with its memory kept, or lets it go on.
+// SetPaused pauses or resumes a stream. A paused stream keeps its memory.
 func (m *Model) SetPaused(id string, paused bool) {
 	if s := m.streams[id]; s != nil {
 		s.paused = paused
 	}
 }
 
-// SetPriority changes a stream's priority; lower goes first.
+// SetPriority changes a stream's priority; lower values are prefilled first.
 func (m *Model) SetPriority(id string, priority int) {
 	if s := m.streams[id]; s != nil {
 		s.Priority = priority
 	}
 }
 
-func (m *Model) ordered() []*Stream {
+func (m *Model) byArrival() []*Stream {
 	var all []*Stream
 	for _, s := range m.streams {
 		all = append(all, s)
@@ -166,7 +166,7 @@
 	return all
 }
 
-// Idle says that no stream would go on in a batch.
+// Idle reports whether no stream would make progress in a batch.
 func (m *Model) Idle() bool {
 	for _, s := range m.streams {
 		if !s.paused && !s.finished {
@@ -176,13 +176,13 @@
 	return true
 }
 
-// Batch does the work of one step and returns the tokens given out at its end.
-// A finished stream keeps its memory until Remove.
+// Batch runs one step and returns the tokens generated at its end. A finished
+// stream keeps its memory until Remove.
 func (m *Model) Batch() []Token {
-	all := m.ordered()
+	all := m.byArrival()
 	var tokens []Token
 	for _, s := range all {
-		if s.paused || s.finished || s.left > 0 {
+		if s.paused || s.finished || s.prefillLeft > 0 {
 			continue
 		}
 		tokens = append(tokens, s.decode())
@@ -190,14 +190,14 @@
 	budget := m.spec.PrefillRate * m.spec.StepTime.Seconds()
 	slices.SortStableFunc(all, func(a, b *Stream) int { return a.Priority - b.Priority })
 	for _, s := range all {
-		if s.paused || s.left <= 0 || budget <= 0 {
+		if s.paused || s.prefillLeft <= 0 || budget <= 0 {
 			continue
 		}
-		done := min(budget, s.left)
-		s.left -= done
+		done := min(budget, s.prefillLeft)
+		s.prefillLeft -= done
 		budget -= done
-		if s.left <= 0 {
-			m.remember(s.Prefix)
+		if s.prefillLeft <= 0 {
+			m.cachePrefix(s.Prefix)
 			tokens = append(tokens, s.decode())
 		}
 	}
@@ -210,14 +210,14 @@
 	return Token{Stream: s.ID, Index: s.decoded, Last: s.finished}
 }
 
-func (m *Model) remember(prefix uint64) {
+func (m *Model) cachePrefix(prefix uint64) {
 	if prefix == 0 || m.spec.CachedPrefixes == 0 || slices.Contains(m.cache, prefix) {
 		return
 	}
 	m.cache = append(m.cache, prefix)
-	m.changed(prefix, false)
+	m.recordCacheEvent(prefix, false)
 	if len(m.cache) > m.spec.CachedPrefixes {
-		m.changed(m.cache[0], true)
+		m.recordCacheEvent(m.cache[0], true)
 		m.cache = m.cache[1:]
 	}
 }
--- a/standin/engine/reports.go
+++ b/standin/engine/reports.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// reportLag is how old the load is that an engine reports.
-	reportLag = 2 * time.Second
-	// reportTick is how often the load is noted.
-	reportTick = 200 * time.Millisecond
-	// cacheLag is the number of newest cache events that are held back, and
-	// every cacheGap-th event is never told.
-	cacheLag = 2
-	cacheGap = 7
+	// loadReportDelay is the age of the load that an engine reports.
+	loadReportDelay = 2 * time.Second
+	// loadSampleInterval is the interval between two samples of the load.
+	loadSampleInterval = 200 * time.Millisecond
+	// withheldCacheEvents is the number of newest cache events that are not yet
+	// reported; every lostCacheEvent-th event is never reported.
+	withheldCacheEvents = 2
+	lostCacheEvent      = 7
 )
 
-// Load is an engine's report of its own load, some time ago.
+// Load is an engine's report of its load, as it was loadReportDelay ago.
 type Load struct {
 	Running    int   `json:"running"`
 	UsedTokens int64 `json:"usedTokens"`
 }
 
-// noteLoad keeps the loads of the last while, oldest first.
-func (s *Server) noteLoad() {
-	ticker := time.NewTicker(reportTick)
+// sampleLoad keeps the load samples of the last loadReportDelay, oldest first.
+func (s *Server) sampleLoad() {
+	ticker := time.NewTicker(loadSampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			s.mu.Lock()
 			s.loads = append(s.loads, Load{Running: len(s.model.streams), UsedTokens: s.model.UsedTokens()})
-			if len(s.loads) > int(reportLag/reportTick) {
+			if len(s.loads) > int(loadReportDelay/loadSampleInterval) {
 				s.loads = s.loads[1:]
 			}
 			s.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// load tells the load of reportLag ago.
-func (s *Server) load(w http.ResponseWriter, _ bunrouter.Request) error {
+// serveLoad reports the load as it was loadReportDelay ago.
+func (s *Server) serveLoad(w http.ResponseWriter, _ bunrouter.Request) error {
 	s.mu.Lock()
 	var oldest Load
 	if len(s.loads) > 0 {
@@ -56,16 +56,16 @@
 	return json.NewEncoder(w).Encode(oldest)
 }
 
-// cacheEvents tells changes of the prefix cache, late and with gaps.
-func (s *Server) cacheEvents(w http.ResponseWriter, r bunrouter.Request) error {
+// serveCacheEvents reports changes of the prefix cache, with a delay and with gaps.
+func (s *Server) serveCacheEvents(w http.ResponseWriter, r bunrouter.Request) error {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	told := []CacheEvent{}
+	reported := []CacheEvent{}
 	s.mu.Lock()
-	for _, event := range s.model.events[:max(0, len(s.model.events)-cacheLag)] {
-		if event.Sequence > after && event.Sequence%cacheGap != 0 {
-			told = append(told, event)
+	for _, event := range s.model.events[:max(0, len(s.model.events)-withheldCacheEvents)] {
+		if event.Sequence > after && event.Sequence%lostCacheEvent != 0 {
+			reported = append(reported, event)
 		}
 	}
 	s.mu.Unlock()
-	return json.NewEncoder(w).Encode(told)
+	return json.NewEncoder(w).Encode(reported)
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -14,42 +14,43 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// Options are the parts of a Server.
+// Options configure a Server.
 type Options struct {
 	Name string
 	Spec Spec
-	// Speed makes time run faster than it does.
+	// Speed divides the real duration of batches and orders; 0 means 1.
 	Speed float64
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing rejects orders whose fencing token is not above the last one's.
 	ChecksFencing bool
-	// OrderDelay is how long an order takes.
+	// OrderDelay is the time that an order takes to be applied.
 	OrderDelay time.Duration
 	// Model and Version are loaded at the start.
 	Model, Version string
-	// CrashesOn says under which prompts the engine's process ends as it begins to run them;
-	// nil for none. It has ended when the call returns.
+	// CrashesOn reports whether the engine's process crashes as it starts to run a prompt; nil
+	// means never. The process has crashed when the call returns.
 	CrashesOn func(prompt []byte) bool
 }
 
-// Server is the HTTP stand-in of one engine. A stream whose caller is gone keeps
-// its memory until it is cancelled.
+// Server serves the HTTP protocol of one simulated engine. A stream whose caller
+// has disconnected keeps its memory until it is cancelled.
 type Server struct {
 	options Options
 
-	mu      sync.Mutex
-	model   *Model
-	sinks   map[string]chan Token
-	wake    chan struct{}
-	state   State
-	runs    map[string]int // how often each body ran, by its hash
-	broken  int            // tokens after which streams break off; 0: never
-	refused bool
-	orders  []Order
-	loads   []Load
-	closed  chan struct{}
+	mu         sync.Mutex
+	model      *Model
+	tokenSinks map[string]chan Token
+	wake       chan struct{}
+	state      State
+	runs       map[string]int // runs of each prompt, by its fingerprint
+	// breakAfter is the number of tokens after which streams break; 0 means never.
+	breakAfter     int
+	refusesStreams bool
+	orders         []Order
+	loads          []Load
+	closed         chan struct{}
 }
 
-// State is what the engine reports.
+// State is the reported state of an engine.
 type State struct {
 	Model    string       `json:"model"`
 	Version  string       `json:"version"`
@@ -60,37 +61,37 @@
 	Streams  []StreamInfo `json:"streams"`
 }
 
-// StreamInfo is one stream that holds memory.
+// StreamInfo describes one stream that occupies memory.
 type StreamInfo struct {
 	ID     string `json:"id"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Order is an order as received.
+// Order is an order for the engine's desired state, as received.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	// Fenced says that the fencing number was old.
+	// Fenced reports that the order was rejected for an old fencing token.
 	Fenced bool `json:"-"`
 }
 
-// New returns an engine that Close ends.
+// New starts an engine. Close stops it.
 func New(options Options) *Server {
 	if options.Speed == 0 {
 		options.Speed = 1
 	}
-	s := &Server{options: options, model: NewModel(options.Spec), sinks: map[string]chan Token{}, wake: make(chan struct{}, 1),
+	s := &Server{options: options, model: NewModel(options.Spec), tokenSinks: map[string]chan Token{}, wake: make(chan struct{}, 1),
 		runs: map[string]int{}, closed: make(chan struct{}),
 		state: State{Model: options.Model, Version: options.Version, Role: "both"}}
-	go s.batches()
-	go s.noteLoad()
+	go s.runBatches()
+	go s.sampleLoad()
 	return s
 }
 
-// Close ends the engine's batches.
+// Close stops the engine's batches and breaks open streams.
 func (s *Server) Close() { close(s.closed) }
 
 // Handler serves the engine's protocol.
@@ -98,19 +99,19 @@
 	router := bunrouter.New()
 	router.POST("/v1/completions", s.complete)
 	router.POST("/v1/chat/completions", s.complete)
-	router.GET("/v1/state", s.report)
+	router.GET("/v1/state", s.serveState)
 	router.DELETE("/v1/streams/:id", s.cancel)
-	router.POST("/v1/streams/:id/pause", s.control(func(m *Model, id string, _ int) { m.SetPaused(id, true) }))
-	router.POST("/v1/streams/:id/resume", s.control(func(m *Model, id string, _ int) { m.SetPaused(id, false) }))
-	router.POST("/v1/streams/:id/priority", s.control(func(m *Model, id string, p int) { m.SetPriority(id, p) }))
-	router.POST("/v1/orders", s.order)
-	router.GET("/v1/load", s.load)
-	router.GET("/v1/cache-events", s.cacheEvents)
+	router.POST("/v1/streams/:id/pause", s.streamControl(func(m *Model, id string, _ int) { m.SetPaused(id, true) }))
+	router.POST("/v1/streams/:id/resume", s.streamControl(func(m *Model, id string, _ int) { m.SetPaused(id, false) }))
+	router.POST("/v1/streams/:id/priority", s.streamControl(func(m *Model, id string, p int) { m.SetPriority(id, p) }))
+	router.POST("/v1/orders", s.applyOrder)
+	router.GET("/v1/load", s.serveLoad)
+	router.GET("/v1/cache-events", s.serveCacheEvents)
 	return router
 }
 
-// batches runs the model's batches in real time.
-func (s *Server) batches() {
+// runBatches runs the model's batches in real time.
+func (s *Server) runBatches() {
 	for {
 		s.mu.Lock()
 		idle, step := s.model.Idle(), s.model.StepTime()
@@ -130,8 +131,8 @@
 		}
 		s.mu.Lock()
 		for _, token := range s.model.Batch() {
-			if sink := s.sinks[token.Stream]; sink != nil {
-				sink <- token // never blocks: the channel holds the whole answer
+			if sink := s.tokenSinks[token.Stream]; sink != nil {
+				sink <- token // never blocks: the channel has room for the whole answer
 			}
 		}
 		s.mu.Unlock()
@@ -145,9 +146,9 @@
 }
 
 const (
-	defaultAnswer = 16
-	prefixBytes   = 2048
-	bytesPerToken = 4
+	defaultOutputTokens = 16
+	prefixBytes         = 2048
+	bytesPerToken       = 4
 )
 
 func (s *Server) complete(w http.ResponseWriter, r bunrouter.Request) error {
@@ -161,20 +162,20 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	stream, prompt := streamOf(r.Header, body)
+	stream, prompt := parseStream(r.Header, body)
 	if s.options.CrashesOn != nil && s.options.CrashesOn(prompt) {
 		panic(http.ErrAbortHandler)
 	}
-	sink, err := s.begin(stream, prompt)
+	sink, err := s.startStream(stream, prompt)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return nil
 	}
-	s.answer(w, r, stream.ID, Fingerprint(prompt), sink)
+	s.writeStream(w, r, stream.ID, Fingerprint(prompt), sink)
 	return nil
 }
 
-func streamOf(header http.Header, body completionBody) (Stream, []byte) {
+func parseStream(header http.Header, body completionBody) (Stream, []byte) {
 	prompt := body.Prompt
 	if prompt == nil {
 		prompt = body.Messages
@@ -182,7 +183,7 @@
 	priority, _ := strconv.Atoi(header.Get("X-Priority"))
 	stream := Stream{ID: header.Get("X-Stream-Id"), PromptTokens: int64(len(prompt)/bytesPerToken) + 1, OutputTokens: body.MaxTokens, Priority: priority}
 	if stream.OutputTokens == 0 {
-		stream.OutputTokens = defaultAnswer
+		stream.OutputTokens = defaultOutputTokens
 	}
 	if group := header.Get("X-Engine-Group"); group != "" {
 		stream.Share = 1 / float64(1+strings.Count(group, ","))
@@ -193,14 +194,14 @@
 	return stream, prompt
 }
 
-// Fingerprint names a prompt in the tokens of its answer, so that a test can
-// tell whose answer it got.
+// Fingerprint returns a hash of a prompt, in hexadecimal. The tokens of an answer
+// carry it, so that a test can tell to which prompt an answer belongs.
 func Fingerprint(prompt []byte) string { return fmt.Sprintf("%08x", uint32(xxhash.Sum64(prompt))) }
 
-func (s *Server) begin(stream Stream, prompt []byte) (chan Token, error) {
+func (s *Server) startStream(stream Stream, prompt []byte) (chan Token, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refused {
+	if s.refusesStreams {
 		return nil, ErrInsufficientMemory
 	}
 	if err := s.model.Add(stream); err != nil {
@@ -208,7 +209,7 @@
 	}
 	s.runs[Fingerprint(prompt)]++
 	sink := make(chan Token, stream.OutputTokens+1)
-	s.sinks[stream.ID] = sink
+	s.tokenSinks[stream.ID] = sink
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -216,7 +217,7 @@
 	return sink, nil
 }
 
-func (s *Server) answer(w http.ResponseWriter, r bunrouter.Request, id, fingerprint string, sink chan Token) {
+func (s *Server) writeStream(w http.ResponseWriter, r bunrouter.Request, id, fingerprint string, sink chan Token) {
 	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for {
@@ -226,15 +227,15 @@
 				panic(http.ErrAbortHandler) // cancelled
 			}
 			s.mu.Lock()
-			broken := s.broken
+			breakAfter := s.breakAfter
 			s.mu.Unlock()
-			if broken > 0 && token.Index > int64(broken) {
+			if breakAfter > 0 && token.Index > int64(breakAfter) {
 				panic(http.ErrAbortHandler)
 			}
 			writeToken(w, id, s.options.Model, fingerprint, token)
 			_ = controller.Flush()
 			if token.Last {
-				s.end(id)
+				s.removeStream(id)
 				fmt.Fprint(w, "data: [DONE]\n\n")
 				return
 			}
@@ -248,9 +249,9 @@
 
 func (s *Server) cancel(w http.ResponseWriter, r bunrouter.Request) error {
 	s.mu.Lock()
-	sink := s.sinks[r.Param("id")]
+	sink := s.tokenSinks[r.Param("id")]
 	s.mu.Unlock()
-	s.end(r.Param("id"))
+	s.removeStream(r.Param("id"))
 	if sink != nil {
 		close(sink)
 	}
@@ -258,11 +259,11 @@
 	return nil
 }
 
-func (s *Server) end(id string) {
+func (s *Server) removeStream(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.Remove(id)
-	delete(s.sinks, id)
+	delete(s.tokenSinks, id)
 }
 
 func writeToken(w io.Writer, id, model, fingerprint string, token Token) {
@@ -274,7 +275,7 @@
 		id, model, fingerprint, token.Index, finish)
 }
 
-func (s *Server) control(change func(m *Model, id string, priority int)) bunrouter.HandlerFunc {
+func (s *Server) streamControl(change func(m *Model, id string, priority int)) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		var body struct {
 			Priority int `json:"priority"`
@@ -292,7 +293,7 @@
 	}
 }
 
-func (s *Server) report(w http.ResponseWriter, _ bunrouter.Request) error {
+func (s *Server) serveState(w http.ResponseWriter, _ bunrouter.Request) error {
 	s.mu.Lock()
 	state := s.state
 	for _, stream := range s.model.Streams() {
@@ -302,7 +303,7 @@
 	return json.NewEncoder(w).Encode(state)
 }
 
-func (s *Server) order(w http.ResponseWriter, r bunrouter.Request) error {
+func (s *Server) applyOrder(w http.ResponseWriter, r bunrouter.Request) error {
 	var order Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -335,35 +336,36 @@
 	return s.model.UsedTokens()
 }
 
-// Runs returns how often a prompt ran.
+// Runs returns the number of times that a prompt was started.
 func (s *Server) Runs(prompt []byte) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[Fingerprint(prompt)]
 }
 
-// Orders returns the orders received.
+// Orders returns all orders received, those rejected too.
 func (s *Server) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Order{}, s.orders...)
 }
 
-// BreakAfter makes streams break off after some tokens; 0 ends that.
+// BreakAfter aborts the connections of streams after a number of tokens; 0 turns
+// this off.
 func (s *Server) BreakAfter(tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = tokens
+	s.breakAfter = tokens
 }
 
-// RefuseStreams makes the engine refuse new streams.
-func (s *Server) RefuseStreams(refused bool) {
+// RefuseStreams makes the engine refuse new streams for lack of memory.
+func (s *Server) RefuseStreams(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused = refused
+	s.refusesStreams = refuse
 }
 
-// SetSlowdown makes the engine slower by a factor.
+// SetSlowdown multiplies the duration of every batch by factor.
 func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet starts the stand-ins of one small deployment on loopback and
-// writes the configuration and settings of its daemons, for tests and the demo.
+// Package fleet starts the simulated engines, services and platform of a small
+// deployment on loopback, and builds the configuration and the settings of its
+// daemons. Tests and the demo use it.
 package fleet
 
 import (
@@ -22,7 +23,7 @@
 	"arbutusdeck/standin/service"
 )
 
-// Names and credentials of every fleet.
+// Names and credentials that every fleet uses.
 const (
 	Zone       = "zone-a"
 	Hall       = "poetry"
@@ -38,22 +39,22 @@
 	Group      = "large"
 )
 
-// Spec describes a fleet.
+// Spec describes the size and the behavior of a fleet.
 type Spec struct {
 	Servers int
 	Entries int
 	Engine  engine.Spec
 	Slots   int
-	// Speed makes engines run faster than real time.
+	// Speed is the factor by which engines run faster than real time.
 	Speed         float64
 	ChecksFencing bool
 	OrderDelay    time.Duration
 	ServiceDelay  time.Duration
-	// HomeSlots gives the service home slots, one for each server.
+	// HomeSlots gives the service one home slot on each server.
 	HomeSlots bool
 	// EngineGroup joins the first engine of each server into a group.
 	EngineGroup bool
-	// PoisonText is part of the prompts under which engines end; empty for none.
+	// PoisonText marks prompts that crash engines: those that contain it. Empty means none.
 	PoisonText string
 }
 
@@ -63,13 +64,13 @@
 		OrderDelay: 50 * time.Millisecond}
 }
 
-// Fleet is a running set of stand-ins.
+// Fleet is a running set of simulated engines, services and a platform.
 type Fleet struct {
 	Spec     Spec
 	Platform *platform.Server
 	Engines  []*engine.Server
 	Services []*service.Server
-	// Config is what was published last; change it and call Publish.
+	// Config is the configuration published last; change it and call Publish.
 	Config      *config.Snapshot
 	PlatformURL string
 	engineURLs  []string
@@ -77,11 +78,11 @@
 	servers     []*http.Server
 	adminAddrs  map[string]string
 	callerAddrs map[string]string
-	// ended counts the engines that have ended.
-	ended atomic.Int32
+	// crashed counts the engines that have crashed.
+	crashed atomic.Int32
 }
 
-// Start starts the stand-ins and publishes a configuration.
+// Start starts the fleet's servers and publishes its configuration.
 func Start(spec Spec) (*Fleet, error) {
 	f := &Fleet{Spec: spec, Platform: platform.New(), adminAddrs: map[string]string{}, callerAddrs: map[string]string{}}
 	var err error
@@ -102,7 +103,7 @@
 func (f *Fleet) startServer(i int) error {
 	var process atomic.Pointer[http.Server]
 	e := engine.New(engine.Options{Name: ServerName(i), Spec: f.Spec.Engine, Speed: f.Spec.Speed, ChecksFencing: f.Spec.ChecksFencing,
-		OrderDelay: f.Spec.OrderDelay, Model: Model, Version: Version, CrashesOn: func(prompt []byte) bool { return f.endsUnder(prompt, process.Load()) }})
+		OrderDelay: f.Spec.OrderDelay, Model: Model, Version: Version, CrashesOn: func(prompt []byte) bool { return f.crashOn(prompt, process.Load()) }})
 	f.Engines = append(f.Engines, e)
 	url, server, err := f.serve(e.Handler())
 	if err != nil {
@@ -117,25 +118,25 @@
 	return err
 }
 
-// endsUnder ends an engine if a prompt is one that it doesn't bear: its address refuses
-// connections, and all that it runs is cut off.
-func (f *Fleet) endsUnder(prompt []byte, process *http.Server) bool {
+// crashOn crashes an engine if the prompt contains the poison text: its address refuses
+// connections from then on, and the streams that it runs are aborted.
+func (f *Fleet) crashOn(prompt []byte, process *http.Server) bool {
 	if f.Spec.PoisonText == "" || !bytes.Contains(prompt, []byte(f.Spec.PoisonText)) {
 		return false
 	}
-	f.ended.Add(1)
-	// What can't be closed is closed already.
+	f.crashed.Add(1)
+	// Close fails only for what is closed already.
 	_ = process.Close()
 	return true
 }
 
-// CrashedEngines returns how many engines have ended under prompts.
-func (f *Fleet) CrashedEngines() int { return int(f.ended.Load()) }
+// CrashedEngines returns the number of engines that crashed on a prompt.
+func (f *Fleet) CrashedEngines() int { return int(f.crashed.Load()) }
 
 func (f *Fleet) serve(handler http.Handler) (string, *http.Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", nil, fmt.Errorf("starting a stand-in: %w", err)
+		return "", nil, fmt.Errorf("listening for a simulated server: %w", err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	f.servers = append(f.servers, server)
@@ -143,7 +144,7 @@
 	return "http://" + listener.Addr().String(), server, nil
 }
 
-// Close ends the stand-ins.
+// Close stops all simulated servers.
 func (f *Fleet) Close() {
 	for _, e := range f.Engines {
 		e.Close()
@@ -153,15 +154,14 @@
 	}
 }
 
-// ServerName and EntryName name the daemons, from 0 on.
+// ServerName returns the name of the backend server with index i, from 0 on.
 func ServerName(i int) string { return fmt.Sprintf("server-%d", i) }
 
-// EntryName names an entry daemon, from 0 on.
+// EntryName returns the name of the entry with index i, from 0 on.
 func EntryName(i int) string { return fmt.Sprintf("entry-%d", i) }
 
-// Ports for daemons lie below the range from which the system takes the ports
-// of outgoing connections: one of those could take a daemon's address between
-// its choice and its start.
+// Ports for daemons lie below the range of ephemeral ports: an outgoing connection
+// could otherwise take a daemon's address between its choice and the daemon's start.
 const (
 	firstPort = 21000
 	lastPort  = 31999
@@ -169,11 +169,11 @@
 
 var nextPort atomic.Int64
 
-// ErrNoPort says that every port for daemons is taken.
+// ErrNoPort reports that all ports for daemons are in use.
 var ErrNoPort = errors.New("no free port")
 
-// FreeAddress returns a loopback address that nobody listens on, and that no
-// other call in this process returns.
+// FreeAddress returns a loopback address that no process listens on and that no
+// other call in this process has returned. It fails with ErrNoPort.
 func FreeAddress() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
@@ -187,7 +187,7 @@
 	return "", ErrNoPort
 }
 
-// KeyHash returns the hash of an API key as it stands in the configuration.
+// KeyHash returns the SHA-256 hash of an API key, as the configuration lists it.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -239,11 +239,11 @@
 	return nil
 }
 
-// Publish publishes Config.
+// Publish publishes Config and the list of its hosts at the platform.
 func (f *Fleet) Publish() error {
 	content, err := yaml.Marshal(f.Config)
 	if err != nil {
-		return fmt.Errorf("writing the configuration: %w", err)
+		return fmt.Errorf("encoding the configuration: %w", err)
 	}
 	f.Platform.Publish([]config.File{{Name: "10-fleet.yaml", Content: content}})
 	var hosts []core.Host
@@ -254,12 +254,12 @@
 	return nil
 }
 
-// HostSettings returns the settings of the host daemon of server i.
+// HostSettings returns the settings of the host daemon on server i.
 func (f *Fleet) HostSettings(i int) (HostSettings, error) {
 	name := ServerName(i)
-	admin, err := f.admin(name)
+	admin, err := f.adminAddress(name)
 	return HostSettings{
-		Common:  f.common(name, f.Config.Servers[name].Address, admin),
+		Common:  f.commonSettings(name, f.Config.Servers[name].Address, admin),
 		Engines: map[string]string{"e0": f.engineURLs[i]}, Services: map[string]string{Service: f.serviceURLs[i]},
 	}, err
 }
@@ -267,34 +267,34 @@
 // EntrySettings returns the settings of entry i.
 func (f *Fleet) EntrySettings(i int) (EntrySettings, error) {
 	name := EntryName(i)
-	admin, err := f.admin(name)
+	admin, err := f.adminAddress(name)
 	if err != nil {
 		return EntrySettings{}, err
 	}
 	caller, err := FreeAddress()
 	f.callerAddrs[name] = caller
-	return EntrySettings{Common: f.common(name, f.Config.Entries[name].PeerAddress, admin), ListenAddress: caller}, err
+	return EntrySettings{Common: f.commonSettings(name, f.Config.Entries[name].PeerAddress, admin), ListenAddress: caller}, err
 }
 
-func (f *Fleet) admin(name string) (string, error) {
-	if known := f.adminAddrs[name]; known != "" {
-		return known, nil
+func (f *Fleet) adminAddress(name string) (string, error) {
+	if address := f.adminAddrs[name]; address != "" {
+		return address, nil
 	}
 	address, err := FreeAddress()
 	f.adminAddrs[name] = address
 	return address, err
 }
 
-// AdminURL and CallerURL return where a daemon is reached.
+// AdminURL returns the base URL of a daemon's admin API.
 func (f *Fleet) AdminURL(name string) string { return "http://" + f.adminAddrs[name] }
 
-// CallerURL returns where callers reach an entry.
+// CallerURL returns the base URL for callers of entry i.
 func (f *Fleet) CallerURL(i int) string { return "http://" + f.callerAddrs[EntryName(i)] }
 
-// EngineURL returns where an engine is reached directly.
+// EngineURL returns the base URL of the engine of server i.
 func (f *Fleet) EngineURL(i int) string { return f.engineURLs[i] }
 
-// Common are the settings that both daemons have, as they are written.
+// Common holds the settings that entries and host daemons share.
 type Common struct {
 	Name         string `yaml:"name"`
 	Zone         string `yaml:"zone"`
@@ -306,26 +306,26 @@
 	Peers        []Peer `yaml:"peers"`
 }
 
-// Peer is a seed peer, as written.
+// Peer is a seed peer in the settings of a daemon.
 type Peer struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// HostSettings are a host daemon's settings, as written.
+// HostSettings holds the settings of a host daemon.
 type HostSettings struct {
 	Common   `yaml:",inline"`
 	Engines  map[string]string `yaml:"engines"`
 	Services map[string]string `yaml:"services"`
 }
 
-// EntrySettings are an entry's settings, as written.
+// EntrySettings holds the settings of an entry.
 type EntrySettings struct {
 	Common        `yaml:",inline"`
 	ListenAddress string `yaml:"listenAddress"`
 }
 
-func (f *Fleet) common(name, peer, admin string) Common {
+func (f *Fleet) commonSettings(name, peer, admin string) Common {
 	c := Common{Name: name, Zone: Zone, AdminAddress: admin, AdminToken: AdminToken, Platform: f.PlatformURL, PeerAddress: peer, Secret: Secret}
 	for other, server := range f.Config.Servers {
 		if other != name {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for what the platform publishes: the
-// configuration folder with its watch, and the list of hosts. Switches make it
-// fail or serve stale contents; it counts its calls.
+// Package platform simulates what the platform publishes: the configuration
+// folder with its watch, and the list of hosts. It can be made to fail or to serve
+// a stale revision, and it counts its calls.
 package platform
 
 import (
@@ -17,7 +17,7 @@
 	core "arbutusdeck/core/platform"
 )
 
-// Server is the stand-in.
+// Server serves the simulated platform.
 type Server struct {
 	mu       sync.Mutex
 	revision uint64
@@ -25,7 +25,7 @@
 	hosts    []core.Host
 	changed  chan struct{}
 	down     bool
-	stale    *published // served instead of the present contents
+	stale    *published // served instead of the current revision, if set
 	calls    int
 }
 
@@ -37,13 +37,13 @@
 // New returns a platform with an empty folder.
 func New() *Server { return &Server{changed: make(chan struct{})} }
 
-// Publish replaces the folder under the next revision and returns that.
+// Publish replaces the folder's files and returns the new revision.
 func (s *Server) Publish(files []config.File) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.files = files
-	s.signal()
+	s.notifyWatchers()
 	return s.revision
 }
 
@@ -54,27 +54,28 @@
 	s.hosts = hosts
 }
 
-// SetDown makes every call fail.
+// SetDown makes every call fail with 503 while down is true.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.signal()
+	s.notifyWatchers()
 }
 
-// ServeStale keeps serving the present contents, whatever is published, until Thaw.
+// ServeStale keeps serving the current revision, whatever is published, until
+// ServeCurrent.
 func (s *Server) ServeStale() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = &published{s.revision, s.files}
 }
 
-// ServeCurrent ends Freeze.
+// ServeCurrent ends ServeStale: the last published revision is served again.
 func (s *Server) ServeCurrent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = nil
-	s.signal()
+	s.notifyWatchers()
 }
 
 // Calls returns the number of calls so far.
@@ -84,7 +85,7 @@
 	return s.calls
 }
 
-func (s *Server) signal() {
+func (s *Server) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -92,13 +93,13 @@
 // Handler serves the platform's protocol.
 func (s *Server) Handler() http.Handler {
 	router := bunrouter.New()
-	router.GET("/v1/folder", s.counted(s.watch))
-	router.GET("/v1/folder/:revision/:name", s.counted(s.read))
-	router.GET("/v1/hosts", s.counted(s.list))
+	router.GET("/v1/folder", s.countCalls(s.serveManifest))
+	router.GET("/v1/folder/:revision/:name", s.countCalls(s.serveFile))
+	router.GET("/v1/hosts", s.countCalls(s.serveHosts))
 	return router
 }
 
-func (s *Server) counted(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
+func (s *Server) countCalls(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		s.mu.Lock()
 		s.calls++
@@ -112,8 +113,9 @@
 	}
 }
 
-// contents returns what is served now, and a channel closed by the next change.
-func (s *Server) contents() (published, bool, chan struct{}) {
+// served returns the revision to serve, whether calls fail, and a channel that the
+// next change closes.
+func (s *Server) served() (published, bool, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stale != nil {
@@ -122,18 +124,18 @@
 	return published{s.revision, s.files}, s.down, s.changed
 }
 
-func (s *Server) watch(w http.ResponseWriter, r bunrouter.Request) error {
+func (s *Server) serveManifest(w http.ResponseWriter, r bunrouter.Request) error {
 	above, _ := strconv.ParseUint(r.URL.Query().Get("above"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	timeout := time.After(wait)
 	for {
-		now, down, changed := s.contents()
+		current, down, changed := s.served()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
-		if now.revision > above {
-			return json.NewEncoder(w).Encode(manifestOf(now))
+		if current.revision > above {
+			return json.NewEncoder(w).Encode(manifestOf(current))
 		}
 		select {
 		case <-changed:
@@ -154,14 +156,14 @@
 	return manifest
 }
 
-func (s *Server) read(w http.ResponseWriter, r bunrouter.Request) error {
-	now, _, _ := s.contents()
+func (s *Server) serveFile(w http.ResponseWriter, r bunrouter.Request) error {
+	current, _, _ := s.served()
 	name, _ := url.PathUnescape(r.Param("name"))
-	if r.Param("revision") != strconv.FormatUint(now.revision, 10) {
+	if r.Param("revision") != strconv.FormatUint(current.revision, 10) {
 		w.WriteHeader(http.StatusGone)
 		return nil
 	}
-	for _, file := range now.files {
+	for _, file := range current.files {
 		if file.Name == name {
 			_, err := w.Write(file.Content)
 			return err
@@ -171,7 +173,7 @@
 	return nil
 }
 
-func (s *Server) list(w http.ResponseWriter, _ bunrouter.Request) error {
+func (s *Server) serveHosts(w http.ResponseWriter, _ bunrouter.Request) error {
 	s.mu.Lock()
 	hosts := append([]core.Host{}, s.hosts...)
 	s.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service whose calls may not be
-// repeated, as an order desk or a printer. It counts what it ran.
+// Package service simulates a plain service whose calls are not idempotent, such
+// as order processing or printing. It counts how often each call ran.
 package service
 
 import (
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// Server is the stand-in.
+// Server serves the calls of the simulated service.
 type Server struct {
 	mu    sync.Mutex
 	runs  map[string]int
 	delay time.Duration
-	fence uint64 // highest number seen
+	fence uint64 // highest fencing token seen
 }
 
-// New returns a service whose calls take delay.
+// New returns a service that takes delay for each call.
 func New(delay time.Duration) *Server { return &Server{runs: map[string]int{}, delay: delay} }
 
-// Reply is the answer to a call.
+// Reply is the response to a call. Ran counts the runs of the same body so far.
 type Reply struct {
 	Ran  int    `json:"ran"`
 	Body string `json:"body"`
 	Path string `json:"path"`
 }
 
-// ServeHTTP runs one call.
+// ServeHTTP runs one call. It responds 409 to a fencing token below the highest
+// one seen.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -54,14 +55,14 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-// Fence returns the highest fencing number seen.
+// Fence returns the highest fencing token seen.
 func (s *Server) Fence() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence
 }
 
-// Runs returns how often a body ran.
+// Runs returns the number of runs of a body.
 func (s *Server) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
