--- a/proof/lab/build.go
+++ b/proof/lab/build.go
@@ -15,24 +15,25 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Deployment describes a deployment for Build.
+// Deployment describes the size of a deployment for BuildSnapshot.
 type Deployment struct {
 	Servers, Entries, Zones int
 	Slots                   int
 	Engine                  engine.Spec
 	Workspaces              map[string]config.Workspace
-	// HomeSlots gives the service a home slot on each of its servers.
+	// HomeSlots gives the service one home slot on each of its servers.
 	HomeSlots bool
-	// Groups is the number of groups; each takes three servers, from the first.
+	// Groups is the number of engine groups. Each spans three consecutive servers,
+	// starting at the first server.
 	Groups int
-	// NoFencing says that engines ignore fencing numbers.
+	// NoFencing makes engines ignore fencing tokens.
 	NoFencing bool
-	// ConfigRevision of the snapshot; 0 means 1.
+	// Revision is that of the snapshot; 0 means 1.
 	Revision uint64
 	Version  string
 }
 
-// Names that every built site has.
+// Names that every deployment has.
 const (
 	Hall      = "hall"
 	Service   = "orders"
@@ -42,14 +43,14 @@
 // groupSize is the number of engines of a group.
 const groupSize = 3
 
-// ServerName and EntryName name the daemons.
+// ServerName returns the name of the backend server with index i, from 0 on.
 func ServerName(i int) string { return fmt.Sprintf("server-%03d", i) }
 
-// EntryName names an entry, from 0 on.
+// EntryName returns the name of the entry with index i, from 0 on.
 func EntryName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
-// BuildSnapshot returns the snapshot of a site.
-func BuildSnapshot(site Deployment) *config.Snapshot {
+// BuildSnapshot returns the configuration snapshot of a deployment.
+func BuildSnapshot(deployment Deployment) *config.Snapshot {
 	c := &config.Snapshot{
 		LengthClasses: map[string]config.LengthClass{
 			"short":  {UpTo: 8_000, FirstToken: config.Duration(time.Second)},
@@ -61,10 +62,10 @@
 			"medium": {Hall: Hall, Repeatable: true, Deadline: config.Duration(2 * time.Minute)},
 			"long":   {Hall: Hall, Repeatable: true, Deadline: config.Duration(30 * time.Minute)},
 		},
-		Halls:      map[string]config.Hall{Hall: {Model: "m", Version: site.Version, LongShare: 0.5}},
+		Halls:      map[string]config.Hall{Hall: {Model: "m", Version: deployment.Version, LongShare: 0.5}},
 		Servers:    map[string]config.Server{},
 		Entries:    map[string]config.Entry{},
-		Workspaces: site.Workspaces,
+		Workspaces: deployment.Workspaces,
 		Services:   map[string]config.Service{},
 		Groups:     map[string]config.Group{},
 	}
@@ -72,39 +73,39 @@
 		c.Workspaces = map[string]config.Workspace{Workspace: {Weight: 1}}
 	}
 	service := config.Service{Deadline: config.Duration(20 * time.Second), Concurrency: 8, Homes: map[string]config.HomeSlot{}}
-	for i := range site.Servers {
+	for i := range deployment.Servers {
 		name := ServerName(i)
-		c.Servers[name] = config.Server{Address: fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250), Zone: fmt.Sprintf("z%d", i%max(site.Zones, 1)),
-			Engines: map[string]config.Engine{"e0": {Hall: Hall, MemoryTokens: site.Engine.MemoryTokens, PrefillRate: site.Engine.PrefillRate,
-				Slots: site.Slots, ChecksFencing: !site.NoFencing}}}
+		c.Servers[name] = config.Server{Address: fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250), Zone: fmt.Sprintf("z%d", i%max(deployment.Zones, 1)),
+			Engines: map[string]config.Engine{"e0": {Hall: Hall, MemoryTokens: deployment.Engine.MemoryTokens, PrefillRate: deployment.Engine.PrefillRate,
+				Slots: deployment.Slots, ChecksFencing: !deployment.NoFencing}}}
 		if i < 3 {
 			service.Servers = append(service.Servers, name)
 		}
-		if i < 3 && site.HomeSlots {
+		if i < 3 && deployment.HomeSlots {
 			service.Homes[fmt.Sprintf("slot-%d", i)] = config.HomeSlot{Server: name}
 		}
 	}
 	c.Services[Service] = service
-	for i := range site.Groups {
+	for i := range deployment.Groups {
 		group := config.Group{Hall: Hall, Lead: ServerName(groupSize * i)}
 		for n := range groupSize {
 			group.Members = append(group.Members, ServerName(groupSize*i+n)+"/e0")
 		}
 		c.Groups[fmt.Sprintf("group-%d", i)] = group
 	}
-	for i := range site.Entries {
-		c.Entries[EntryName(i)] = config.Entry{PeerAddress: fmt.Sprintf("10.1.0.%d:7301", i), Zone: fmt.Sprintf("z%d", i%max(site.Zones, 1))}
+	for i := range deployment.Entries {
+		c.Entries[EntryName(i)] = config.Entry{PeerAddress: fmt.Sprintf("10.1.0.%d:7301", i), Zone: fmt.Sprintf("z%d", i%max(deployment.Zones, 1))}
 	}
 	for name, workspace := range c.Workspaces {
 		workspace.KeyHashes = []string{fmt.Sprintf("%064x", len(name)*1000+int(name[len(name)-1]))}
 		c.Workspaces[name] = workspace
 	}
-	return load(c, max(site.Revision, 1))
+	return validate(c, max(deployment.Revision, 1))
 }
 
-// load passes the snapshot through the real loader, so that it is as checked as
-// one of the operators'.
-func load(c *config.Snapshot, revision uint64) *config.Snapshot {
+// validate encodes the snapshot and loads it with config.Load, so that it passes the
+// same validation as an operator's configuration. It panics if that fails.
+func validate(c *config.Snapshot, revision uint64) *config.Snapshot {
 	content, err := yaml.Marshal(c)
 	if err != nil {
 		panic(err)
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -17,7 +17,7 @@
 	"arbutusdeck/core/wire"
 )
 
-// Bounds of single calls, as in the daemons.
+// Timeouts of single calls, as in the daemons, and the interval of an entry's ticks.
 const (
 	offerTimeout  = 750 * time.Millisecond
 	cancelTimeout = 2 * time.Second
@@ -25,16 +25,16 @@
 	entryTick     = 100 * time.Millisecond
 )
 
-// Entry is one entry daemon.
+// Entry simulates one entry daemon.
 type Entry struct {
 	process
 	Name string
 	Core *frontend.Core
 
-	lab   *Lab
-	epoch int
-	pause *membership.PauseDetector
-	open  map[*Submission]bool
+	lab          *Lab
+	epoch        int
+	pause        *membership.PauseDetector
+	openRequests map[*Submission]bool
 }
 
 // Request is one caller's request. Lengths are in tokens.
@@ -49,20 +49,20 @@
 	Repeatable   bool
 	Buffered     bool
 	Key          execution.Key
-	// Home is the key's home; empty for a request without a key.
+	// Home is the home of the idempotency key; empty for a request without one.
 	Home     execution.Target
 	Deadline time.Duration
-	// Done is called with the final answer.
+	// Done is called once the request is concluded; it may be nil.
 	Done func(*Submission)
 }
 
-// Submission is one request at one entry, and what its caller saw.
+// Submission is one request at one entry, with what its caller observed.
 type Submission struct {
 	Sent       time.Time
 	FirstToken time.Time
 	Ended      time.Time
 	Conclusion *execution.Conclusion
-	// Answer holds the payloads that the caller got, in order.
+	// Answer holds the payloads delivered to the caller, in order.
 	Answer   []string
 	Class    string
 	Attempts []execution.AttemptID
@@ -74,16 +74,18 @@
 	entry   *Entry
 	query   routing.Query
 	groups  map[string]string
-	heard   time.Time
-	// patience is how much silence the stream may keep now.
-	patience time.Duration
-	current  execution.AttemptID
+	// lastFrameAt is when the last frame or heartbeat of the stream arrived.
+	lastFrameAt time.Time
+	// idleTimeout is the time without a frame after which the stream counts as broken.
+	idleTimeout time.Duration
+	// streamAttempt is the attempt whose stream was opened last.
+	streamAttempt execution.AttemptID
 }
 
 // ID returns the request's identifier.
 func (s *Submission) ID() execution.RequestID { return s.id }
 
-// Request returns what was asked for.
+// Request returns the request as it was submitted.
 func (s *Submission) Request() Request { return s.request }
 
 func (s *Submission) pool() string { return s.query.Pool }
@@ -94,10 +96,10 @@
 	return e
 }
 
-// Start starts a fresh daemon.
+// Start starts the daemon with a new, empty core.
 func (e *Entry) Start() {
 	e.epoch++
-	e.alive, e.frozen, e.held = true, false, nil
+	e.alive, e.suspended, e.deferred = true, false, nil
 	options := frontend.DefaultOptions("", rand.New(rand.NewPCG(e.lab.random.Uint64(), 1)))
 	options.Routing.Zone = e.lab.Snapshot.Entries[e.Name].Zone
 	if e.lab.Routing != "" {
@@ -112,14 +114,15 @@
 	e.Core = frontend.New(options)
 	e.Core.Configure(e.lab.Now, e.lab.Snapshot)
 	e.pause = membership.NewPauseDetector(2 * time.Second)
-	e.open = map[*Submission]bool{}
+	e.openRequests = map[*Submission]bool{}
 	e.tick(e.epoch, 0)
 }
 
-// Kill ends the daemon; its callers' connections break.
+// Kill kills the daemon's process: its callers' connections break at once, hosts
+// notice after the network delay.
 func (e *Entry) Kill() {
-	e.alive, e.held = false, nil
-	for s := range e.open {
+	e.alive, e.deferred = false, nil
+	for s := range e.openRequests {
 		s.Ended = e.lab.Now
 	}
 	for _, h := range e.lab.Hosts {
@@ -131,20 +134,21 @@
 	}
 }
 
-// Suspend stops the daemon until Thaw.
-func (e *Entry) Suspend() { e.frozen = true }
+// Suspend stops the daemon's process until Resume, as SIGSTOP does.
+func (e *Entry) Suspend() { e.suspended = true }
 
-// Resume wakes the daemon; its first act is a tick.
+// Resume continues a suspended daemon. It detects the pause before it handles the
+// events that arrived meanwhile.
 func (e *Entry) Resume() {
-	if !e.alive || !e.frozen {
+	if !e.alive || !e.suspended {
 		return
 	}
-	e.frozen = false
-	e.lookForPause()
-	e.wake()
+	e.suspended = false
+	e.detectPause()
+	e.runDeferred()
 }
 
-func (e *Entry) lookForPause() {
+func (e *Entry) detectPause() {
 	if e.pause.Tick(e.lab.Now) > 0 {
 		e.Core.Awoke(e.lab.Now)
 	}
@@ -154,24 +158,24 @@
 	if epoch != e.epoch || !e.alive {
 		return
 	}
-	if !e.frozen {
-		e.lookForPause()
+	if !e.suspended {
+		e.detectPause()
 		for _, probe := range e.Core.ProbesDue(e.lab.Now, count%10 == 0) {
 			e.probe(probe)
 		}
-		for _, s := range e.inOrder() {
-			if s.core.Streaming() && e.lab.Now.Sub(s.heard) > s.patience {
-				e.streamEnded(s, s.current)
+		for _, s := range e.openByArrival() {
+			if s.core.Streaming() && e.lab.Now.Sub(s.lastFrameAt) > s.idleTimeout {
+				e.streamBroken(s, s.streamAttempt)
 			}
 		}
 	}
 	e.lab.After(entryTick, func() { e.tick(epoch, count+1) })
 }
 
-// inOrder lists the open requests in the order of their arrival: a run has to be
-// the same each time.
-func (e *Entry) inOrder() []*Submission {
-	return slices.SortedFunc(maps.Keys(e.open), func(a, b *Submission) int { return a.number - b.number })
+// openByArrival returns the open requests in order of arrival. Map order would make
+// runs of the same seed differ.
+func (e *Entry) openByArrival() []*Submission {
+	return slices.SortedFunc(maps.Keys(e.openRequests), func(a, b *Submission) int { return a.number - b.number })
 }
 
 type probeReply struct {
@@ -193,23 +197,23 @@
 		r := reply.(probeReply)
 		e.Core.Heard(e.lab.Now, p.Server, r.incarnation, r.draining)
 		if p.Hall != "" {
-			e.observe(p.Hall, p.Server, r.load)
+			e.recordLoad(p.Hall, p.Server, r.load)
 		}
 	})
 }
 
-// observe hands a load report to the core.
-func (e *Entry) observe(pool, server string, load scheduling.Load) {
+// recordLoad passes a load report to the core, unless reports are frozen.
+func (e *Entry) recordLoad(pool, server string, load scheduling.Load) {
 	if !e.lab.FreezeReports {
-		e.Core.Observe(pool, server, e.report(load))
+		e.Core.Observe(pool, server, e.toReport(load))
 	}
 }
 
-func (e *Entry) report(load scheduling.Load) routing.Report {
+func (e *Entry) toReport(load scheduling.Load) routing.Report {
 	return wire.ToReport(e.lab.Now, wire.FromLoad(e.lab.Now, load), e.lab.Snapshot.ClassRank)
 }
 
-// Submit hands a request to the entry. What it refuses at once is concluded
+// Submit passes a request to the entry. A request that it refuses at once is concluded
 // before Submit returns.
 func (e *Entry) Submit(request Request) *Submission {
 	l := e.lab
@@ -239,10 +243,10 @@
 		e.conclude(s, execution.Conclusion{Outcome: execution.NotRun, Refusal: refusal})
 		return s
 	}
-	e.open[s] = true
+	e.openRequests[s] = true
 	e.Core.Began()
-	l.After(request.Deadline, func() { e.reach(func() { e.feed(s, execution.DeadlinePassed{}) }) })
-	e.feed(s, execution.Begun{})
+	l.After(request.Deadline, func() { e.runOrDefer(func() { e.handleEvent(s, execution.DeadlinePassed{}) }) })
+	e.handleEvent(s, execution.Begun{})
 	return s
 }
 
@@ -257,9 +261,10 @@
 	return e.Core.Admit(e.lab.Now, s.request.Workspace, s.request.PromptTokens)
 }
 
-// feed gives an event to the request's core and carries out what follows.
-func (e *Entry) feed(s *Submission, event execution.Event) {
-	if !e.open[s] {
+// handleEvent passes an event to the request's core and performs the resulting
+// actions. It ignores events of concluded requests.
+func (e *Entry) handleEvent(s *Submission, event execution.Event) {
+	if !e.openRequests[s] {
 		return
 	}
 	for _, action := range s.core.Step(e.lab.Now, event) {
@@ -286,17 +291,17 @@
 
 func (e *Entry) pick(s *Submission, a execution.Pick) {
 	if s.request.Home.Server != "" {
-		e.feed(s, execution.Picked{Target: s.request.Home})
+		e.handleEvent(s, execution.Picked{Target: s.request.Home})
 		return
 	}
 	q := s.query
 	q.Exclude = a.Exclude
 	_, target, ok := e.Core.Pick(e.lab.Now, q)
 	if !ok {
-		e.feed(s, execution.NoTarget{Refusal: execution.Refusal{Code: execution.CodeNoServer, RetryAfter: time.Second}})
+		e.handleEvent(s, execution.NoTarget{Refusal: execution.Refusal{Code: execution.CodeNoServer, RetryAfter: time.Second}})
 		return
 	}
-	e.feed(s, execution.Picked{Target: target})
+	e.handleEvent(s, execution.Picked{Target: target})
 }
 
 func (e *Entry) sendOffer(s *Submission, a execution.SendOffer) {
@@ -308,36 +313,36 @@
 		Entry: e.Name, Kind: s.request.Kind, Hall: s.request.Hall, Class: s.Class, PromptTokens: s.request.PromptTokens,
 		AnswerTokens: s.request.AnswerTokens, Deadline: s.Sent.Add(s.request.Deadline), Group: s.groups[h.Name],
 	}
-	e.lab.call("offer", e.Name, h.Name, offerTimeout, func() any { return h.offer(offer, s, e) }, func(reply any, ok bool) {
+	e.lab.call("offer", e.Name, h.Name, offerTimeout, func() any { return h.handleOffer(offer, s, e) }, func(reply any, ok bool) {
 		if !ok {
 			e.Core.Ended(s.query, h.Name)
 			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
-			e.feed(s, execution.OfferLost{Attempt: a.Attempt})
+			e.handleEvent(s, execution.OfferLost{Attempt: a.Attempt})
 			return
 		}
 		r := reply.(backend.Reply)
 		answer := frontend.Answer{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
 		if !e.lab.FreezeReports {
-			report := e.report(r.Load)
+			report := e.toReport(r.Load)
 			answer.Report = &report
 		}
 		e.Core.Heard(e.lab.Now, h.Name, h.Core.Incarnation(), h.Core.Draining())
 		e.Core.Offered(e.lab.Now, s.query, s.request.Workspace, h.Name, answer)
-		e.feed(s, execution.OfferAnswered{Attempt: a.Attempt, Result: r.OfferResult})
+		e.handleEvent(s, execution.OfferAnswered{Attempt: a.Attempt, Result: r.OfferResult})
 	})
 }
 
 func (e *Entry) openStream(s *Submission, a execution.OpenStream) {
 	h := e.lab.Host(a.Target.Server)
-	s.heard, s.patience, s.current = e.lab.Now, wire.ResponseWait, a.Attempt
-	kind, serve := "open", func() { h.open(a.Attempt, a.Target.Incarnation, s, e) }
+	s.lastFrameAt, s.idleTimeout, s.streamAttempt = e.lab.Now, wire.ResponseWait, a.Attempt
+	kind, serve := "open", func() { h.openStream(a.Attempt, a.Target.Incarnation, s, e) }
 	if a.Resume {
-		kind, serve = "resume", func() { h.resume(a.Attempt, a.From, s, e) }
+		kind, serve = "resume", func() { h.resumeStream(a.Attempt, a.From, s, e) }
 	}
 	e.lab.send(Message{kind, e.Name, h.Name}, serve, func() {
-		e.reach(func() {
+		e.runOrDefer(func() {
 			e.Core.Failed(e.lab.Now, h.Name, s.query.Pool)
-			e.feed(s, execution.StreamEnded{Attempt: a.Attempt, Sent: a.Resume})
+			e.handleEvent(s, execution.StreamEnded{Attempt: a.Attempt, Sent: a.Resume})
 		})
 	})
 }
@@ -346,33 +351,34 @@
 	h := e.lab.Host(a.Target.Server)
 	request := execution.CancelRequest{Attempt: a.Attempt, Target: a.Target.Incarnation, OfferExpires: a.Expires,
 		Workspace: s.request.Workspace, Service: s.request.Service, Key: s.request.Key}
-	e.lab.call("cancel", e.Name, h.Name, cancelTimeout, func() any { return h.cancel(request) }, func(reply any, ok bool) {
+	e.lab.call("cancel", e.Name, h.Name, cancelTimeout, func() any { return h.cancelAttempt(request) }, func(reply any, ok bool) {
 		if !ok {
-			e.feed(s, execution.CancelLost{Attempt: a.Attempt})
+			e.handleEvent(s, execution.CancelLost{Attempt: a.Attempt})
 			return
 		}
-		e.feed(s, execution.CancelAnswered{Attempt: a.Attempt, Outcome: reply.(execution.Outcome)})
+		e.handleEvent(s, execution.CancelAnswered{Attempt: a.Attempt, Outcome: reply.(execution.Outcome)})
 	})
 }
 
-// frame takes in a frame, a heartbeat too.
-func (e *Entry) frame(s *Submission, h *Host, frame execution.Frame, load scheduling.Load) {
-	s.heard, s.patience = e.lab.Now, wire.StreamIdle
-	e.observe(s.query.Pool, h.Name, load)
+// receiveFrame handles a frame or a heartbeat of a stream.
+func (e *Entry) receiveFrame(s *Submission, h *Host, frame execution.Frame, load scheduling.Load) {
+	s.lastFrameAt, s.idleTimeout = e.lab.Now, wire.StreamIdle
+	e.recordLoad(s.query.Pool, h.Name, load)
 	if frame.Last {
 		e.Core.Ended(s.query, h.Name)
 	}
-	e.feed(s, execution.FrameArrived{Frame: frame})
+	e.handleEvent(s, execution.FrameArrived{Frame: frame})
 }
 
-// streamEnded takes in a broken stream.
-func (e *Entry) streamEnded(s *Submission, id execution.AttemptID) {
-	if !e.open[s] || id != s.current {
+// streamBroken handles the break of a stream. It ignores streams of earlier
+// attempts.
+func (e *Entry) streamBroken(s *Submission, id execution.AttemptID) {
+	if !e.openRequests[s] || id != s.streamAttempt {
 		return
 	}
-	s.heard = e.lab.Now
+	s.lastFrameAt = e.lab.Now
 	e.Core.Failed(e.lab.Now, s.core.Target().Server, s.query.Pool)
-	e.feed(s, execution.StreamEnded{Attempt: id, Sent: true})
+	e.handleEvent(s, execution.StreamEnded{Attempt: id, Sent: true})
 }
 
 func (e *Entry) deliver(s *Submission, frame execution.Frame) {
@@ -385,7 +391,7 @@
 }
 
 func (e *Entry) conclude(s *Submission, conclusion execution.Conclusion) {
-	delete(e.open, s)
+	delete(e.openRequests, s)
 	s.Conclusion, s.Ended = &conclusion, e.lab.Now
 	if record := conclusion.Record; record != nil && record.Answer.Kept {
 		s.Answer = []string{string(record.Answer.Body)}
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -12,8 +12,8 @@
 	"arbutusdeck/standin/engine"
 )
 
-// Host is one backend server: its daemon and its engines. The engines outlive
-// the daemon.
+// Host simulates one backend server: its host daemon and its engines. The engines
+// outlive the daemon.
 type Host struct {
 	process
 	Name    string
@@ -24,23 +24,22 @@
 	epoch   int
 	streams map[execution.AttemptID]*stream
 	pause   *membership.PauseDetector
-	// StartedRuns counts what the engines were asked to run, by attempt.
+	// StartedRuns counts, by attempt, the runs that engines and services were told to start.
 	StartedRuns map[execution.AttemptID]int
 }
 
-// Engine is one stand-in engine in virtual time.
+// Engine is one simulated engine in virtual time.
 type Engine struct {
-	Model   *engine.Model
-	State   orders.Wanted
-	Fence   uint64
-	ticking bool
-	sinks   map[string]func(engine.Token)
-	// Orders are the orders carried out, and OrderEpochs the daemon starts
-	// that sent them.
+	Model          *engine.Model
+	State          orders.Wanted
+	Fence          uint64
+	batchScheduled bool
+	tokenSinks     map[string]func(engine.Token)
+	// Orders are the orders that the engine has applied, in sequence.
 	Orders []orders.Order
 }
 
-// stream is an attempt's answer on its way to an entry.
+// stream carries the answer of one attempt to an entry.
 type stream struct {
 	writer    *execution.FrameWriter
 	sent      uint64
@@ -48,7 +47,7 @@
 	submitted *Submission
 	attached  bool
 	engine    string
-	members   []*Engine // of a group
+	members   []*Engine // engines of the group, if the attempt runs on one
 }
 
 func newHost(l *Lab, name string) *Host {
@@ -57,17 +56,17 @@
 		model := l.Engine
 		model.MemoryTokens = spec.MemoryTokens
 		hall := l.Snapshot.Halls[spec.Hall]
-		h.Engines[engineName] = &Engine{Model: engine.NewModel(model), sinks: map[string]func(engine.Token){},
+		h.Engines[engineName] = &Engine{Model: engine.NewModel(model), tokenSinks: map[string]func(engine.Token){},
 			State: orders.Wanted{Model: hall.Model, Version: hall.Version, Adapters: hall.Adapters, Role: spec.Role}}
 	}
 	h.Start()
 	return h
 }
 
-// Start starts a fresh daemon.
+// Start starts the daemon with a new, empty core.
 func (h *Host) Start() {
 	h.epoch++
-	h.alive, h.frozen, h.held = true, false, nil
+	h.alive, h.suspended, h.deferred = true, false, nil
 	options := backend.DefaultOptions(h.Name, execution.Incarnation(fmt.Sprintf("%s#%d", h.Name, h.epoch)))
 	if h.lab.Scheduling != "" {
 		options.Schedule.Policy = h.lab.Scheduling
@@ -84,42 +83,44 @@
 	h.streams = map[execution.AttemptID]*stream{}
 	h.pause = membership.NewPauseDetector(2 * time.Second)
 	h.tick(h.epoch)
-	h.observe(h.epoch)
+	h.observeEngines(h.epoch)
 }
 
-// Kill ends the daemon. Its engines go on.
+// Kill kills the daemon's process and resets its streams. Its engines go on.
 func (h *Host) Kill() {
 	h.alive = false
-	h.held = nil
+	h.deferred = nil
 	for _, id := range sortedKeys(h.streams) {
-		h.breakStream(id, h.streams[id])
+		h.resetStream(id, h.streams[id])
 	}
 	for _, e := range h.Engines {
-		clear(e.sinks)
+		clear(e.tokenSinks)
 	}
 }
 
-// Suspend stops the daemon until Thaw.
-func (h *Host) Suspend() { h.frozen = true }
+// Suspend stops the daemon's process until Resume, as SIGSTOP does.
+func (h *Host) Suspend() { h.suspended = true }
 
-// Resume wakes the daemon; its first act is a tick.
+// Resume continues a suspended daemon. It runs a tick, which detects the pause,
+// before it handles the events that arrived meanwhile.
 func (h *Host) Resume() {
-	if !h.alive || !h.frozen {
+	if !h.alive || !h.suspended {
 		return
 	}
-	h.frozen = false
-	h.tickOnce()
-	h.wake()
+	h.suspended = false
+	h.runTick()
+	h.runDeferred()
 }
 
-// SetSlowdown makes the engines slower by a factor.
+// SetSlowdown multiplies the duration of the engines' batches by factor.
 func (h *Host) SetSlowdown(factor float64) {
 	for _, e := range h.Engines {
 		e.Model.SetSlowdown(factor)
 	}
 }
 
-// Drain is a planned stop: no new work, open streams go on.
+// Drain starts a graceful shutdown: the daemon accepts no new work, and open
+// streams go on.
 func (h *Host) Drain() { h.Core.Drain() }
 
 const hostTick = 25 * time.Millisecond
@@ -128,33 +129,33 @@
 	if epoch != h.epoch || !h.alive {
 		return
 	}
-	if !h.frozen {
-		h.tickOnce()
+	if !h.suspended {
+		h.runTick()
 	}
 	h.lab.After(hostTick, func() { h.tick(epoch) })
 }
 
-func (h *Host) tickOnce() {
+func (h *Host) runTick() {
 	if h.pause.Tick(h.lab.Now) > 0 {
 		h.Core.Awoke(h.lab.Now)
 	}
-	h.carryOut(h.Core.Tick(h.lab.Now))
+	h.applyEffects(h.Core.Tick(h.lab.Now))
 }
 
-// observe asks the engines for their state, as the daemon does each second, and
-// writes heartbeats on streams.
-func (h *Host) observe(epoch int) {
+// observeEngines polls the state of the engines, as the daemon does each second, and
+// writes heartbeats on open streams.
+func (h *Host) observeEngines(epoch int) {
 	if epoch != h.epoch || !h.alive {
 		return
 	}
-	if !h.frozen {
+	if !h.suspended {
 		for _, name := range sortedKeys(h.Engines) {
 			e := h.Engines[name]
-			var held []memory.EngineStream
+			var streams []memory.EngineStream
 			for _, s := range e.Model.Streams() {
-				held = append(held, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.MemoryTokens()})
+				streams = append(streams, memory.EngineStream{Engine: name, ID: s.ID, Tokens: s.MemoryTokens()})
 			}
-			h.carryOut(h.Core.ObserveEngine(h.lab.Now, name, orders.Observed{State: e.State, Fence: e.Fence}, held))
+			h.applyEffects(h.Core.ObserveEngine(h.lab.Now, name, orders.Observed{State: e.State, Fence: e.Fence}, streams))
 		}
 		h.sendOrders()
 		for _, id := range sortedKeys(h.streams) {
@@ -163,10 +164,10 @@
 			}
 		}
 	}
-	h.lab.After(time.Second, func() { h.observe(epoch) })
+	h.lab.After(time.Second, func() { h.observeEngines(epoch) })
 }
 
-// OrderDelay is how long an order is under way and being carried out.
+// OrderDelay is the time from sending an order until the engine has applied it.
 const OrderDelay = 300 * time.Millisecond
 
 func (h *Host) sendOrders() {
@@ -183,45 +184,45 @@
 				e.Orders = append(e.Orders, order)
 			}
 			if epoch == h.epoch {
-				h.reach(func() { h.Core.OrderSettled(h.lab.Now, order.Engine, result, 0) })
+				h.runOrDefer(func() { h.Core.OrderSettled(h.lab.Now, order.Engine, result, 0) })
 			}
 		})
 	}
 }
 
-func (h *Host) carryOut(effects []backend.Effect) {
+func (h *Host) applyEffects(effects []backend.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case backend.Start:
-			h.start(e)
+			h.startRun(e)
 		case backend.StopRun:
 			h.stopRun(e.Attempt)
 		case backend.Ended:
-			h.ended(e)
+			h.closeStream(e)
 		case backend.Pause:
 			h.Engines[e.Engine].Model.SetPaused(string(e.Attempt), true)
 		case backend.Resume:
 			h.Engines[e.Engine].Model.SetPaused(string(e.Attempt), false)
-			h.kick(h.Engines[e.Engine])
+			h.scheduleBatch(h.Engines[e.Engine])
 		case backend.SetPriority:
 			h.Engines[e.Engine].Model.SetPriority(string(e.Attempt), e.Priority)
 		case backend.CancelOrphan:
 			h.Engines[e.Stream.Engine].Model.Remove(e.Stream.ID)
 		case backend.AskPart:
-			h.askPart(e)
+			h.requestPart(e)
 		case backend.GiveBackPart:
-			h.giveBackPart(e)
+			h.releasePart(e)
 		}
 	}
 }
 
-func (h *Host) ended(e backend.Ended) {
+func (h *Host) closeStream(e backend.Ended) {
 	s := h.streams[e.Attempt]
 	if s == nil {
 		return
 	}
 	s.writer.End(e.Outcome, e.Refusal)
-	h.push(e.Attempt, s)
+	h.pushFrames(e.Attempt, s)
 	epoch := h.epoch
 	h.lab.After(5*time.Second, func() {
 		if epoch == h.epoch {
@@ -230,7 +231,7 @@
 	})
 }
 
-func (h *Host) offer(o backend.Offer, submitted *Submission, e *Entry) backend.Reply {
+func (h *Host) handleOffer(o backend.Offer, submitted *Submission, e *Entry) backend.Reply {
 	reply := h.Core.Offer(h.lab.Now, o)
 	if reply.Verdict == execution.Accepted && h.streams[o.Attempt] == nil {
 		h.streams[o.Attempt] = &stream{writer: execution.NewFrameWriter(o.Request, o.Attempt), entry: e, submitted: submitted}
@@ -238,30 +239,30 @@
 	return reply
 }
 
-func (h *Host) cancel(request execution.CancelRequest) execution.Outcome {
+func (h *Host) cancelAttempt(request execution.CancelRequest) execution.Outcome {
 	outcome, effects := h.Core.Cancel(h.lab.Now, request)
-	h.carryOut(effects)
+	h.applyEffects(effects)
 	return outcome
 }
 
-func (h *Host) askPart(ask backend.AskPart) {
+func (h *Host) requestPart(ask backend.AskPart) {
 	member := h.lab.Host(ask.Part.Server)
 	epoch := h.epoch
 	h.lab.call("reserve", h.Name, member.Name, 2*time.Second, func() any {
 		return member.Core.HoldPart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
 	}, func(reply any, ok bool) {
 		if epoch == h.epoch {
-			h.carryOut(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
+			h.applyEffects(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
 		}
 	})
 }
 
-func (h *Host) giveBackPart(e backend.GiveBackPart) {
+func (h *Host) releasePart(e backend.GiveBackPart) {
 	member := h.lab.Host(e.Part.Server)
-	h.lab.send(Message{"release", h.Name, member.Name}, func() { member.carryOut(member.Core.ReleasePart(h.lab.Now, e.Reservation)) }, nil)
+	h.lab.send(Message{"release", h.Name, member.Name}, func() { member.applyEffects(member.Core.ReleasePart(h.lab.Now, e.Reservation)) }, nil)
 }
 
-// UsedTokens returns the memory in use on the host's engines, in tokens.
+// UsedTokens returns the KV memory in use on the host's engines, in tokens.
 func (h *Host) UsedTokens() int64 {
 	var used int64
 	for _, e := range h.Engines {
--- a/proof/lab/host_engines.go
+++ b/proof/lab/host_engines.go
@@ -10,17 +10,17 @@
 	"arbutusdeck/standin/engine"
 )
 
-// serviceTime is how long a plain service takes.
+// serviceTime is the duration of a call to a plain service.
 const serviceTime = 200 * time.Millisecond
 
-func (h *Host) start(e backend.Start) {
+func (h *Host) startRun(e backend.Start) {
 	h.StartedRuns[e.Attempt]++
 	s := h.streams[e.Attempt]
 	epoch := h.epoch
 	if s.submitted.request.Service != "" {
 		h.lab.After(serviceTime, func() {
 			if epoch == h.epoch {
-				h.reach(func() { h.finishService(e.Attempt, s) })
+				h.runOrDefer(func() { h.finishService(e.Attempt, s) })
 			}
 		})
 		return
@@ -28,19 +28,19 @@
 	s.engine = e.Engine
 	eng := h.Engines[e.Engine]
 	if err := h.addStream(e, s); err != nil {
-		h.carryOut(h.Core.Finish(h.lab.Now, e.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull}, execution.Answer{}))
+		h.applyEffects(h.Core.Finish(h.lab.Now, e.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeQueueFull}, execution.Answer{}))
 		return
 	}
-	eng.sinks[string(e.Attempt)] = func(t engine.Token) {
+	eng.tokenSinks[string(e.Attempt)] = func(t engine.Token) {
 		if epoch == h.epoch {
-			h.reach(func() { h.token(e.Attempt, s, t) })
+			h.runOrDefer(func() { h.handleToken(e.Attempt, s, t) })
 		}
 	}
-	h.kick(eng)
+	h.scheduleBatch(eng)
 }
 
-// addStream puts an attempt onto its engine, or onto all engines of its group:
-// those talk to each other without the daemons.
+// addStream starts an attempt on its engine or on all engines of its group. The
+// engines of a group communicate without the daemons, so this one adds them all.
 func (h *Host) addStream(e backend.Start, s *stream) error {
 	r := s.submitted.request
 	whole := engine.Stream{ID: string(e.Attempt), PromptTokens: r.PromptTokens, OutputTokens: r.AnswerTokens, Priority: e.Priority, Prefix: r.Prefix}
@@ -57,7 +57,7 @@
 			return err
 		}
 		s.members = append(s.members, host.Engines[name])
-		host.kick(host.Engines[name])
+		host.scheduleBatch(host.Engines[name])
 	}
 	return nil
 }
@@ -68,52 +68,52 @@
 	}
 }
 
-// kick makes an engine's batches go on.
-func (h *Host) kick(e *Engine) {
-	if e.ticking {
+// scheduleBatch schedules an engine's next batch, unless one is scheduled.
+func (h *Host) scheduleBatch(e *Engine) {
+	if e.batchScheduled {
 		return
 	}
-	e.ticking = true
-	h.lab.After(e.Model.StepTime(), func() { h.batch(e) })
+	e.batchScheduled = true
+	h.lab.After(e.Model.StepTime(), func() { h.runBatch(e) })
 }
 
-func (h *Host) batch(e *Engine) {
-	e.ticking = false
+func (h *Host) runBatch(e *Engine) {
+	e.batchScheduled = false
 	for _, token := range e.Model.Batch() {
-		if sink := e.sinks[token.Stream]; sink != nil {
+		if sink := e.tokenSinks[token.Stream]; sink != nil {
 			sink(token)
 		}
 	}
 	if !e.Model.Idle() {
-		h.kick(e)
+		h.scheduleBatch(e)
 	}
 }
 
-func (h *Host) token(id execution.AttemptID, s *stream, t engine.Token) {
+func (h *Host) handleToken(id execution.AttemptID, s *stream, t engine.Token) {
 	if t.Index == 1 {
-		h.carryOut(h.Core.FirstToken(h.lab.Now, id))
+		h.applyEffects(h.Core.FirstToken(h.lab.Now, id))
 	}
 	if t.Index == 1 || h.lab.TokenFrames {
 		s.writer.Write(fmt.Appendf(nil, "%s/%d", id, t.Index), "text/event-stream", 200)
-		h.push(id, s)
+		h.pushFrames(id, s)
 	}
 	if t.Last {
 		h.removeStream(id, s)
-		h.carryOut(h.Core.Finish(h.lab.Now, id, execution.Finished, execution.Refusal{}, execution.Answer{}))
+		h.applyEffects(h.Core.Finish(h.lab.Now, id, execution.Finished, execution.Refusal{}, execution.Answer{}))
 	}
 }
 
 func (h *Host) removeStream(id execution.AttemptID, s *stream) {
 	s.removeMembers(id)
 	h.Engines[s.engine].Model.Remove(string(id))
-	delete(h.Engines[s.engine].sinks, string(id))
+	delete(h.Engines[s.engine].tokenSinks, string(id))
 }
 
 func (h *Host) finishService(id execution.AttemptID, s *stream) {
 	body := fmt.Appendf(nil, "%s/1", id)
 	s.writer.Write(body, "application/json", 200)
-	h.push(id, s)
-	h.carryOut(h.Core.Finish(h.lab.Now, id, execution.Finished, execution.Refusal{}, execution.Answer{Kept: true, Body: body, Status: 200}))
+	h.pushFrames(id, s)
+	h.applyEffects(h.Core.Finish(h.lab.Now, id, execution.Finished, execution.Refusal{}, execution.Answer{Kept: true, Body: body, Status: 200}))
 }
 
 func (h *Host) stopRun(id execution.AttemptID) {
@@ -122,5 +122,5 @@
 		return
 	}
 	h.removeStream(id, s)
-	h.carryOut(h.Core.Finish(h.lab.Now, id, execution.Failed, execution.Refusal{Code: execution.CodeEngineFailed}, execution.Answer{}))
+	h.applyEffects(h.Core.Finish(h.lab.Now, id, execution.Failed, execution.Refusal{Code: execution.CodeEngineFailed}, execution.Answer{}))
 }
--- a/proof/lab/host_streams.go
+++ b/proof/lab/host_streams.go
@@ -5,22 +5,22 @@
 	"arbutusdeck/core/netopts"
 )
 
-// push sends the frames that have not been sent.
-func (h *Host) push(id execution.AttemptID, s *stream) {
+// pushFrames sends the frames that have not been sent yet.
+func (h *Host) pushFrames(id execution.AttemptID, s *stream) {
 	if !s.attached {
 		return
 	}
 	frames, ended := s.writer.From(s.sent + 1)
 	for _, frame := range frames {
 		s.sent = frame.Sequence
-		h.frame(s, frame)
+		h.sendFrame(s, frame)
 	}
 	if ended {
 		s.attached = false
 	}
 }
 
-func (h *Host) frame(s *stream, frame execution.Frame) {
+func (h *Host) sendFrame(s *stream, frame execution.Frame) {
 	kind := "frame"
 	switch {
 	case frame.Last:
@@ -31,11 +31,11 @@
 		kind = "heartbeat"
 	}
 	load := h.Core.Load(h.lab.Now, s.submitted.pool())
-	if h.lab.cuts[link{h.Name, s.entry.Name}] || h.lab.cuts[link{s.entry.Name, h.Name}] {
-		// Without acknowledgements the kernel gives the connection up.
+	if h.lab.partitioned[link{h.Name, s.entry.Name}] || h.lab.partitioned[link{s.entry.Name, h.Name}] {
+		// The kernel closes a connection whose data stays unacknowledged for this long.
 		h.lab.After(netopts.UserTimeout, func() { h.detach(s) })
 	}
-	h.lab.send(Message{kind, h.Name, s.entry.Name}, func() { s.entry.frame(s.submitted, h, frame, load) }, func() { h.detach(s) })
+	h.lab.send(Message{kind, h.Name, s.entry.Name}, func() { s.entry.receiveFrame(s.submitted, h, frame, load) }, func() { h.detach(s) })
 }
 
 func (h *Host) detach(s *stream) {
@@ -45,23 +45,22 @@
 	s.attached = false
 	for id, other := range h.streams {
 		if other == s {
-			h.reach(func() { h.Core.Detach(h.lab.Now, id) })
+			h.runOrDefer(func() { h.Core.Detach(h.lab.Now, id) })
 		}
 	}
 }
 
-// breakStream resets a stream's connection.
-func (h *Host) breakStream(id execution.AttemptID, s *stream) {
+// resetStream resets a stream's connection.
+func (h *Host) resetStream(id execution.AttemptID, s *stream) {
 	if !s.attached {
 		return
 	}
 	s.attached = false
-	h.lab.send(Message{"reset", h.Name, s.entry.Name}, func() { s.entry.streamEnded(s.submitted, id) }, nil)
+	h.lab.send(Message{"reset", h.Name, s.entry.Name}, func() { s.entry.streamBroken(s.submitted, id) }, nil)
 }
 
-// offer, open, resume and cancel serve an entry's messages.
-
-func (h *Host) open(id execution.AttemptID, target execution.Incarnation, submitted *Submission, e *Entry) {
+// openStream handles an entry's message that opens the stream of an attempt.
+func (h *Host) openStream(id execution.AttemptID, target execution.Incarnation, submitted *Submission, e *Entry) {
 	s := h.streams[id]
 	if s != nil {
 		s.attached = true
@@ -69,25 +68,26 @@
 	outcome, refusal, effects := h.Core.OpenStream(h.lab.Now, id, target)
 	if refusal != nil {
 		frame := execution.Frame{Request: submitted.id, Attempt: id, Sequence: 1, Last: true, Outcome: outcome, Code: refusal.Code}
-		h.lab.send(Message{"last frame", h.Name, e.Name}, func() { e.frame(submitted, h, frame, h.Core.Load(h.lab.Now, submitted.pool())) }, nil)
+		h.lab.send(Message{"last frame", h.Name, e.Name}, func() { e.receiveFrame(submitted, h, frame, h.Core.Load(h.lab.Now, submitted.pool())) }, nil)
 		return
 	}
 	h.heartbeat(id, s)
-	h.carryOut(effects)
+	h.applyEffects(effects)
 }
 
-// heartbeat shows the entry that the stream is open.
+// heartbeat sends an empty frame, which tells the entry that the stream is open.
 func (h *Host) heartbeat(id execution.AttemptID, s *stream) {
-	h.frame(s, execution.Frame{Request: s.submitted.id, Attempt: id})
+	h.sendFrame(s, execution.Frame{Request: s.submitted.id, Attempt: id})
 }
 
-func (h *Host) resume(id execution.AttemptID, from uint64, submitted *Submission, e *Entry) {
+// resumeStream handles an entry's message that resumes a broken stream at frame from.
+func (h *Host) resumeStream(id execution.AttemptID, from uint64, submitted *Submission, e *Entry) {
 	s := h.streams[id]
 	if s == nil || !h.Core.Attach(id) {
-		h.lab.send(Message{"reset", h.Name, e.Name}, func() { e.streamEnded(submitted, id) }, nil)
+		h.lab.send(Message{"reset", h.Name, e.Name}, func() { e.streamBroken(submitted, id) }, nil)
 		return
 	}
 	s.attached, s.sent = true, from-1
 	h.heartbeat(id, s)
-	h.push(id, s)
+	h.pushFrames(id, s)
 }
--- a/proof/lab/lab.go
+++ b/proof/lab/lab.go
@@ -1,6 +1,7 @@
-// Package lab drives the real cores of entries and host daemons against the
-// stand-in engine model in virtual time. It holds no decisions: only a clock, a
-// queue of events, a network that can fail, and adapters as thin as the daemons'.
+// Package lab simulates a deployment in virtual time: the real cores of entries
+// and host daemons run against the simulated engine model. The package makes no
+// decisions of its own: it has a clock, an event queue, a network that can fail,
+// and adapters as thin as those of the daemons.
 package lab
 
 import (
@@ -17,68 +18,68 @@
 	"arbutusdeck/standin/engine"
 )
 
-// Options describe a lab.
+// Options configure a simulation.
 type Options struct {
 	Seed     uint64
 	Snapshot *config.Snapshot
 	Engine   engine.Spec
-	// Routing and Scheduling select policies; empty takes the project's own.
+	// Routing and Scheduling select policies; empty means the default policies.
 	Routing    routing.Policy
 	Scheduling scheduling.Policy
-	// Delay is the one-way delay between two daemons.
+	// Delay is the one-way network delay between two daemons.
 	Delay time.Duration
-	// TokenFrames sends every token as a frame of its own; otherwise only the
-	// first and the last are sent.
+	// TokenFrames sends every token as its own frame; otherwise only the first and
+	// the last token are sent.
 	TokenFrames bool
-	// Patience is how far beyond its target a first token may be predicted
-	// before the offer is refused, as a factor; 0 takes the default.
+	// Patience is the factor of its target that a first token's predicted time may
+	// reach before the offer is refused; 0 means the default.
 	Patience float64
-	// TuneHost and TuneEntry may change the cores' options.
+	// TuneHost and TuneEntry adjust the cores' options, if set.
 	TuneHost  func(*backend.Options)
 	TuneEntry func(*frontend.Options)
-	// NoRetries empties the retry budget.
+	// NoRetries sets the entries' retry budget to 0.
 	NoRetries bool
 }
 
-// Lab is one run.
+// Lab is one simulation of a deployment.
 type Lab struct {
 	Options
 	*virtualtime.Clock
 	Entries []*Entry
 	Hosts   []*Host
-	// Intercept may change the fate of a message; nil lets all pass.
+	// Intercept returns the fault to inject into a message; nil injects none.
 	Intercept func(m Message) MessageFault
 
-	// FreezeReports keeps load reports from the entries.
+	// FreezeReports makes entries ignore load reports.
 	FreezeReports bool
 
 	random        *rand.Rand
-	cuts          map[link]bool
+	partitioned   map[link]bool
 	MessageCounts map[string]int
 }
 
 type link struct{ from, to string }
 
-// Message is one message under way.
+// Message is one message in transit between two daemons.
 type Message struct {
 	Kind     string
 	From, To string
 }
 
-// MessageFault is what becomes of a message.
+// MessageFault is a fault injected into one message. Delay adds to Options.Delay.
 type MessageFault struct {
 	Drop      bool
 	Duplicate bool
 	Delay     time.Duration
 }
 
-// Epoch is the virtual time at which every lab starts.
+// Epoch is the virtual time at which every simulation starts.
 var Epoch = time.Unix(1_700_000_000, 0)
 
-// New starts all daemons of a snapshot. They need a second of virtual time to
-// know each other.
+// New starts all daemons of a snapshot. Entries learn the state of all servers
+// within a second of virtual time.
 func New(options Options) *Lab {
-	l := &Lab{Options: options, Clock: virtualtime.NewClock(Epoch), random: rand.New(rand.NewPCG(options.Seed, 7)), cuts: map[link]bool{}, MessageCounts: map[string]int{}}
+	l := &Lab{Options: options, Clock: virtualtime.NewClock(Epoch), random: rand.New(rand.NewPCG(options.Seed, 7)), partitioned: map[link]bool{}, MessageCounts: map[string]int{}}
 	for _, name := range sortedKeys(options.Snapshot.Servers) {
 		l.Hosts = append(l.Hosts, newHost(l, name))
 	}
@@ -88,13 +89,14 @@
 	return l
 }
 
-// Partition drops all messages from one daemon to another until Heal.
-func (l *Lab) Partition(from, to string) { l.cuts[link{from, to}] = true }
+// Partition drops all messages from one daemon to another until HealPartitions.
+// The other direction stays open.
+func (l *Lab) Partition(from, to string) { l.partitioned[link{from, to}] = true }
 
-// HealPartitions ends all cuts.
-func (l *Lab) HealPartitions() { clear(l.cuts) }
+// HealPartitions removes all partitions.
+func (l *Lab) HealPartitions() { clear(l.partitioned) }
 
-// Host returns a host daemon by its server's name.
+// Host returns the host daemon of a backend server. It panics for an unknown name.
 func (l *Lab) Host(name string) *Host {
 	for _, h := range l.Hosts {
 		if h.Name == name {
@@ -104,33 +106,34 @@
 	panic(fmt.Sprintf("no host %q", name))
 }
 
-// process is the part of a daemon that can die or be frozen.
+// process is the process of a daemon, which can be killed or suspended.
 type process struct {
-	alive  bool
-	frozen bool
-	held   []func() // what reached it while frozen
+	alive     bool
+	suspended bool
+	deferred  []func() // events that arrived during a suspension
 }
 
-// reach runs something in a process: at once, after it wakes, or never.
-func (p *process) reach(run func()) bool {
+// runOrDefer runs an event in the process, or defers it until a suspended process
+// resumes. It returns false if the process is dead.
+func (p *process) runOrDefer(run func()) bool {
 	switch {
 	case !p.alive:
 		return false
-	case p.frozen:
-		p.held = append(p.held, run)
+	case p.suspended:
+		p.deferred = append(p.deferred, run)
 	default:
 		run()
 	}
 	return true
 }
 
-// wake runs what was held back.
-func (p *process) wake() {
-	p.frozen = false
-	held := p.held
-	p.held = nil
-	for _, run := range held {
-		p.reach(run)
+// runDeferred ends a suspension and runs the events deferred in it.
+func (p *process) runDeferred() {
+	p.suspended = false
+	deferred := p.deferred
+	p.deferred = nil
+	for _, run := range deferred {
+		p.runOrDefer(run)
 	}
 }
 
@@ -148,53 +151,53 @@
 	return nil
 }
 
-// send carries a message. refused is called if nobody listens at its end; it may
-// be nil.
+// send delivers a message after the network delay, unless a fault drops it. It
+// calls refused, which may be nil, if the receiving process is dead.
 func (l *Lab) send(m Message, deliver, refused func()) {
 	l.MessageCounts[m.Kind]++
-	fate := MessageFault{}
+	fault := MessageFault{}
 	if l.Intercept != nil {
-		fate = l.Intercept(m)
+		fault = l.Intercept(m)
 	}
 	copies := 1
-	if fate.Duplicate {
+	if fault.Duplicate {
 		copies = 2
 	}
-	if fate.Drop {
+	if fault.Drop {
 		return
 	}
 	for range copies {
-		l.After(l.Delay+fate.Delay, func() {
-			if l.cuts[link{m.From, m.To}] {
+		l.After(l.Delay+fault.Delay, func() {
+			if l.partitioned[link{m.From, m.To}] {
 				return
 			}
-			if !l.processOf(m.To).reach(deliver) && refused != nil {
+			if !l.processOf(m.To).runOrDefer(deliver) && refused != nil {
 				l.After(l.Delay, refused)
 			}
 		})
 	}
 }
 
-// call makes a unary call. done gets the reply once, or ok false if none came in
-// time.
+// call makes a unary call. done is called once, unless the caller's process dies:
+// with the reply, or with ok false after the timeout or if no process receives it.
 func (l *Lab) call(kind, from, to string, timeout time.Duration, serve func() any, done func(reply any, ok bool)) {
-	over := false
+	finished := false
 	finish := func(reply any, ok bool) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		done(reply, ok)
 	}
-	back := func(reply any, ok bool) {
-		l.processOf(from).reach(func() { finish(reply, ok) })
+	replyToCaller := func(reply any, ok bool) {
+		l.processOf(from).runOrDefer(func() { finish(reply, ok) })
 	}
 	l.send(Message{kind, from, to}, func() {
 		reply := serve()
 		l.send(Message{kind + " reply", to, from}, func() { finish(reply, true) }, nil)
-	}, func() { back(nil, false) })
-	l.After(timeout, func() { back(nil, false) })
+	}, func() { replyToCaller(nil, false) })
+	l.After(timeout, func() { replyToCaller(nil, false) })
 }
 
-// Alive says whether the daemon runs, frozen or not.
+// Alive reports whether the daemon's process exists, suspended or not.
 func (p *process) Alive() bool { return p.alive }
