--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -20,7 +20,7 @@
 
 // base is the press's deployment at its usual load.
 func base(name string) Scenario {
-	return Scenario{Name: name, Servers: ZagaraServers, Seed: 1, Load: 0.8, LongShare: 0.02, Bursts: true, Duration: 4 * time.Minute}
+	return Scenario{Name: name, Servers: SmallDeploymentServers, Seed: 1, Load: 0.8, LongShare: 0.02, Bursts: true, Duration: 4 * time.Minute}
 }
 
 func with(s Scenario, changes ...func(*Scenario)) Scenario {
@@ -78,7 +78,7 @@
 // it says.
 func BenchmarkLoad(b *testing.B) {
 	base := func(name string) Scenario { return with(base(name), func(s *Scenario) { s.NoPrefixes = true }) }
-	resend := func(s *Scenario) { s.Resend = 3 }
+	resend := func(s *Scenario) { s.MaxResends = 3 }
 	var scenarios []Scenario
 	for _, l := range []float64{0.5, 0.8, 1, 1.25, 1.5} {
 		scenarios = append(scenarios, with(base(fmt.Sprintf("own %.0f %%", 100*l)), load(l)))
@@ -87,7 +87,7 @@
 		with(base("own 150 %, resending"), load(1.5), resend),
 		with(base("least-outst.+fcfs 100 %"), load(1), route(routing.LeastOutstanding), fcfs),
 		with(base("least-outst.+fcfs 150 %"), load(1.5), route(routing.LeastOutstanding), fcfs),
-		with(base("own 80 %, Lima's size"), func(s *Scenario) { s.Servers = PantallasServers }),
+		with(base("own 80 %, Lima's size"), func(s *Scenario) { s.Servers = LargeDeploymentServers }),
 	)
 	print(b, scenarios...)
 }
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	resend := func(s *Scenario) { s.Resend = 5 }
+	resend := func(s *Scenario) { s.MaxResends = 5 }
 	results := print(b,
 		base("no fault"),
 		with(base("a daemon killed"), during(func(l *lab.Lab) { l.Hosts[4].Kill() }, func(l *lab.Lab) { l.Hosts[4].Start() })),
--- a/proof/experiment/report.go
+++ b/proof/experiment/report.go
@@ -36,7 +36,7 @@
 // served: 1 is even.
 func (r *Result) Fairness() float64 {
 	sum, squares, count := 0.0, 0.0, 0.0
-	for workspace, asked := range r.Asked {
+	for workspace, asked := range r.Demand {
 		part := r.Served[workspace] / asked
 		sum += part
 		squares += part * part
--- a/proof/experiment/run.go
+++ b/proof/experiment/run.go
@@ -36,8 +36,8 @@
 	Attempts, Requests int
 	// Served is prompt tokens by workspace.
 	Served map[string]float64
-	// Asked is the same of what was sent.
-	Asked map[string]float64
+	// Demand is the same of what was sent.
+	Demand map[string]float64
 	// Codes counts why requests did not finish, by class, outcome and code.
 	Codes map[string]int
 	// Seconds is the measured time.
@@ -56,7 +56,7 @@
 
 func newResult(s Scenario) *Result {
 	r := &Result{Scenario: s, Classes: map[string]*ClassResult{}, Refusal: newHistogram(), Served: map[string]float64{},
-		Asked: map[string]float64{}, Timeline: map[int]*Point{}, Codes: map[string]int{}, Seconds: s.Duration.Seconds()}
+		Demand: map[string]float64{}, Timeline: map[int]*Point{}, Codes: map[string]int{}, Seconds: s.Duration.Seconds()}
 	for _, class := range Classes {
 		r.Classes[class] = &ClassResult{FirstToken: newHistogram()}
 	}
@@ -120,7 +120,7 @@
 	entry := r.lab.Entries[r.gen.random.IntN(len(r.lab.Entries))]
 	request.Done = func(s *lab.Submission) {
 		refusal := s.Conclusion.Refusal
-		if s.Conclusion.Outcome != execution.Finished && resent < r.scenario.Resend && refusal != nil && refusal.RetryAfter > 0 {
+		if s.Conclusion.Outcome != execution.Finished && resent < r.scenario.MaxResends && refusal != nil && refusal.RetryAfter > 0 {
 			r.lab.After(refusal.RetryAfter, func() { r.caller(request, resent+1, first) })
 			return
 		}
@@ -143,7 +143,7 @@
 	class, _ := r.lab.Snapshot.ClassOf(request.PromptTokens)
 	r.result.Classes[class].Sent++
 	r.result.Requests++
-	r.result.Asked[request.Workspace] += float64(request.PromptTokens)
+	r.result.Demand[request.Workspace] += float64(request.PromptTokens)
 }
 
 func (r *runner) ended(s *lab.Submission, first time.Time) {
@@ -223,7 +223,7 @@
 	r.Attempts += other.Attempts
 	r.Requests += other.Requests
 	addAll(r.Served, other.Served)
-	addAll(r.Asked, other.Asked)
+	addAll(r.Demand, other.Demand)
 	for code, count := range other.Codes {
 		r.Codes[code] += count
 	}
--- a/proof/experiment/workload.go
+++ b/proof/experiment/workload.go
@@ -36,9 +36,9 @@
 	Scheduling scheduling.Policy
 	// Patience is the admission's; 0 takes the default.
 	Patience float64
-	// Resend makes refused callers come back when they were told to, so many
+	// MaxResends makes refused callers come back when they were told to, so many
 	// times.
-	Resend int
+	MaxResends int
 	// NoRetries empties the entries' retry budget.
 	NoRetries bool
 	// TuneHost and TuneEntry may change the cores' options.
@@ -52,8 +52,8 @@
 
 // Deployment sizes of today.
 const (
-	ZagaraServers    = 15
-	PantallasServers = 20
+	SmallDeploymentServers = 15
+	LargeDeploymentServers = 20
 )
 
 // warmUp is left out of every figure.
--- a/proof/fleet/cmd/fleet/main.go
+++ b/proof/fleet/cmd/fleet/main.go
@@ -38,7 +38,7 @@
 		if entries < command.Int("zones") {
 			return fmt.Errorf("%d entries in %d zones: one a zone at least", entries, command.Int("zones"))
 		}
-		result := fleet.Play(options(command, entries))
+		result := fleet.Simulate(options(command, entries))
 		if err := result.Print(os.Stdout); err != nil {
 			return err
 		}
@@ -52,13 +52,13 @@
 }
 
 func options(command *cli.Command, entries int) fleet.Options {
-	o := fleet.Usual(entries)
-	o.Zones, o.Length, o.Seed, o.Loss = command.Int("zones"), command.Duration("length"), command.Uint64("seed"), command.Float("loss")
+	o := fleet.DefaultOptions(entries)
+	o.Zones, o.Duration, o.Seed, o.LossRate = command.Int("zones"), command.Duration("length"), command.Uint64("seed"), command.Float("loss")
 	for i := range command.Int("changes") {
-		o.Events = append(o.Events, fleet.Event{At: time.Duration(5+i) * time.Second, Kind: fleet.Change})
+		o.Events = append(o.Events, fleet.Event{At: time.Duration(5+i) * time.Second, Kind: fleet.ChangeStore})
 	}
 	if herd := command.Float("herd"); herd > 0 {
-		o.Events = append(o.Events, fleet.Event{At: o.Length / 2, Kind: fleet.Kill, Share: herd, Zone: -1})
+		o.Events = append(o.Events, fleet.Event{At: o.Duration / 2, Kind: fleet.KillEntries, Share: herd, Zone: -1})
 	}
 	return o
 }
@@ -68,12 +68,12 @@
 	name string
 	of   func(*fleet.Result) float64
 }{
-	{"bytes between zones, an entry", func(r *fleet.Result) float64 { return float64(r.FarBytes()) / float64(r.Options.Entries) }},
-	{"bytes within zones, an entry", func(r *fleet.Result) float64 { return float64(r.NearBytes()) / float64(r.Options.Entries) }},
-	{"calls of the store, an entry", func(r *fleet.Result) float64 { return float64(r.Calls) / float64(r.Options.Entries) }},
-	{"processor of the busiest entry", (*fleet.Result).Busiest},
-	{"bytes of the busiest entry", (*fleet.Result).BusiestBytes},
-	{"last entry serves after", func(r *fleet.Result) float64 { return fleet.Last(r.Serving).Seconds() }},
+	{"bytes between zones, an entry", func(r *fleet.Result) float64 { return float64(r.RemoteBytes()) / float64(r.Options.Entries) }},
+	{"bytes within zones, an entry", func(r *fleet.Result) float64 { return float64(r.LocalBytes()) / float64(r.Options.Entries) }},
+	{"calls of the store, an entry", func(r *fleet.Result) float64 { return float64(r.StoreCalls) / float64(r.Options.Entries) }},
+	{"processor of the busiest entry", (*fleet.Result).MaxProcessorShare},
+	{"bytes of the busiest entry", (*fleet.Result).MaxSendRate},
+	{"last entry serves after", func(r *fleet.Result) float64 { return fleet.Longest(r.ServingDelays).Seconds() }},
 }
 
 func printPowers(results []*fleet.Result) {
@@ -83,7 +83,7 @@
 	first, last := results[0], results[len(results)-1]
 	fmt.Printf("from %d to %d entries, as entries to the power:\n", first.Options.Entries, last.Options.Entries)
 	for _, figure := range figures {
-		fmt.Printf("  %-32s %6.2f\n", figure.name, fleet.Power(first, last, figure.of))
+		fmt.Printf("  %-32s %6.2f\n", figure.name, fleet.GrowthExponent(first, last, figure.of))
 	}
 }
 
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -71,7 +71,7 @@
 	e.runs, e.serving, e.reads, e.behind, e.revision, e.turn = true, false, false, false, 0, 0
 	e.fine, e.began, e.asked = time.Time{}, e.now(), e.now()
 	e.group = peering.New(e.name, e.zone, strconv.Itoa(e.life), e.seeds)
-	e.group.SetReading(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.Limit})
+	e.group.SetReading(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.MaxPropagationDelay})
 	e.heartbeat()
 	e.learn()
 }
@@ -90,12 +90,12 @@
 		e.fetch(source)
 		return
 	case !known && e.group.FirstRead(now, now.Sub(e.began)):
-		e.fleet.result.FirstReads++
+		e.fleet.result.InitialReads++
 		e.readAll()
 		return
 	case e.group.Lonely() && now.Sub(e.asked) >= peering.AskAgain:
 		e.asked = now
-		e.send(e.group.NearKnown(), peering.Message{Asks: true}, Asking)
+		e.send(e.group.NearKnown(), peering.Message{Asks: true}, Question)
 	}
 	e.later(startPoll, e.learn)
 }
@@ -185,13 +185,13 @@
 	if e.serving {
 		return
 	}
-	if empty := e.fleet.options.Empty - e.now().Sub(e.fleet.start); empty > 0 {
+	if empty := e.fleet.options.EmptyFor - e.now().Sub(e.fleet.start); empty > 0 {
 		e.later(empty, e.serve)
 		return
 	}
 	e.serving = true
 	e.fleet.result.served(e)
-	e.group.Divide(e.fleet.options.Divided)
+	e.group.Divide(e.fleet.options.LocalRouting)
 	e.group.Serve(true)
 	e.send(e.group.NearKnown(), peering.Message{}, Announcement)
 }
@@ -214,7 +214,7 @@
 		e.look()
 		return
 	}
-	options := peering.ReadOptions{Limit: e.fleet.options.Limit}
+	options := peering.ReadOptions{Limit: e.fleet.options.MaxPropagationDelay}
 	wait, pause := options.Wait(2*time.Second), options.Pause()
 	e.fleet.store.watch(e, wait, func(ok bool) {
 		if !ok {
@@ -234,14 +234,14 @@
 // tellChange tells the zone of a change of one row.
 func (e *entry) tellChange() {
 	update := &peering.Update{Base: e.revision - 1, Upto: e.revision}
-	e.send(e.group.In(e.now(), e.zone), peering.Message{Update: update}, Updating)
+	e.send(e.group.In(e.now(), e.zone), peering.Message{Update: update}, Update)
 }
 
 func (e *entry) state() peering.StoreState {
 	return peering.StoreState{Reads: e.reads && !e.fine.IsZero(), Lost: e.fleet.store.refused[e], Age: e.now().Sub(e.fine)}
 }
 
-func (e *entry) send(targets []string, m peering.Message, kind Kind) {
+func (e *entry) send(targets []string, m peering.Message, kind MessageKind) {
 	if len(targets) == 0 {
 		return
 	}
@@ -275,7 +275,7 @@
 		e.sendFar([]string{m.From}, 0, Redirection)
 	}
 	asked, told := e.group.Greets(now, sender.Found)
-	e.send(asked, peering.Message{Asks: true}, Asking)
+	e.send(asked, peering.Message{Asks: true}, Question)
 	e.send(told, peering.Message{}, Greeting)
 	switch {
 	case m.Asks:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (e *entry) sendMembers(targets []string, members []peering.ZoneMembers, kind Kind) {
+func (e *entry) sendMembers(targets []string, members []peering.ZoneMembers, kind MessageKind) {
 	if len(targets) == 0 {
 		return
 	}
@@ -294,7 +294,7 @@
 	}
 }
 
-func (e *entry) sendFar(targets []string, turn int, kind Kind) {
+func (e *entry) sendFar(targets []string, turn int, kind MessageKind) {
 	if len(targets) == 0 {
 		return
 	}
@@ -315,7 +315,7 @@
 	if len(beat.Lists) > 0 {
 		e.sendMembers(beat.Lists, e.group.Listed(now), List)
 	}
-	e.sendFar(beat.Far, e.turn, FarHeartbeat)
+	e.sendFar(beat.Far, e.turn, RemoteHeartbeat)
 	e.turn++
 	e.later(peering.HeartbeatInterval, e.heartbeat)
 }
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -19,28 +19,28 @@
 type Options struct {
 	// Entries are spread evenly over the zones. Servers is how many backend servers the store lists.
 	Entries, Zones, Servers int
-	// Length is how long is played, Spread the time within which all entries start.
-	Length, Spread time.Duration
-	// Fast is the share of entries on hosts with fast links.
-	Fast float64
-	// Loss is the share of messages that are lost.
-	Loss float64
+	// Duration is how long is played, StartWindow the time within which all entries start.
+	Duration, StartWindow time.Duration
+	// FastLinkShare is the share of entries on hosts with fast links.
+	FastLinkShare float64
+	// LossRate is the share of messages that are lost.
+	LossRate float64
 	// Seeds is how many entries the settings name; DeadSeeds of these never start.
 	Seeds, DeadSeeds int
-	// Empty is for how long the store holds nothing at the start: no entry serves until it does.
-	Empty time.Duration
-	// Limit is the time in which a change of the store has to be in force everywhere.
-	Limit time.Duration
-	// Divided says that entries keep to the servers of their zones.
-	Divided bool
-	Seed    uint64
-	Events  []Event
+	// EmptyFor is for how long the store holds nothing at the start: no entry serves until it does.
+	EmptyFor time.Duration
+	// MaxPropagationDelay is the time in which a change of the store has to be in force everywhere.
+	MaxPropagationDelay time.Duration
+	// LocalRouting says that entries keep to the servers of their zones.
+	LocalRouting bool
+	Seed         uint64
+	Events       []Event
 }
 
 // Event is something that happens to a part of the fleet.
 type Event struct {
-	At  time.Duration
-	For time.Duration
+	At       time.Duration
+	Duration time.Duration
 	// Kind is what happens, Share to how many of the entries it concerns, Zone to which: negative for all.
 	Kind  EventKind
 	Share float64
@@ -52,20 +52,20 @@
 
 // Kinds of events.
 const (
-	// Kill ends entries at once; they start again half a second after For.
-	Kill EventKind = "kill"
-	// Cut separates a zone from all others.
-	Cut EventKind = "cut"
-	// Refuse makes the store turn entries away.
-	Refuse EventKind = "refuse"
-	// Change writes to the store.
-	Change EventKind = "change"
+	// KillEntries ends entries at once; they start again half a second after For.
+	KillEntries EventKind = "kill"
+	// Partition separates a zone from all others.
+	Partition EventKind = "cut"
+	// RefuseStoreCalls makes the store turn entries away.
+	RefuseStoreCalls EventKind = "refuse"
+	// ChangeStore writes to the store.
+	ChangeStore EventKind = "change"
 )
 
-// Usual are options of the users' largest deployment, scaled to a number of entries.
-func Usual(entries int) Options {
-	return Options{Entries: entries, Zones: 5, Servers: entries * 604 / 424, Length: time.Minute, Spread: 300 * time.Millisecond, Fast: 0.14,
-		Seeds: 3, Limit: 5 * time.Second, Divided: true, Seed: 1}
+// DefaultOptions are options of the users' largest deployment, scaled to a number of entries.
+func DefaultOptions(entries int) Options {
+	return Options{Entries: entries, Zones: 5, Servers: entries * 604 / 424, Duration: time.Minute, StartWindow: 300 * time.Millisecond, FastLinkShare: 0.14,
+		Seeds: 3, MaxPropagationDelay: 5 * time.Second, LocalRouting: true, Seed: 1}
 }
 
 // fleet is a play under way.
@@ -81,8 +81,8 @@
 	result  *Result
 }
 
-// Play plays a fleet.
-func Play(options Options) *Result {
+// Simulate plays a fleet.
+func Simulate(options Options) *Result {
 	f := &fleet{options: options, start: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(options.Seed, 1)), byName: map[string]*entry{},
 		cut: map[string]bool{}, result: newResult(options)}
 	f.clock = virtualtime.NewClock(f.start)
@@ -91,7 +91,7 @@
 	for _, event := range options.Events {
 		f.clock.After(event.At, func() { f.happen(event) })
 	}
-	f.clock.Run(options.Length)
+	f.clock.Run(options.Duration)
 	f.result.finish(f)
 	return f.result
 }
@@ -101,7 +101,7 @@
 	for i := range f.options.Entries {
 		zone, place := i%f.options.Zones, i/f.options.Zones
 		e := &entry{fleet: f, index: i, zone: fmt.Sprintf("zone-%d", zone), name: fmt.Sprintf("10.%d.%d.%d:8229", 1+zone, place/200, 9+place%200), linkMbps: slowLink}
-		if float64(place) < f.options.Fast*float64(f.options.Entries)/float64(f.options.Zones) {
+		if float64(place) < f.options.FastLinkShare*float64(f.options.Entries)/float64(f.options.Zones) {
 			e.linkMbps = fastLink
 		}
 		f.entries = append(f.entries, e)
@@ -113,29 +113,29 @@
 	for i, e := range f.entries {
 		e.seeds = seeds
 		if i >= f.options.DeadSeeds {
-			f.clock.After(time.Duration(f.random.Float64()*float64(f.options.Spread)), e.begin)
+			f.clock.After(time.Duration(f.random.Float64()*float64(f.options.StartWindow)), e.begin)
 		}
 	}
 }
 
 func (f *fleet) happen(event Event) {
 	switch event.Kind {
-	case Cut:
+	case Partition:
 		f.cut[fmt.Sprintf("zone-%d", event.Zone)] = true
-		f.clock.After(event.For, func() { f.cut = map[string]bool{} })
-	case Change:
+		f.clock.After(event.Duration, func() { f.cut = map[string]bool{} })
+	case ChangeStore:
 		f.store.change()
-	case Kill, Refuse:
+	case KillEntries, RefuseStoreCalls:
 		for _, e := range f.entries {
 			if event.Zone >= 0 && e.zone != fmt.Sprintf("zone-%d", event.Zone) || f.random.Float64() >= event.Share {
 				continue
 			}
-			if event.Kind == Kill {
-				e.kill(event.For)
+			if event.Kind == KillEntries {
+				e.kill(event.Duration)
 				continue
 			}
 			f.store.refused[e] = true
-			f.clock.After(event.For, func() { delete(f.store.refused, e) })
+			f.clock.After(event.Duration, func() { delete(f.store.refused, e) })
 		}
 	}
 }
@@ -147,7 +147,7 @@
 )
 
 // send delivers a message to some entries.
-func (f *fleet) send(from *entry, targets []string, m peering.Message, kind Kind, bytes int) {
+func (f *fleet) send(from *entry, targets []string, m peering.Message, kind MessageKind, bytes int) {
 	var near, far []*entry
 	for _, target := range targets {
 		to := f.byName[target]
@@ -157,7 +157,7 @@
 		isFar := to.zone != from.zone
 		f.result.sent(from, kind, isFar, bytes)
 		switch {
-		case f.options.Loss > 0 && f.random.Float64() < f.options.Loss, f.isCut(from, to):
+		case f.options.LossRate > 0 && f.random.Float64() < f.options.LossRate, f.isCut(from, to):
 		case isFar:
 			far = append(far, to)
 		default:
--- a/proof/fleet/result.go
+++ b/proof/fleet/result.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Kind is what a message is for.
-type Kind string
+// MessageKind is what a message is for.
+type MessageKind string
 
 // Kinds of messages.
 const (
-	Heartbeat    Kind = "heartbeat"
-	List         Kind = "list"
-	Asking       Kind = "question"
-	Answer       Kind = "answer"
-	Greeting     Kind = "greeting"
-	Announcement Kind = "announcement"
-	Updating     Kind = "update"
-	FarHeartbeat Kind = "far heartbeat"
-	Redirection  Kind = "redirection"
-	View         Kind = "view"
+	Heartbeat       MessageKind = "heartbeat"
+	List            MessageKind = "list"
+	Question        MessageKind = "question"
+	Answer          MessageKind = "answer"
+	Greeting        MessageKind = "greeting"
+	Announcement    MessageKind = "announcement"
+	Update          MessageKind = "update"
+	RemoteHeartbeat MessageKind = "far heartbeat"
+	Redirection     MessageKind = "redirection"
+	View            MessageKind = "view"
 )
 
-// Tally counts messages and their bytes, headers included.
-type Tally struct{ Messages, Bytes int64 }
+// Traffic counts messages and their bytes, headers included.
+type Traffic struct{ Messages, Bytes int64 }
 
 // headerBytes are those of a datagram.
 const headerBytes = 28
@@ -42,21 +42,21 @@
 // Result is what a play has counted.
 type Result struct {
 	Options Options
-	// Near are the messages within a zone, Far those between zones.
-	Near, Far map[Kind]*Tally
-	// Calls are those of the store, FirstReads the whole readings at starts.
-	Calls, FirstReads int
-	// Serving are the times from an entry's start until it takes requests, sorted.
-	Serving []time.Duration
-	// Spread are, of each change of the store and each entry that runs at the end, the times until it knew of it, sorted.
-	Spread []time.Duration
-	// Unknown is how many running entries don't know the last revision at the end, NotServing how many don't serve, and
-	// Apart how many of the zones' entries that run some other one of the zone doesn't hear.
-	Unknown, NotServing, Apart int
-	// Known is how many entries the entry with most knows by name, Size the smallest and largest number of entries that
+	// Local are the messages within a zone, Remote those between zones.
+	Local, Remote map[MessageKind]*Traffic
+	// StoreCalls are those of the store, InitialReads the whole readings at starts.
+	StoreCalls, InitialReads int
+	// ServingDelays are the times from an entry's start until it takes requests, sorted.
+	ServingDelays []time.Duration
+	// PropagationDelays are, of each change of the store and each entry that runs at the end, the times until it knew of it, sorted.
+	PropagationDelays []time.Duration
+	// Outdated is how many running entries don't know the last revision at the end, NotServing how many don't serve, and
+	// Unheard how many of the zones' entries that run some other one of the zone doesn't hear.
+	Outdated, NotServing, Unheard int
+	// MaxKnown is how many entries the entry with most knows by name, Size the smallest and largest number of entries that
 	// an entry believes there are.
-	Known                int
-	SmallSize, LargeSize int
+	MaxKnown         int
+	MinSize, MaxSize int
 
 	processor []time.Duration
 	bytes     []int64
@@ -65,25 +65,25 @@
 }
 
 func newResult(options Options) *Result {
-	return &Result{Options: options, Near: map[Kind]*Tally{}, Far: map[Kind]*Tally{}, processor: make([]time.Duration, options.Entries),
+	return &Result{Options: options, Local: map[MessageKind]*Traffic{}, Remote: map[MessageKind]*Traffic{}, processor: make([]time.Duration, options.Entries),
 		bytes: make([]int64, options.Entries), changedAt: map[uint64]time.Time{}, knew: map[uint64][]time.Duration{}}
 }
 
-func tallyOf(tallies map[Kind]*Tally, kind Kind) *Tally {
+func tallyOf(tallies map[MessageKind]*Traffic, kind MessageKind) *Traffic {
 	if tallies[kind] == nil {
-		tallies[kind] = &Tally{}
+		tallies[kind] = &Traffic{}
 	}
 	return tallies[kind]
 }
 
-func (r *Result) side(far bool) map[Kind]*Tally {
+func (r *Result) side(far bool) map[MessageKind]*Traffic {
 	if far {
-		return r.Far
+		return r.Remote
 	}
-	return r.Near
+	return r.Local
 }
 
-func (r *Result) sent(from *entry, kind Kind, far bool, bytes int) {
+func (r *Result) sent(from *entry, kind MessageKind, far bool, bytes int) {
 	tally := tallyOf(r.side(far), kind)
 	tally.Messages++
 	tally.Bytes += int64(bytes + headerBytes)
@@ -99,7 +99,7 @@
 	tally.Bytes += int64(bytes)
 }
 
-func (r *Result) served(e *entry) { r.Serving = append(r.Serving, e.now().Sub(e.began)) }
+func (r *Result) served(e *entry) { r.ServingDelays = append(r.ServingDelays, e.now().Sub(e.began)) }
 
 func (r *Result) changed(revision uint64, at time.Time) { r.changedAt[revision] = at }
 
@@ -110,41 +110,41 @@
 }
 
 func (r *Result) finish(f *fleet) {
-	slices.Sort(r.Serving)
+	slices.Sort(r.ServingDelays)
 	for _, times := range r.knew {
-		r.Spread = append(r.Spread, times...)
+		r.PropagationDelays = append(r.PropagationDelays, times...)
 	}
-	slices.Sort(r.Spread)
+	slices.Sort(r.PropagationDelays)
 	zones := map[string]int{}
 	for _, e := range f.entries {
 		if e.runs {
 			zones[e.zone]++
 		}
 	}
-	r.SmallSize = math.MaxInt
+	r.MinSize = math.MaxInt
 	for _, e := range f.entries {
 		if !e.runs {
 			continue
 		}
 		if e.revision < f.store.revision {
-			r.Unknown++
+			r.Outdated++
 		}
 		if !e.serving {
 			r.NotServing++
 		}
-		r.Apart += max(zones[e.zone]-1-len(e.group.In(f.clock.Now, e.zone)), 0)
-		r.Known = max(r.Known, len(e.group.Addresses()))
-		r.SmallSize, r.LargeSize = min(r.SmallSize, e.group.Size()), max(r.LargeSize, e.group.Size())
+		r.Unheard += max(zones[e.zone]-1-len(e.group.In(f.clock.Now, e.zone)), 0)
+		r.MaxKnown = max(r.MaxKnown, len(e.group.Addresses()))
+		r.MinSize, r.MaxSize = min(r.MinSize, e.group.Size()), max(r.MaxSize, e.group.Size())
 	}
 }
 
-// FarBytes are all bytes between zones.
-func (r *Result) FarBytes() int64 { return sum(r.Far) }
+// RemoteBytes are all bytes between zones.
+func (r *Result) RemoteBytes() int64 { return sum(r.Remote) }
 
-// NearBytes are all bytes within zones.
-func (r *Result) NearBytes() int64 { return sum(r.Near) }
+// LocalBytes are all bytes within zones.
+func (r *Result) LocalBytes() int64 { return sum(r.Local) }
 
-func sum(tallies map[Kind]*Tally) int64 {
+func sum(tallies map[MessageKind]*Traffic) int64 {
 	bytes := int64(0)
 	for _, tally := range tallies {
 		bytes += tally.Bytes
@@ -152,26 +152,26 @@
 	return bytes
 }
 
-// Busiest is the processor time of the busiest entry for messages, as a share of a whole core.
-func (r *Result) Busiest() float64 {
-	return slices.Max(r.processor).Seconds() / r.Options.Length.Seconds()
+// MaxProcessorShare is the processor time of the busiest entry for messages, as a share of a whole core.
+func (r *Result) MaxProcessorShare() float64 {
+	return slices.Max(r.processor).Seconds() / r.Options.Duration.Seconds()
 }
 
-// BusiestBytes are the bytes a second that the busiest entry sends.
-func (r *Result) BusiestBytes() float64 {
-	return float64(slices.Max(r.bytes)) / r.Options.Length.Seconds()
+// MaxSendRate are the bytes a second that the busiest entry sends.
+func (r *Result) MaxSendRate() float64 {
+	return float64(slices.Max(r.bytes)) / r.Options.Duration.Seconds()
 }
 
-// Last is the longest of some sorted times.
-func Last(times []time.Duration) time.Duration {
+// Longest is the longest of some sorted times.
+func Longest(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
 	}
 	return times[len(times)-1]
 }
 
-// Power is the power to which something grows with the entries between two plays.
-func Power(small, large *Result, of func(*Result) float64) float64 {
+// GrowthExponent is the power to which something grows with the entries between two plays.
+func GrowthExponent(small, large *Result, of func(*Result) float64) float64 {
 	return math.Log(of(large)/of(small)) / math.Log(float64(large.Options.Entries)/float64(small.Options.Entries))
 }
 
@@ -179,14 +179,14 @@
 func (r *Result) Print(w io.Writer) error {
 	o := r.Options
 	_, err := fmt.Fprintf(w, "%d entries in %d zones, %d servers, %s: %d calls of the store, %d whole readings at starts, last entry serves after %s, last one knows of a change after %s, busiest entry %.2f %% of a core and %.0f KB/s\n",
-		o.Entries, o.Zones, o.Servers, o.Length, r.Calls, r.FirstReads, Last(r.Serving).Round(time.Millisecond), Last(r.Spread).Round(time.Millisecond), 100*r.Busiest(), r.BusiestBytes()/1000)
+		o.Entries, o.Zones, o.Servers, o.Duration, r.StoreCalls, r.InitialReads, Longest(r.ServingDelays).Round(time.Millisecond), Longest(r.PropagationDelays).Round(time.Millisecond), 100*r.MaxProcessorShare(), r.MaxSendRate()/1000)
 	if err != nil {
 		return err
 	}
 	for _, side := range []struct {
 		name    string
-		tallies map[Kind]*Tally
-	}{{"within zones", r.Near}, {"between zones", r.Far}} {
+		tallies map[MessageKind]*Traffic
+	}{{"within zones", r.Local}, {"between zones", r.Remote}} {
 		for _, kind := range slices.Sorted(maps.Keys(side.tallies)) {
 			tally := side.tallies[kind]
 			if _, err := fmt.Fprintf(w, "  %-13s %-13s %9d messages %9.2f MB\n", side.name, kind, tally.Messages, float64(tally.Bytes)/1e6); err != nil {
--- a/proof/fleet/store.go
+++ b/proof/fleet/store.go
@@ -30,19 +30,19 @@
 // readAll reads all pages of the list, and the configuration.
 func (s *store) readAll(e *entry, done func(ok bool)) {
 	if s.refused[e] {
-		s.fleet.result.Calls++
+		s.fleet.result.StoreCalls++
 		e.later(callTime, func() { done(false) })
 		return
 	}
 	pages := (s.fleet.options.Servers+rowsAPage-1)/rowsAPage + 1
-	s.fleet.result.Calls += pages
+	s.fleet.result.StoreCalls += pages
 	bytes := viewBytes(s.fleet.options.Servers) * 4 / 3 // base64
 	e.later(time.Duration(pages)*callTime+transfer(bytes, e.linkMbps), func() { done(true) })
 }
 
 // watch waits for a change.
 func (s *store) watch(e *entry, wait time.Duration, done func(ok bool)) {
-	s.fleet.result.Calls++
+	s.fleet.result.StoreCalls++
 	if s.refused[e] {
 		e.later(callTime, func() { done(false) })
 		return
