--- a/proof/fleet/cmd/fleet/main.go
+++ b/proof/fleet/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet plays fleets of some sizes in virtual time and prints what the exchange between their entries costs, and to
-// which power of the entries it grows.
+// Command fleet simulates fleets of several sizes in virtual time. It prints the cost of the gossip between their entries
+// and the exponent with which the cost grows with the number of entries.
 package main
 
 import (
@@ -44,7 +44,7 @@
 		}
 		results = append(results, result)
 	}
-	printPowers(results)
+	printGrowth(results)
 	if path := command.String("csv"); path != "" {
 		return writeCSV(path, results)
 	}
@@ -63,7 +63,7 @@
 	return o
 }
 
-// figures are what is compared between sizes.
+// figures are the measurements compared between sizes.
 var figures = []struct {
 	name string
 	of   func(*fleet.Result) float64
@@ -76,7 +76,7 @@
 	{"last entry serves after", func(r *fleet.Result) float64 { return fleet.Longest(r.ServingDelays).Seconds() }},
 }
 
-func printPowers(results []*fleet.Result) {
+func printGrowth(results []*fleet.Result) {
 	if len(results) < 2 {
 		return
 	}
--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -7,28 +7,28 @@
 	"arbutusdeck/core/peering"
 )
 
-// Links of the hosts, in Mbit/s.
+// Bandwidths of the hosts' links, in Mbit/s.
 const (
 	slowLink = 20
 	fastLink = 200
 )
 
-// Times of an entry's own work.
+// Delays and intervals of an entry's daemon.
 const (
-	// restartDelay is after how long the platform starts a process that has ended.
+	// restartDelay is the time after which the platform restarts a terminated process.
 	restartDelay = 500 * time.Millisecond
-	// startPoll is how often a starting entry looks whether it has to read the store.
+	// startPoll is the interval at which a starting entry checks whether it has to read the store.
 	startPoll = 5 * time.Millisecond
-	// readerPoll is how often another one does.
+	// readerPoll is the interval at which a started entry checks this.
 	readerPoll = 100 * time.Millisecond
-	// catchUpDelay is how long an entry that hears of a later view waits before it fetches it.
+	// catchUpDelay is the delay between the news of a later revision and the fetch of a view that has it.
 	catchUpDelay = 60 * time.Millisecond
 )
 
-// version is that of the one configuration that is played.
+// version is the version of the only configuration in a simulation.
 const version = 18
 
-// entry is one entry: its core, and what the daemon does around it.
+// entry simulates one entry: its peering core and the parts of the daemon around it.
 type entry struct {
 	fleet    *fleet
 	index    int
@@ -38,27 +38,27 @@
 	seeds    []string
 
 	group *peering.Group
-	// life counts the starts; what was begun in an earlier one is over.
-	life     int
-	runs     bool
-	serving  bool
-	reads    bool
-	began    time.Time
-	asked    time.Time
-	fine     time.Time
-	revision uint64
-	turn     int
-	// behind says that a look at what others know is due.
-	behind bool
-	// busyUntil is when its link has sent the views that others fetch.
+	// incarnation counts the starts. Callbacks of an earlier incarnation are dropped.
+	incarnation int
+	running     bool
+	serving     bool
+	reads       bool
+	startedAt   time.Time
+	askedAt     time.Time
+	lastRead    time.Time
+	revision    uint64
+	round       int
+	// catchingUp is set while a fetch of a later view is scheduled or under way.
+	catchingUp bool
+	// busyUntil is the time at which the link has sent all views that others fetch from this entry.
 	busyUntil time.Time
 }
 
-// later runs something in this life of the entry.
-func (e *entry) later(d time.Duration, run func()) {
-	life := e.life
+// after running a callback after a delay, unless the entry has been killed meanwhile.
+func (e *entry) after(d time.Duration, run func()) {
+	incarnation := e.incarnation
 	e.fleet.clock.After(d, func() {
-		if e.runs && e.life == life {
+		if e.running && e.incarnation == incarnation {
 			run()
 		}
 	})
@@ -66,72 +66,72 @@
 
 func (e *entry) now() time.Time { return e.fleet.clock.Now }
 
-func (e *entry) begin() {
-	e.life++
-	e.runs, e.serving, e.reads, e.behind, e.revision, e.turn = true, false, false, false, 0, 0
-	e.fine, e.began, e.asked = time.Time{}, e.now(), e.now()
-	e.group = peering.New(e.name, e.zone, strconv.Itoa(e.life), e.seeds)
+func (e *entry) start() {
+	e.incarnation++
+	e.running, e.serving, e.reads, e.catchingUp, e.revision, e.round = true, false, false, false, 0, 0
+	e.lastRead, e.startedAt, e.askedAt = time.Time{}, e.now(), e.now()
+	e.group = peering.New(e.name, e.zone, strconv.Itoa(e.incarnation), e.seeds)
 	e.group.SetReading(peering.ReadOptions{Capacity: e.linkMbps, Limit: e.fleet.options.MaxPropagationDelay})
 	e.heartbeat()
-	e.learn()
+	e.bootstrap()
 }
 
-func (e *entry) kill(away time.Duration) {
-	e.runs = false
-	e.fleet.clock.After(away+restartDelay, e.begin)
+func (e *entry) kill(downtime time.Duration) {
+	e.running = false
+	e.fleet.clock.After(downtime+restartDelay, e.start)
 }
 
-// learn takes over what another entry knows, or reads the store.
-func (e *entry) learn() {
+// bootstrap fetches the view of another entry or reads the store. It polls until one of these is possible.
+func (e *entry) bootstrap() {
 	now := e.now()
 	source, known := e.group.Source(now)
 	switch {
 	case source != "":
 		e.fetch(source)
 		return
-	case !known && e.group.FirstRead(now, now.Sub(e.began)):
+	case !known && e.group.FirstRead(now, now.Sub(e.startedAt)):
 		e.fleet.result.InitialReads++
 		e.readAll()
 		return
-	case e.group.Lonely() && now.Sub(e.asked) >= peering.AskAgain:
-		e.asked = now
+	case e.group.Lonely() && now.Sub(e.askedAt) >= peering.AskAgain:
+		e.askedAt = now
 		e.send(e.group.NearKnown(), peering.Message{Asks: true}, Question)
 	}
-	e.later(startPoll, e.learn)
+	e.after(startPoll, e.bootstrap)
 }
 
-// fetch takes over the view of an entry of the zone as this one starts.
+// fetch fetches the first view from an entry of the zone, and starts to serve.
 func (e *entry) fetch(source string) {
 	e.fetchView(source, func(ok bool) {
 		if !ok {
-			e.learn()
+			e.bootstrap()
 			return
 		}
 		e.serve()
-		e.look()
+		e.checkReader()
 	})
 }
 
-// catchUp takes over the view of an entry that knows more, unless this one reads the store.
+// catchUp fetches the view of an entry with a later revision, unless this entry reads the store itself.
 func (e *entry) catchUp() {
-	e.behind = false
+	e.catchingUp = false
 	source, ok := e.group.Newer(e.now(), version, e.revision, true)
 	if e.reads || !ok {
 		return
 	}
-	e.behind = true
-	e.fetchView(source, func(bool) { e.behind = false })
+	e.catchingUp = true
+	e.fetchView(source, func(bool) { e.catchingUp = false })
 }
 
-// fetchView takes over the view of another entry, whose link sends one after the other.
+// fetchView fetches and applies the view of another entry. The link of that entry sends one view at a time.
 func (e *entry) fetchView(source string, done func(ok bool)) {
 	from := e.fleet.byName[source]
 	bytes := viewBytes(e.fleet.options.Servers)
 	e.fleet.result.view(bytes, from.zone != e.zone)
 	sent := transfer(bytes, from.linkMbps)
 	from.busyUntil = latest(from.busyUntil, e.now()).Add(sent)
-	e.later(from.busyUntil.Sub(e.now())+transfer(bytes, e.linkMbps), func() {
-		if !from.runs {
+	e.after(from.busyUntil.Sub(e.now())+transfer(bytes, e.linkMbps), func() {
+		if !from.running {
 			done(false)
 			return
 		}
@@ -156,14 +156,14 @@
 	return b
 }
 
-// readAll reads the whole list and the configuration from the store, and then follows its changes.
+// readAll reads the whole server list and the configuration from the store, and then watches its changes.
 func (e *entry) readAll() {
 	e.fleet.store.readAll(e, func(ok bool) {
 		if !ok {
-			e.later(storeRetry, e.learn)
+			e.after(storeRetry, e.bootstrap)
 			return
 		}
-		e.know(e.fleet.store.revision)
+		e.recordRead(e.fleet.store.revision)
 		if e.serve(); !e.serving {
 			e.send(e.group.NearKnown(), peering.Message{}, Announcement)
 		}
@@ -171,8 +171,9 @@
 	})
 }
 
-func (e *entry) know(revision uint64) {
-	e.fine = e.now()
+// recordRead notes a successful read of the store at a revision.
+func (e *entry) recordRead(revision uint64) {
+	e.lastRead = e.now()
 	e.reads = true
 	if revision > e.revision {
 		e.revision = revision
@@ -180,13 +181,13 @@
 	}
 }
 
-// serve lets the entry take requests.
+// serve makes the entry accept requests, as soon as the store is no longer empty.
 func (e *entry) serve() {
 	if e.serving {
 		return
 	}
 	if empty := e.fleet.options.EmptyFor - e.now().Sub(e.fleet.start); empty > 0 {
-		e.later(empty, e.serve)
+		e.after(empty, e.serve)
 		return
 	}
 	e.serving = true
@@ -196,22 +197,22 @@
 	e.send(e.group.NearKnown(), peering.Message{}, Announcement)
 }
 
-// look looks whether the entry has to read the store.
-func (e *entry) look() {
-	if !e.group.ShouldRead(e.now(), e.state()) {
+// checkReader checks periodically whether the entry has to read the store.
+func (e *entry) checkReader() {
+	if !e.group.ShouldRead(e.now(), e.storeState()) {
 		e.reads = false
-		e.later(readerPoll, e.look)
+		e.after(readerPoll, e.checkReader)
 		return
 	}
 	e.reads = true
 	e.follow()
 }
 
-// follow waits for changes of the store as long as the entry has to read it.
+// follow watches the store for changes as long as the entry has to read it.
 func (e *entry) follow() {
-	if !e.group.ShouldRead(e.now(), e.state()) {
+	if !e.group.ShouldRead(e.now(), e.storeState()) {
 		e.reads = false
-		e.look()
+		e.checkReader()
 		return
 	}
 	options := peering.ReadOptions{Limit: e.fleet.options.MaxPropagationDelay}
@@ -219,45 +220,45 @@
 	e.fleet.store.watch(e, wait, func(ok bool) {
 		if !ok {
 			e.reads = false
-			e.later(storeRetry, e.look)
+			e.after(storeRetry, e.checkReader)
 			return
 		}
 		changed := e.fleet.store.revision > e.revision
-		e.know(e.fleet.store.revision)
+		e.recordRead(e.fleet.store.revision)
 		if changed {
-			e.tellChange()
+			e.announceChange()
 		}
-		e.later(pause, e.follow)
+		e.after(pause, e.follow)
 	})
 }
 
-// tellChange tells the zone of a change of one row.
-func (e *entry) tellChange() {
+// announceChange sends a change of one row to the entries of the zone.
+func (e *entry) announceChange() {
 	update := &peering.Update{Base: e.revision - 1, Upto: e.revision}
 	e.send(e.group.In(e.now(), e.zone), peering.Message{Update: update}, Update)
 }
 
-func (e *entry) state() peering.StoreState {
-	return peering.StoreState{Reads: e.reads && !e.fine.IsZero(), Lost: e.fleet.store.refused[e], Age: e.now().Sub(e.fine)}
+func (e *entry) storeState() peering.StoreState {
+	return peering.StoreState{Reads: e.reads && !e.lastRead.IsZero(), Lost: e.fleet.store.refused[e], Age: e.now().Sub(e.lastRead)}
 }
 
 func (e *entry) send(targets []string, m peering.Message, kind MessageKind) {
 	if len(targets) == 0 {
 		return
 	}
-	m.From, m.Zone, m.Incarnation = e.name, e.zone, "5f1c07a"+strconv.Itoa(e.life%10)
+	m.From, m.Zone, m.Incarnation = e.name, e.zone, "5f1c07a"+strconv.Itoa(e.incarnation%10)
 	m.Version, m.Revision, m.Capacity = version, e.revision, e.linkMbps
-	m.SetStore(e.state())
+	m.SetStore(e.storeState())
 	m.Starting = !e.serving
 	data, err := peering.Encode(m)
 	if err != nil {
-		panic(err) // a message that a core has made can be written
+		panic(err) // the encoding of a core's message cannot fail
 	}
 	e.fleet.send(e, targets, m, kind, len(data))
 }
 
-func (e *entry) take(m peering.Message) {
-	if !e.runs {
+func (e *entry) receive(m peering.Message) {
+	if !e.running {
 		return
 	}
 	now := e.now()
@@ -267,12 +268,12 @@
 		e.revision = m.Update.Upto
 		e.fleet.result.learned(e, e.revision)
 	}
-	if m.Revision > e.revision && e.serving && !e.behind {
-		e.behind = true
-		e.later(catchUpDelay, e.catchUp)
+	if m.Revision > e.revision && e.serving && !e.catchingUp {
+		e.catchingUp = true
+		e.after(catchUpDelay, e.catchUp)
 	}
 	if e.group.Redirects(now, m) {
-		e.sendFar([]string{m.From}, 0, Redirection)
+		e.sendRemote([]string{m.From}, 0, Redirection)
 	}
 	asked, told := e.group.Greets(now, sender.Found)
 	e.send(asked, peering.Message{Asks: true}, Question)
@@ -294,28 +295,28 @@
 	}
 }
 
-func (e *entry) sendFar(targets []string, turn int, kind MessageKind) {
+func (e *entry) sendRemote(targets []string, round int, kind MessageKind) {
 	if len(targets) == 0 {
 		return
 	}
 	var m peering.Message
 	m.SetRoom(0.5)
 	m.SetRecordsSum(0)
-	e.group.TellFar(e.now(), turn, &m)
+	e.group.TellFar(e.now(), round, &m)
 	e.send(targets, m, kind)
 }
 
 func (e *entry) heartbeat() {
 	now := e.now()
 	e.group.Forget(now)
-	beat := e.group.Heartbeat(now, e.turn)
-	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.HandOn(now, e.turn)}
+	beat := e.group.Heartbeat(now, e.round)
+	m := peering.Message{Asks: e.group.Asks(now), Sum: e.group.Sum(now), Zones: e.group.HandOn(now, e.round)}
 	m.SetRecordsSum(0)
 	e.send(beat.Near, m, Heartbeat)
 	if len(beat.Lists) > 0 {
 		e.sendMembers(beat.Lists, e.group.Listed(now), List)
 	}
-	e.sendFar(beat.Far, e.turn, RemoteHeartbeat)
-	e.turn++
-	e.later(peering.HeartbeatInterval, e.heartbeat)
+	e.sendRemote(beat.Far, e.round, RemoteHeartbeat)
+	e.round++
+	e.after(peering.HeartbeatInterval, e.heartbeat)
 }
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -1,9 +1,10 @@
-// Package fleet plays the exchange between up to thousands of entries in virtual time: the pure cores that they decide
-// with, the messages that those send, and the platform's store. It counts what each kind of message costs, within a zone
-// and between zones, and how that grows with the fleet. Requests are not played: proof/forwarding does.
+// Package fleet simulates the gossip between up to thousands of entries in virtual time: the entries' peering cores, the
+// messages that they send, and the platform's store. It counts the traffic of each kind of message, within a zone and
+// between zones, and how it grows with the number of entries. Requests are not simulated here but in proof/forwarding.
 //
-// Links within a zone and between zones have a delay and lose messages; the store answers after a time, in pages, and
-// turns some entries away. Processor time is counted by measured slopes, not waited for.
+// Links within and between zones have a delay and lose messages. The store responds in pages, each after a delay, and
+// can refuse the calls of some entries. Processor time is computed from measured costs per message and takes no virtual
+// time.
 package fleet
 
 import (
@@ -15,81 +16,83 @@
 	"arbutusdeck/core/virtualtime"
 )
 
-// Options describe a fleet and what happens to it.
+// Options configure a simulation: the fleet and the events that it undergoes.
 type Options struct {
-	// Entries are spread evenly over the zones. Servers is how many backend servers the store lists.
+	// Entries is the number of entries, spread evenly over the zones; Servers is the number of backend servers that the
+	// store lists.
 	Entries, Zones, Servers int
-	// Duration is how long is played, StartWindow the time within which all entries start.
+	// Duration is the simulated time. All entries start at random times within StartWindow.
 	Duration, StartWindow time.Duration
-	// FastLinkShare is the share of entries on hosts with fast links.
+	// FastLinkShare is the fraction of entries on hosts with fast links.
 	FastLinkShare float64
-	// LossRate is the share of messages that are lost.
+	// LossRate is the fraction of messages that are lost.
 	LossRate float64
-	// Seeds is how many entries the settings name; DeadSeeds of these never start.
+	// Seeds is the number of seed entries that the settings name. The first DeadSeeds of these never start.
 	Seeds, DeadSeeds int
-	// EmptyFor is for how long the store holds nothing at the start: no entry serves until it does.
+	// EmptyFor is the time from the start during which the store is empty. No entry serves before it has elapsed.
 	EmptyFor time.Duration
-	// MaxPropagationDelay is the time in which a change of the store has to be in force everywhere.
+	// MaxPropagationDelay bounds the time until a change of the store is in force at all entries.
 	MaxPropagationDelay time.Duration
-	// LocalRouting says that entries keep to the servers of their zones.
+	// LocalRouting makes entries use only the servers of their zones.
 	LocalRouting bool
 	Seed         uint64
 	Events       []Event
 }
 
-// Event is something that happens to a part of the fleet.
+// Event is a fault or a change that affects a part of the fleet, from At after the start and for Duration.
 type Event struct {
 	At       time.Duration
 	Duration time.Duration
-	// Kind is what happens, Share to how many of the entries it concerns, Zone to which: negative for all.
+	// Share is the fraction of the entries that the event affects; Zone is the index of their zone, negative for all zones.
 	Kind  EventKind
 	Share float64
 	Zone  int
 }
 
-// EventKind is what happens.
+// EventKind selects the effect of an event.
 type EventKind string
 
 // Kinds of events.
 const (
-	// KillEntries ends entries at once; they start again half a second after For.
+	// KillEntries kills entries at once. The platform restarts them restartDelay after the event's Duration.
 	KillEntries EventKind = "kill"
-	// Partition separates a zone from all others.
+	// Partition drops all messages between a zone and the others.
 	Partition EventKind = "cut"
-	// RefuseStoreCalls makes the store turn entries away.
+	// RefuseStoreCalls makes the store refuse the calls of entries.
 	RefuseStoreCalls EventKind = "refuse"
-	// ChangeStore writes to the store.
+	// ChangeStore writes one row to the store.
 	ChangeStore EventKind = "change"
 )
 
-// DefaultOptions are options of the users' largest deployment, scaled to a number of entries.
+// DefaultOptions returns the options of the users' largest deployment (424 entries, 604 servers), scaled to a number of
+// entries.
 func DefaultOptions(entries int) Options {
 	return Options{Entries: entries, Zones: 5, Servers: entries * 604 / 424, Duration: time.Minute, StartWindow: 300 * time.Millisecond, FastLinkShare: 0.14,
 		Seeds: 3, MaxPropagationDelay: 5 * time.Second, LocalRouting: true, Seed: 1}
 }
 
-// fleet is a play under way.
+// fleet is the state of a running simulation.
 type fleet struct {
-	options Options
-	clock   *virtualtime.Clock
-	start   time.Time
-	random  *rand.Rand
-	entries []*entry
-	byName  map[string]*entry
-	store   *store
-	cut     map[string]bool
-	result  *Result
+	options     Options
+	clock       *virtualtime.Clock
+	start       time.Time
+	random      *rand.Rand
+	entries     []*entry
+	byName      map[string]*entry
+	store       *store
+	partitioned map[string]bool
+	result      *Result
 }
 
-// Simulate plays a fleet.
+// Simulate runs a simulation and returns its measurements.
 func Simulate(options Options) *Result {
 	f := &fleet{options: options, start: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(options.Seed, 1)), byName: map[string]*entry{},
-		cut: map[string]bool{}, result: newResult(options)}
+		partitioned: map[string]bool{}, result: newResult(options)}
 	f.clock = virtualtime.NewClock(f.start)
 	f.store = &store{fleet: f, revision: 5000, refused: map[*entry]bool{}}
 	f.addEntries()
 	for _, event := range options.Events {
-		f.clock.After(event.At, func() { f.happen(event) })
+		f.clock.After(event.At, func() { f.apply(event) })
 	}
 	f.clock.Run(options.Duration)
 	f.result.finish(f)
@@ -99,9 +102,9 @@
 func (f *fleet) addEntries() {
 	var seeds []string
 	for i := range f.options.Entries {
-		zone, place := i%f.options.Zones, i/f.options.Zones
-		e := &entry{fleet: f, index: i, zone: fmt.Sprintf("zone-%d", zone), name: fmt.Sprintf("10.%d.%d.%d:8229", 1+zone, place/200, 9+place%200), linkMbps: slowLink}
-		if float64(place) < f.options.FastLinkShare*float64(f.options.Entries)/float64(f.options.Zones) {
+		zone, position := i%f.options.Zones, i/f.options.Zones
+		e := &entry{fleet: f, index: i, zone: fmt.Sprintf("zone-%d", zone), name: fmt.Sprintf("10.%d.%d.%d:8229", 1+zone, position/200, 9+position%200), linkMbps: slowLink}
+		if float64(position) < f.options.FastLinkShare*float64(f.options.Entries)/float64(f.options.Zones) {
 			e.linkMbps = fastLink
 		}
 		f.entries = append(f.entries, e)
@@ -113,16 +116,16 @@
 	for i, e := range f.entries {
 		e.seeds = seeds
 		if i >= f.options.DeadSeeds {
-			f.clock.After(time.Duration(f.random.Float64()*float64(f.options.StartWindow)), e.begin)
+			f.clock.After(time.Duration(f.random.Float64()*float64(f.options.StartWindow)), e.start)
 		}
 	}
 }
 
-func (f *fleet) happen(event Event) {
+func (f *fleet) apply(event Event) {
 	switch event.Kind {
 	case Partition:
-		f.cut[fmt.Sprintf("zone-%d", event.Zone)] = true
-		f.clock.After(event.Duration, func() { f.cut = map[string]bool{} })
+		f.partitioned[fmt.Sprintf("zone-%d", event.Zone)] = true
+		f.clock.After(event.Duration, func() { f.partitioned = map[string]bool{} })
 	case ChangeStore:
 		f.store.change()
 	case KillEntries, RefuseStoreCalls:
@@ -140,32 +143,33 @@
 	}
 }
 
-// Delays of a message, one way.
+// One-way delays of a message within a zone and between zones.
 const (
-	nearDelay = 300 * time.Microsecond
-	farDelay  = 1700 * time.Microsecond
+	localDelay  = 300 * time.Microsecond
+	remoteDelay = 1700 * time.Microsecond
 )
 
-// send delivers a message to some entries.
+// send delivers a message to the target entries, except where it is lost or a partition drops it. Dropped messages count as
+// sent.
 func (f *fleet) send(from *entry, targets []string, m peering.Message, kind MessageKind, bytes int) {
-	var near, far []*entry
+	var local, remote []*entry
 	for _, target := range targets {
 		to := f.byName[target]
 		if to == nil {
 			continue
 		}
-		isFar := to.zone != from.zone
-		f.result.sent(from, kind, isFar, bytes)
+		isRemote := to.zone != from.zone
+		f.result.sent(from, kind, isRemote, bytes)
 		switch {
-		case f.options.LossRate > 0 && f.random.Float64() < f.options.LossRate, f.isCut(from, to):
-		case isFar:
-			far = append(far, to)
+		case f.options.LossRate > 0 && f.random.Float64() < f.options.LossRate, f.isPartitioned(from, to):
+		case isRemote:
+			remote = append(remote, to)
 		default:
-			near = append(near, to)
+			local = append(local, to)
 		}
 	}
-	f.deliver(nearDelay, near, m)
-	f.deliver(farDelay, far, m)
+	f.deliver(localDelay, local, m)
+	f.deliver(remoteDelay, remote, m)
 }
 
 func (f *fleet) deliver(delay time.Duration, targets []*entry, m peering.Message) {
@@ -174,9 +178,11 @@
 	}
 	f.clock.After(delay, func() {
 		for _, to := range targets {
-			to.take(m)
+			to.receive(m)
 		}
 	})
 }
 
-func (f *fleet) isCut(a, b *entry) bool { return a.zone != b.zone && (f.cut[a.zone] || f.cut[b.zone]) }
+func (f *fleet) isPartitioned(a, b *entry) bool {
+	return a.zone != b.zone && (f.partitioned[a.zone] || f.partitioned[b.zone])
+}
--- a/proof/fleet/result.go
+++ b/proof/fleet/result.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// MessageKind is what a message is for.
+// MessageKind names the purpose of a message.
 type MessageKind string
 
 // Kinds of messages.
@@ -26,104 +26,106 @@
 	View            MessageKind = "view"
 )
 
-// Traffic counts messages and their bytes, headers included.
+// Traffic counts messages and their bytes. Bytes of datagrams include the headers.
 type Traffic struct{ Messages, Bytes int64 }
 
-// headerBytes are those of a datagram.
+// headerBytes is the size of a datagram's IP and UDP headers.
 const headerBytes = 28
 
-// Processor time of a message on a whole core, by the benchmarks of core/peering: a message is written once for all its
-// targets.
+// Processor time per message on a whole core, from the benchmarks of core/peering. These count a message that is encoded
+// once for all its targets.
 const (
 	sendCost    = 1500 * time.Nanosecond
 	receiveCost = 3 * time.Microsecond
 )
 
-// Result is what a play has counted.
+// Result holds the measurements of a simulation.
 type Result struct {
 	Options Options
-	// Local are the messages within a zone, Remote those between zones.
+	// Local is the traffic within zones, Remote the traffic between zones.
 	Local, Remote map[MessageKind]*Traffic
-	// StoreCalls are those of the store, InitialReads the whole readings at starts.
+	// StoreCalls counts the calls to the store, InitialReads the complete reads of it at starts of entries.
 	StoreCalls, InitialReads int
-	// ServingDelays are the times from an entry's start until it takes requests, sorted.
+	// ServingDelays are the times from an entry's start until it accepts requests, sorted.
 	ServingDelays []time.Duration
-	// PropagationDelays are, of each change of the store and each entry that runs at the end, the times until it knew of it, sorted.
+	// PropagationDelays are the times from a change of the store until an entry had it, of all changes and entries, sorted.
 	PropagationDelays []time.Duration
-	// Outdated is how many running entries don't know the last revision at the end, NotServing how many don't serve, and
-	// Unheard how many of the zones' entries that run some other one of the zone doesn't hear.
+	// Outdated is the number of running entries that lack the last revision at the end, NotServing the number of those that
+	// don't serve. Unheard counts the pairs of running entries of a zone of which one doesn't hear the other.
 	Outdated, NotServing, Unheard int
-	// MaxKnown is how many entries the entry with most knows by name, Size the smallest and largest number of entries that
-	// an entry believes there are.
+	// MaxKnown is the largest number of entries that an entry knows by address. MinSize and MaxSize are the smallest and
+	// the largest size of the fleet that an entry assumes.
 	MaxKnown         int
 	MinSize, MaxSize int
 
 	processor []time.Duration
 	bytes     []int64
 	changedAt map[uint64]time.Time
-	knew      map[uint64][]time.Duration
+	delays    map[uint64][]time.Duration
 }
 
 func newResult(options Options) *Result {
 	return &Result{Options: options, Local: map[MessageKind]*Traffic{}, Remote: map[MessageKind]*Traffic{}, processor: make([]time.Duration, options.Entries),
-		bytes: make([]int64, options.Entries), changedAt: map[uint64]time.Time{}, knew: map[uint64][]time.Duration{}}
+		bytes: make([]int64, options.Entries), changedAt: map[uint64]time.Time{}, delays: map[uint64][]time.Duration{}}
 }
 
-func tallyOf(tallies map[MessageKind]*Traffic, kind MessageKind) *Traffic {
-	if tallies[kind] == nil {
-		tallies[kind] = &Traffic{}
+func trafficOf(traffic map[MessageKind]*Traffic, kind MessageKind) *Traffic {
+	if traffic[kind] == nil {
+		traffic[kind] = &Traffic{}
 	}
-	return tallies[kind]
+	return traffic[kind]
 }
 
-func (r *Result) side(far bool) map[MessageKind]*Traffic {
-	if far {
+func (r *Result) side(remote bool) map[MessageKind]*Traffic {
+	if remote {
 		return r.Remote
 	}
 	return r.Local
 }
 
-func (r *Result) sent(from *entry, kind MessageKind, far bool, bytes int) {
-	tally := tallyOf(r.side(far), kind)
-	tally.Messages++
-	tally.Bytes += int64(bytes + headerBytes)
+func (r *Result) sent(from *entry, kind MessageKind, remote bool, bytes int) {
+	total := trafficOf(r.side(remote), kind)
+	total.Messages++
+	total.Bytes += int64(bytes + headerBytes)
 	r.processor[from.index] += sendCost
 	r.bytes[from.index] += int64(bytes + headerBytes)
 }
 
 func (r *Result) received(e *entry) { r.processor[e.index] += receiveCost }
 
-func (r *Result) view(bytes int, far bool) {
-	tally := tallyOf(r.side(far), View)
-	tally.Messages++
-	tally.Bytes += int64(bytes)
+func (r *Result) view(bytes int, remote bool) {
+	total := trafficOf(r.side(remote), View)
+	total.Messages++
+	total.Bytes += int64(bytes)
 }
 
-func (r *Result) served(e *entry) { r.ServingDelays = append(r.ServingDelays, e.now().Sub(e.began)) }
+func (r *Result) served(e *entry) {
+	r.ServingDelays = append(r.ServingDelays, e.now().Sub(e.startedAt))
+}
 
 func (r *Result) changed(revision uint64, at time.Time) { r.changedAt[revision] = at }
 
 func (r *Result) learned(e *entry, revision uint64) {
 	if at, ok := r.changedAt[revision]; ok {
-		r.knew[revision] = append(r.knew[revision], e.now().Sub(at))
+		r.delays[revision] = append(r.delays[revision], e.now().Sub(at))
 	}
 }
 
 func (r *Result) finish(f *fleet) {
 	slices.Sort(r.ServingDelays)
-	for _, times := range r.knew {
+	for _, times := range r.delays {
 		r.PropagationDelays = append(r.PropagationDelays, times...)
 	}
 	slices.Sort(r.PropagationDelays)
 	zones := map[string]int{}
 	for _, e := range f.entries {
-		if e.runs {
+		if e.running {
 			zones[e.zone]++
 		}
 	}
 	r.MinSize = math.MaxInt
 	for _, e := range f.entries {
-		if !e.runs {
+		if !e.running {
 			continue
 		}
 		if e.revision < f.store.revision {
@@ -138,31 +140,31 @@
 	}
 }
 
-// RemoteBytes are all bytes between zones.
+// RemoteBytes returns the bytes sent between zones.
 func (r *Result) RemoteBytes() int64 { return sum(r.Remote) }
 
-// LocalBytes are all bytes within zones.
+// LocalBytes returns the bytes sent within zones.
 func (r *Result) LocalBytes() int64 { return sum(r.Local) }
 
-func sum(tallies map[MessageKind]*Traffic) int64 {
+func sum(traffic map[MessageKind]*Traffic) int64 {
 	bytes := int64(0)
-	for _, tally := range tallies {
-		bytes += tally.Bytes
+	for _, total := range traffic {
+		bytes += total.Bytes
 	}
 	return bytes
 }
 
-// MaxProcessorShare is the processor time of the busiest entry for messages, as a share of a whole core.
+// MaxProcessorShare returns the processor time of the busiest entry for messages, as a fraction of a whole core.
 func (r *Result) MaxProcessorShare() float64 {
 	return slices.Max(r.processor).Seconds() / r.Options.Duration.Seconds()
 }
 
-// MaxSendRate are the bytes a second that the busiest entry sends.
+// MaxSendRate returns the bytes per second that the busiest entry sends.
 func (r *Result) MaxSendRate() float64 {
 	return float64(slices.Max(r.bytes)) / r.Options.Duration.Seconds()
 }
 
-// Longest is the longest of some sorted times.
+// Longest returns the last of the sorted times, 0 if there are none.
 func Longest(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
@@ -170,12 +172,12 @@
 	return times[len(times)-1]
 }
 
-// GrowthExponent is the power to which something grows with the entries between two plays.
+// GrowthExponent returns the exponent k with which a figure grows between two simulations, as entries to the power k.
 func GrowthExponent(small, large *Result, of func(*Result) float64) float64 {
 	return math.Log(of(large)/of(small)) / math.Log(float64(large.Options.Entries)/float64(small.Options.Entries))
 }
 
-// Print writes a table of messages by kind.
+// Print writes a summary and a table of the traffic by kind of message.
 func (r *Result) Print(w io.Writer) error {
 	o := r.Options
 	_, err := fmt.Fprintf(w, "%d entries in %d zones, %d servers, %s: %d calls of the store, %d whole readings at starts, last entry serves after %s, last one knows of a change after %s, busiest entry %.2f %% of a core and %.0f KB/s\n",
@@ -185,15 +187,15 @@
 	}
 	for _, side := range []struct {
 		name    string
-		tallies map[MessageKind]*Traffic
+		traffic map[MessageKind]*Traffic
 	}{{"within zones", r.Local}, {"between zones", r.Remote}} {
-		for _, kind := range slices.Sorted(maps.Keys(side.tallies)) {
-			tally := side.tallies[kind]
-			if _, err := fmt.Fprintf(w, "  %-13s %-13s %9d messages %9.2f MB\n", side.name, kind, tally.Messages, float64(tally.Bytes)/1e6); err != nil {
+		for _, kind := range slices.Sorted(maps.Keys(side.traffic)) {
+			total := side.traffic[kind]
+			if _, err := fmt.Fprintf(w, "  %-13s %-13s %9d messages %9.2f MB\n", side.name, kind, total.Messages, float64(total.Bytes)/1e6); err != nil {
 				return err
 			}
 		}
-		if _, err := fmt.Fprintf(w, "  %-13s %-13s %28.2f MB\n", side.name, "all", float64(sum(side.tallies))/1e6); err != nil {
+		if _, err := fmt.Fprintf(w, "  %-13s %-13s %28.2f MB\n", side.name, "all", float64(sum(side.traffic))/1e6); err != nil {
 			return err
 		}
 	}
