--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -18,7 +18,7 @@
 
 var csvPath = flag.String("csv", "", "also write the table of a benchmark to this file")
 
-// base is the press's deployment at its usual load.
+// base returns the scenario of a user's deployment at its usual load, 80 %.
 func base(name string) Scenario {
 	return Scenario{Name: name, Servers: SmallDeploymentServers, Seed: 1, Load: 0.8, LongShare: 0.02, Bursts: true, Duration: 4 * time.Minute}
 }
@@ -34,13 +34,13 @@
 func noLong(s *Scenario)                     { s.LongShare = 0 }
 func route(p routing.Policy) func(*Scenario) { return func(s *Scenario) { s.Routing = p } }
 
-// fcfs is the plain host: one queue, one priority, refusals by deadline alone.
+// fcfs selects a plain host: one queue, one priority, refusals by deadline alone.
 func fcfs(s *Scenario) { s.Scheduling, s.Patience = scheduling.FirstComeFirstServed, 1e4 }
 
 // seeds is the number of runs behind a row of a table.
 const seeds = 6
 
-// print runs scenarios side by side and writes their table.
+// print runs scenarios and writes their table.
 func print(b *testing.B, scenarios ...Scenario) []*Result {
 	results := make([]*Result, len(scenarios))
 	for i := range scenarios {
@@ -73,9 +73,9 @@
 	)
 }
 
-// BenchmarkLoad prints the table of loads up to 150 %, with callers that come back
-// when they were told to. No prompt begins like another, so that the load is what
-// it says.
+// BenchmarkLoad prints the table of loads up to 150 %, also with callers that send
+// again after a refusal. Prompts share no prefixes, as cached prefixes would lower
+// the real load below the nominal one.
 func BenchmarkLoad(b *testing.B) {
 	base := func(name string) Scenario { return with(base(name), func(s *Scenario) { s.NoPrefixes = true }) }
 	resend := func(s *Scenario) { s.MaxResends = 3 }
@@ -92,24 +92,24 @@
 	print(b, scenarios...)
 }
 
-// faultAt is when faults strike, faultFor how long they last.
+// faultAt is the time at which faults are injected, faultFor their duration.
 const (
 	faultAt  = warmUp + 60*time.Second
 	faultFor = 30 * time.Second
 )
 
-// during strikes at faultAt and heals faultFor later.
-func during(strike, heal func(l *lab.Lab)) func(*Scenario) {
+// during injects a fault at faultAt and reverts it after faultFor.
+func during(inject, revert func(l *lab.Lab)) func(*Scenario) {
 	return func(s *Scenario) {
 		s.Faults = func(l *lab.Lab) {
-			l.After(faultAt, func() { strike(l) })
-			l.After(faultAt+faultFor, func() { heal(l) })
+			l.After(faultAt, func() { inject(l) })
+			l.After(faultAt+faultFor, func() { revert(l) })
 		}
 	}
 }
 
-// BenchmarkFaults prints the table under faults, and how long after the fault's
-// end the short class was back at 95 % in target for good.
+// BenchmarkFaults prints the table under faults, and the time from the end of a
+// fault until the short class stayed at 95 % in target.
 func BenchmarkFaults(b *testing.B) {
 	none := func(*lab.Lab) {}
 	zone := func(l *lab.Lab, act func(h *lab.Host)) {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	allCut := func(l *lab.Lab) {
+	partitionAll := func(l *lab.Lab) {
 		for _, e := range l.Entries {
 			for _, h := range l.Hosts {
 				l.Partition(e.Name, h.Name)
@@ -134,7 +134,7 @@
 		with(base("a server ten times slower"), during(func(l *lab.Lab) { l.Hosts[4].SetSlowdown(10) }, func(l *lab.Lab) { l.Hosts[4].SetSlowdown(1) })),
 		with(base("a zone lost, 50 % load"), load(0.5), during(func(l *lab.Lab) { zone(l, (*lab.Host).Kill) }, func(l *lab.Lab) { zone(l, (*lab.Host).Start) })),
 		with(base("load reports frozen"), during(func(l *lab.Lab) { l.FreezeReports = true }, func(l *lab.Lab) { l.FreezeReports = false })),
-		with(base("all cut off, all resend"), resend, during(allCut, (*lab.Lab).HealPartitions)),
+		with(base("all cut off, all resend"), resend, during(partitionAll, (*lab.Lab).HealPartitions)),
 		with(base("an entry killed"), during(func(l *lab.Lab) { l.Entries[0].Kill() }, func(l *lab.Lab) { l.Entries[0].Start() })),
 		with(base("no retry budget, zone lost"), load(0.5), func(s *Scenario) { s.NoRetries = true },
 			during(func(l *lab.Lab) { zone(l, (*lab.Host).Kill) }, none)),
@@ -145,7 +145,8 @@
 	}
 }
 
-// BenchmarkTuning prints one option after the other around its default.
+// BenchmarkTuning prints the table of options that differ from the defaults one at
+// a time.
 func BenchmarkTuning(b *testing.B) {
 	scenarios := []Scenario{base("default")}
 	host := func(name string, tune func(*backend.Options)) {
@@ -178,8 +179,8 @@
 	print(b, scenarios...)
 }
 
-// A short run of the experiment gives the same result twice, and the own policy
-// keeps short requests quick beside long ones where the plain one does not.
+// Two runs of a scenario give the same result, and the default policy keeps the time
+// to first token of short requests low beside long ones, where the plain policy does not.
 func TestIsolationHelpsShortRequests(t *testing.T) {
 	t.Parallel()
 	short := with(base("own"), func(s *Scenario) { s.Duration = 30 * time.Second })
--- a/proof/experiment/quota_test.go
+++ b/proof/experiment/quota_test.go
@@ -13,18 +13,19 @@
 	"arbutusdeck/proof/lab"
 )
 
-// quotaRun measures what a quota of 10 requests a second lets through, with 30 a
-// second asked for.
-func quotaRun(parts []float64, cut func(l *lab.Lab)) (before, during, after float64) {
+// quotaRun returns the requests per second that a quota of 10 per second admits, at a
+// demand of 30 per second, in three phases of 60 s: before, during and after a
+// partition. parts are the fractions of the demand that arrive at each entry.
+func quotaRun(parts []float64, partition func(l *lab.Lab)) (before, during, after float64) {
 	const quota, demand = 10.0, 30.0
 	const phase = 60 * time.Second
-	site := lab.Deployment{Servers: 6, Entries: 3, Zones: 3, Slots: 64, Engine: engineSpec(),
+	deployment := lab.Deployment{Servers: 6, Entries: 3, Zones: 3, Slots: 64, Engine: engineSpec(),
 		Workspaces: map[string]config.Workspace{"w0": {Weight: 1, RequestsPerSecond: quota}}}
-	l := lab.New(lab.Options{Seed: 1, Snapshot: lab.BuildSnapshot(site), Engine: engineSpec(), Delay: time.Millisecond})
+	l := lab.New(lab.Options{Seed: 1, Snapshot: lab.BuildSnapshot(deployment), Engine: engineSpec(), Delay: time.Millisecond})
 	random := rand.New(rand.NewPCG(1, 1))
 	l.Run(2 * time.Second)
 	admitted := map[int]int{}
-	begun := l.Now
+	startedAt := l.Now
 	var next func()
 	next = func() {
 		l.After(time.Duration(random.ExpFloat64()/demand*float64(time.Second)), func() {
@@ -37,21 +38,21 @@
 				Repeatable: true, Deadline: 20 * time.Second})
 			refused := s.Conclusion != nil && s.Conclusion.Refusal != nil && s.Conclusion.Refusal.Code == execution.CodeOverQuota
 			if !refused {
-				admitted[int(l.Now.Sub(begun)/phase)]++
+				admitted[int(l.Now.Sub(startedAt)/phase)]++
 			}
 			next()
 		})
 	}
 	next()
-	l.After(phase, func() { cut(l) })
+	l.After(phase, func() { partition(l) })
 	l.After(2*phase, l.HealPartitions)
 	l.Run(3 * phase)
 	rate := func(n int) float64 { return float64(admitted[n]) / phase.Seconds() }
 	return rate(0), rate(1), rate(2)
 }
 
-// split cuts the fleet in two: the first entry with the first half of the servers,
-// and the others.
+// split partitions the fleet in two: the first entry with the first half of the
+// servers, and all others.
 func split(l *lab.Lab) {
 	for i, e := range l.Entries {
 		for j, h := range l.Hosts {
@@ -63,8 +64,8 @@
 	}
 }
 
-// BenchmarkQuota prints how closely a workspace's quota holds over three entries:
-// with even and uneven demand, and while the fleet is cut in two.
+// BenchmarkQuota prints how closely a workspace's quota holds across three entries:
+// with even and uneven demand, and while the fleet is partitioned in two.
 func BenchmarkQuota(b *testing.B) {
 	for name, parts := range map[string][]float64{"even": {0.34, 0.33, 0.33}, "uneven": {0.9, 0.05, 0.05}, "one entry": {1, 0, 0}} {
 		before, during, after := quotaRun(parts, split)
@@ -72,9 +73,9 @@
 	}
 }
 
-// Three entries share one quota without talking to each other. Together they let
-// about the quota through, and at most twice as much while the fleet is cut in
-// two, since each side then sees only its own demand.
+// Three entries share one quota without communicating. Together they admit about the
+// quota, and at most twice the quota while the fleet is partitioned in two, since
+// each side then observes only its own demand.
 func TestQuotaHoldsOverEntries(t *testing.T) {
 	t.Parallel()
 	for _, parts := range [][]float64{{0.34, 0.33, 0.33}, {0.9, 0.05, 0.05}, {1, 0, 0}} {
--- a/proof/experiment/report.go
+++ b/proof/experiment/report.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// header names the columns of the table, in order.
+// header lists the column names of the table, in order.
 var header = []string{"scenario", "class", "sent", "p50 ms", "p95 ms", "p99 ms", "max ms", "finished", "refused", "broken", "in target",
 	"goodput/s", "refusal p99 ms", "attempts/request", "fairness"}
 
-// row is one line of the table.
+// row returns the table row of one length class.
 func (r *Result) row(class string) []string {
 	c := r.Classes[class]
 	ms := func(q float64) string { return fmt.Sprintf("%.0f", float64(c.FirstToken.ValueAtQuantile(q))/1000) }
@@ -32,12 +32,12 @@
 	return fmt.Sprintf("%.1f%%", 100*float64(part)/float64(whole))
 }
 
-// Fairness is Jain's index of the parts of their demand that the workspaces were
-// served: 1 is even.
+// Fairness returns Jain's fairness index of the fractions of their demand that the
+// workspaces were served. 1 means equal fractions.
 func (r *Result) Fairness() float64 {
 	sum, squares, count := 0.0, 0.0, 0.0
-	for workspace, asked := range r.Demand {
-		part := r.Served[workspace] / asked
+	for workspace, demand := range r.Demand {
+		part := r.Served[workspace] / demand
 		sum += part
 		squares += part * part
 		count++
@@ -53,7 +53,8 @@
 	return time.Duration(r.Classes[class].FirstToken.ValueAtQuantile(95)) * time.Microsecond
 }
 
-// WriteTable writes results for people, WriteCSV for programs.
+// WriteTable writes results as an aligned text table. It leaves out classes without
+// requests.
 func WriteTable(out io.Writer, results []*Result) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, strings.Join(header, "\t")+"\t")
@@ -67,7 +68,7 @@
 	return table.Flush()
 }
 
-// WriteCSV writes results as comma-separated values.
+// WriteCSV writes results as comma-separated values, one row per class.
 func WriteCSV(out io.Writer, results []*Result) error {
 	w := csv.NewWriter(out)
 	if err := w.Write(header); err != nil {
@@ -84,8 +85,9 @@
 	return w.Error()
 }
 
-// Recovery returns how long after a second of the run the part of short requests
-// in target was back at the level, for good; false if it never was.
+// Recovery returns the seconds after second after of the run until the fraction of
+// short requests in target, over windows of 5 s, stayed at or above level. It returns
+// false if the fraction did not stay there by the end.
 func (r *Result) Recovery(after int, level float64) (int, bool) {
 	const window = 5
 	seconds := make([]int, 0, len(r.Timeline))
--- a/proof/experiment/run.go
+++ b/proof/experiment/run.go
@@ -11,45 +11,45 @@
 	"arbutusdeck/proof/lab"
 )
 
-// Classes are the length classes of every run, shortest first.
+// Classes lists the length classes of every run, shortest first.
 var Classes = []string{"short", "medium", "long"}
 
-// ClassResult is what the callers of one length class saw.
+// ClassResult holds what the callers of one length class observed.
 type ClassResult struct {
 	Sent, Finished, Refused, Broken int
-	// InTarget counts the answers that began within the class's target.
+	// InTarget counts the finished answers whose first token came within the class's target.
 	InTarget int
-	// FirstToken is in microseconds of virtual time.
+	// FirstToken is the time to first token, in microseconds of virtual time.
 	FirstToken *hdrhistogram.Histogram
-	// MaxWait is the longest time to a first token.
+	// MaxWait is the longest time to first token.
 	MaxWait time.Duration
 }
 
-// Result is one run's outcome.
+// Result holds the measurements of one run, or the sums of several.
 type Result struct {
 	Scenario Scenario
 	Classes  map[string]*ClassResult
-	// Refusal is the time to the final answer of refused requests, in
-	// microseconds.
+	// Refusal is the time to the refusal of refused requests, in microseconds of
+	// virtual time.
 	Refusal *hdrhistogram.Histogram
-	// Attempts is the number of attempts of all requests together.
+	// Attempts counts the attempts of all requests.
 	Attempts, Requests int
-	// Served is prompt tokens by workspace.
+	// Served is the number of prompt tokens of finished requests, by workspace.
 	Served map[string]float64
-	// Demand is the same of what was sent.
+	// Demand is the number of prompt tokens sent, by workspace.
 	Demand map[string]float64
-	// Codes counts why requests did not finish, by class, outcome and code.
+	// Codes counts unfinished requests by class, outcome and refusal code.
 	Codes map[string]int
-	// Seconds is the measured time.
+	// Seconds is the measured duration, without warm-up.
 	Seconds float64
-	// Timeline counts, by second, short requests sent and begun in target.
+	// Timeline counts, by second of arrival, the short requests and those in target.
 	Timeline map[int]*Point
 }
 
-// Point is one second of the short class.
+// Point counts the requests of the short class that arrived in one second.
 type Point struct{ Sent, InTarget int }
 
-// maxRecorded is the largest time a histogram holds, in microseconds.
+// maxRecorded is the largest value of a histogram, in microseconds.
 const maxRecorded = int64(3600 * 1e6)
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecorded, 3) }
@@ -63,27 +63,27 @@
 	return r
 }
 
-// runner feeds one lab with callers.
+// runner runs a scenario's callers against one simulation.
 type runner struct {
-	lab      *lab.Lab
-	scenario Scenario
-	gen      *generator
-	result   *Result
-	rate     float64
-	begun    time.Time
+	lab       *lab.Lab
+	scenario  Scenario
+	gen       *generator
+	result    *Result
+	rate      float64
+	startedAt time.Time
 }
 
-// drain is how long a run goes on after its last caller.
+// drain is the time that a run goes on after its last arrival.
 const drain = 3 * time.Minute
 
-// Run carries a scenario out. The same scenario gives the same result.
+// Run runs a scenario. The same scenario gives the same result.
 func Run(s Scenario) *Result {
 	if !s.NoPrefixes {
 		s.prefixShare = prefixShare
 	}
-	site := lab.Deployment{Servers: s.Servers, Entries: max(s.Entries, 3), Zones: 3, Slots: 16, Engine: engineSpec(), Workspaces: workspaces(), Groups: s.Servers / 3}
+	deployment := lab.Deployment{Servers: s.Servers, Entries: max(s.Entries, 3), Zones: 3, Slots: 16, Engine: engineSpec(), Workspaces: workspaces(), Groups: s.Servers / 3}
 	r := &runner{
-		lab: lab.New(lab.Options{Seed: s.Seed, Snapshot: lab.BuildSnapshot(site), Engine: engineSpec(), Routing: s.Routing, Scheduling: s.Scheduling,
+		lab: lab.New(lab.Options{Seed: s.Seed, Snapshot: lab.BuildSnapshot(deployment), Engine: engineSpec(), Routing: s.Routing, Scheduling: s.Scheduling,
 			Delay: 1100 * time.Microsecond, Patience: s.Patience,
 			NoRetries: s.NoRetries, TuneHost: s.TuneHost, TuneEntry: s.TuneEntry}),
 		scenario: s,
@@ -92,7 +92,7 @@
 		rate:     s.rate(),
 	}
 	r.lab.Run(2 * time.Second)
-	r.begun = r.lab.Now
+	r.startedAt = r.lab.Now
 	if s.Faults != nil {
 		s.Faults(r.lab)
 	}
@@ -101,9 +101,9 @@
 	return r.result
 }
 
-// next schedules the next caller; the gaps are exponential.
+// next schedules the next arrival; the gaps are exponentially distributed.
 func (r *runner) next() {
-	elapsed := r.lab.Now.Sub(r.begun)
+	elapsed := r.lab.Now.Sub(r.startedAt)
 	if elapsed > warmUp+r.scenario.Duration {
 		return
 	}
@@ -114,39 +114,40 @@
 	})
 }
 
-// caller sends one request, and again when it is told to come back.
-func (r *runner) caller(request lab.Request, resent int, first time.Time) {
-	counted := r.counted(first)
+// caller sends one request, and sends it again up to MaxResends times after the
+// delays given in refusals.
+func (r *runner) caller(request lab.Request, resends int, first time.Time) {
+	measured := r.isMeasured(first)
 	entry := r.lab.Entries[r.gen.random.IntN(len(r.lab.Entries))]
 	request.Done = func(s *lab.Submission) {
 		refusal := s.Conclusion.Refusal
-		if s.Conclusion.Outcome != execution.Finished && resent < r.scenario.MaxResends && refusal != nil && refusal.RetryAfter > 0 {
-			r.lab.After(refusal.RetryAfter, func() { r.caller(request, resent+1, first) })
+		if s.Conclusion.Outcome != execution.Finished && resends < r.scenario.MaxResends && refusal != nil && refusal.RetryAfter > 0 {
+			r.lab.After(refusal.RetryAfter, func() { r.caller(request, resends+1, first) })
 			return
 		}
-		if counted {
-			r.ended(s, first)
+		if measured {
+			r.recordEnd(s, first)
 		}
 	}
-	if counted && resent == 0 {
-		r.sent(request)
+	if measured && resends == 0 {
+		r.recordSent(request)
 	}
 	entry.Submit(request)
 }
 
-func (r *runner) counted(at time.Time) bool {
-	elapsed := at.Sub(r.begun)
+func (r *runner) isMeasured(at time.Time) bool {
+	elapsed := at.Sub(r.startedAt)
 	return elapsed >= warmUp && elapsed < warmUp+r.scenario.Duration
 }
 
-func (r *runner) sent(request lab.Request) {
+func (r *runner) recordSent(request lab.Request) {
 	class, _ := r.lab.Snapshot.ClassOf(request.PromptTokens)
 	r.result.Classes[class].Sent++
 	r.result.Requests++
 	r.result.Demand[request.Workspace] += float64(request.PromptTokens)
 }
 
-func (r *runner) ended(s *lab.Submission, first time.Time) {
+func (r *runner) recordEnd(s *lab.Submission, first time.Time) {
 	class := r.result.Classes[s.Class]
 	r.result.Attempts += len(s.Attempts)
 	point := r.point(first)
@@ -182,18 +183,18 @@
 }
 
 func (r *runner) point(at time.Time) *Point {
-	second := int(at.Sub(r.begun).Seconds())
+	second := int(at.Sub(r.startedAt).Seconds())
 	if r.result.Timeline[second] == nil {
 		r.result.Timeline[second] = &Point{}
 	}
 	return r.result.Timeline[second]
 }
 
-// RunSeeds runs a scenario under several seeds and joins their results, so that
-// a figure does not hang on one draw of callers.
+// RunSeeds runs a scenario with several successive seeds in parallel and merges the
+// results, so that a figure does not depend on one random workload.
 func RunSeeds(s Scenario, seeds int) *Result {
-	joined := newResult(s)
-	joined.Seconds *= float64(seeds)
+	merged := newResult(s)
+	merged.Seconds *= float64(seeds)
 	results := make(chan *Result)
 	for i := range seeds {
 		go func() {
@@ -203,21 +204,21 @@
 		}()
 	}
 	for range seeds {
-		joined.add(<-results)
+		merged.add(<-results)
 	}
-	return joined
+	return merged
 }
 
 func (r *Result) add(other *Result) {
 	for name, class := range other.Classes {
-		mine := r.Classes[name]
-		mine.Sent += class.Sent
-		mine.Finished += class.Finished
-		mine.Refused += class.Refused
-		mine.Broken += class.Broken
-		mine.InTarget += class.InTarget
-		mine.MaxWait = max(mine.MaxWait, class.MaxWait)
-		mine.FirstToken.Merge(class.FirstToken)
+		sum := r.Classes[name]
+		sum.Sent += class.Sent
+		sum.Finished += class.Finished
+		sum.Refused += class.Refused
+		sum.Broken += class.Broken
+		sum.InTarget += class.InTarget
+		sum.MaxWait = max(sum.MaxWait, class.MaxWait)
+		sum.FirstToken.Merge(class.FirstToken)
 	}
 	r.Refusal.Merge(other.Refusal)
 	r.Attempts += other.Attempts
@@ -228,13 +229,13 @@
 		r.Codes[code] += count
 	}
 	for second, point := range other.Timeline {
-		mine := r.Timeline[second]
-		if mine == nil {
-			mine = &Point{}
-			r.Timeline[second] = mine
+		sum := r.Timeline[second]
+		if sum == nil {
+			sum = &Point{}
+			r.Timeline[second] = sum
 		}
-		mine.Sent += point.Sent
-		mine.InTarget += point.InTarget
+		sum.Sent += point.Sent
+		sum.InTarget += point.InTarget
 	}
 }
 
--- a/proof/experiment/workload.go
+++ b/proof/experiment/workload.go
@@ -1,5 +1,6 @@
-// Package experiment measures policies: seeded callers against the real cores in
-// virtual time, one table for all.
+// Package experiment compares routing and scheduling policies: it runs seeded
+// callers against the real cores in virtual time and prints one table for all
+// scenarios.
 package experiment
 
 import (
@@ -17,49 +18,51 @@
 	"arbutusdeck/standin/engine"
 )
 
-// Scenario is one run.
+// Scenario configures one run.
 type Scenario struct {
 	Name    string
 	Servers int
 	Entries int
 	Seed    uint64
-	// Load is the offered prefill work over the fleet's speed.
+	// Load is the offered prefill work as a fraction of the fleet's prefill rate.
 	Load float64
-	// LongShare is the part of requests above 100,000 tokens.
+	// LongShare is the fraction of requests above 100,000 tokens.
 	LongShare float64
-	// NoPrefixes draws prompts without common beginnings.
+	// NoPrefixes generates prompts without shared prefixes.
 	NoPrefixes bool
 	// Bursts triples the rate for two seconds of every twenty.
 	Bursts     bool
 	Duration   time.Duration
 	Routing    routing.Policy
 	Scheduling scheduling.Policy
-	// Patience is the admission's; 0 takes the default.
+	// Patience is the patience of admission, see lab.Options; 0 means the default.
 	Patience float64
-	// MaxResends makes refused callers come back when they were told to, so many
-	// times.
+	// MaxResends is the number of times that a refused caller sends its request
+	// again, after the delay given in the refusal.
 	MaxResends int
-	// NoRetries empties the entries' retry budget.
+	// NoRetries sets the entries' retry budget to 0.
 	NoRetries bool
-	// TuneHost and TuneEntry may change the cores' options.
+	// TuneHost and TuneEntry adjust the cores' options, if set.
 	TuneHost  func(*backend.Options)
 	TuneEntry func(*frontend.Options)
-	// Faults strike during the run.
+	// Faults schedules faults of the run, if set.
 	Faults func(l *lab.Lab)
 
 	prefixShare float64
 }
 
-// Deployment sizes of today.
+// Numbers of servers of the users' deployments: Zagara has the small one,
+// Pantallas the large one.
 const (
 	SmallDeploymentServers = 15
 	LargeDeploymentServers = 20
 )
 
-// warmUp is left out of every figure.
+// warmUp is the start of a run that the results leave out.
 const warmUp = 30 * time.Second
 
-// Lengths, in tokens.
+// Parameters of the workload. Lengths are in tokens; prefixes is the number of
+// shared prefixes.
 const (
 	shortest    = 1_000
 	longFrom    = 100_000
@@ -67,21 +70,22 @@
 	shortMedian = 3_000
 	shortSigma  = 1.0
 	answerMean  = 120
-	// longestAnswer is decoded within the shortest deadline.
+	// longestAnswer bounds answers, so that one can be decoded within the shortest deadline.
 	longestAnswer = 500
 	prefixes      = 400
-	// prefixShare is the part of prompts that begin like others.
+	// prefixShare is the fraction of prompts that have a shared prefix.
 	prefixShare = 0.5
 )
 
-// engineSpec is the engine of every run.
+// engineSpec returns the spec of the engines of every run.
 func engineSpec() engine.Spec {
 	spec := engine.DefaultSpec()
 	spec.MemoryTokens = 480_000
 	return spec
 }
 
-// workspaces are ten, two of them large: weights and parts of the demand.
+// demandParts are the fractions of the demand that ten workspaces of equal weight
+// send. Two workspaces are large.
 var demandParts = []float64{0.3, 0.25, 0.1, 0.1, 0.05, 0.05, 0.05, 0.04, 0.03, 0.03}
 
 func workspaces() map[string]config.Workspace {
@@ -92,13 +96,13 @@
 	return all
 }
 
-// generator draws requests.
+// generator generates random requests.
 type generator struct {
 	random   *rand.Rand
 	scenario Scenario
 }
 
-// tokens draws a prompt's length.
+// tokens returns a random prompt length.
 func (g *generator) tokens() int64 {
 	if g.random.Float64() < g.scenario.LongShare {
 		return int64(longFrom * math.Pow(longest/longFrom, g.random.Float64()))
@@ -122,7 +126,7 @@
 	return "w0"
 }
 
-// request draws a whole request.
+// request returns a random request.
 func (g *generator) request(snapshot *config.Snapshot) lab.Request {
 	tokens := g.tokens()
 	class, _ := snapshot.ClassOf(tokens)
@@ -145,13 +149,13 @@
 	return sum / samples
 }
 
-// rate returns the mean arrivals a second for the scenario's load.
+// rate returns the mean number of arrivals per second for the scenario's load.
 func (s Scenario) rate() float64 {
 	g := &generator{random: rand.New(rand.NewPCG(99, 99)), scenario: s}
 	return s.Load * float64(s.Servers) * engineSpec().PrefillRate / g.meanTokens()
 }
 
-// burst returns the factor on the rate at a time.
+// burst returns the factor on the arrival rate at a time of the run.
 func (s Scenario) burst(elapsed time.Duration) float64 {
 	if !s.Bursts {
 		return 1
@@ -159,5 +163,5 @@
 	if elapsed%(20*time.Second) < 2*time.Second {
 		return 3
 	}
-	return 14.0 / 18 // so that the mean stays
+	return 14.0 / 18 // keeps the mean rate: 2 s at 3 and 18 s at this factor
 }
