--- a/proof/days/main.go
+++ b/proof/days/main.go
@@ -1,8 +1,9 @@
-// Command days writes files that describe days of trouble: each row of the table
-// mixes kinds of disruption that the standard days leave out with stops, kills,
-// changes of the configuration, taken keys and a store that can't be read. "@c0", "@s0"
+// Command days writes files that describe fault scenarios. Each scenario combines
+// kinds of faults that the standard scenarios leave out with graceful shutdowns, kills,
+// configuration changes, revoked keys and a store that can't be read. "@c0", "@s0"
 // and "@z0" stand for a deployment's first kind of request, service and zone. The files
-// are kept in deploy/days, so that every hunt on every deployment plays them.
+// are kept in deploy/days, so that every fault-injection run on every deployment
+// includes them.
 package main
 
 import (
@@ -12,15 +13,16 @@
 	"strings"
 )
 
-// day is one row: planned work and faults, each as one entry of such a file.
-type day struct {
+// scenario is the content of one file: planned operations and faults, each an element
+// of the file's list.
+type scenario struct {
 	name   string
 	plan   []string
 	faults []string
 }
 
-// days are the rows. Times are in seconds from the start of traffic.
-var days = []day{
+// scenarios are the scenarios to write. Times are in seconds from the start of traffic.
+var scenarios = []scenario{
 	{"slow-workers", []string{`{ at = 4.0, kind = "release", share = 0.3, x = 1.0, gap_s = 1.0 }`},
 		[]string{`{ at = 2.0, kind = "srv_slow", share = 0.3, x = 4.0, for_s = 8.0 }`, `{ at = 12.0, kind = "srv_grey", how = "slow", share = 0.3, x = 8.0, for_s = 8.0 }`,
 			`{ at = 22.0, kind = "srv_grey", how = "hang", share = 0.3, x = 0.3, for_s = 6.0 }`}},
@@ -108,9 +110,10 @@
 			`{ at = 17.5, kind = "herd_kill", share = 1.0 }`, `{ at = 24.0, kind = "cold_return", zone = "@z0", for_s = 2.0, how = "dark" }`, `{ at = 26.0, kind = "node_cut", share = 0.4, for_s = 4.0 }`}},
 }
 
-func (d day) text() string {
+// text returns the scenario as TOML.
+func (s scenario) text() string {
 	return fmt.Sprintf("name = %q\nslot = \"trouble\"\nseed = 7\none = 0.6\nzero = 0.1\ngoal = { floor = 0.0 }\nlabels = []\nwall = 2.0\nlight = true\nplan = [\n  %s,\n]\nfaults = [\n  %s,\n]\n",
-		d.name, strings.Join(d.plan, ",\n  "), strings.Join(d.faults, ",\n  "))
+		s.name, strings.Join(s.plan, ",\n  "), strings.Join(s.faults, ",\n  "))
 }
 
 func main() {
@@ -118,9 +121,9 @@
 		fmt.Fprintln(os.Stderr, "usage: days FOLDER")
 		os.Exit(2)
 	}
-	for _, d := range days {
-		path := filepath.Join(os.Args[1], d.name+".toml")
-		if err := os.WriteFile(path, []byte(d.text()), 0o644); err != nil {
+	for _, s := range scenarios {
+		path := filepath.Join(os.Args[1], s.name+".toml")
+		if err := os.WriteFile(path, []byte(s.text()), 0o644); err != nil {
 			fmt.Fprintf(os.Stderr, "days: %v\n", err)
 			os.Exit(1)
 		}
