--- a/proof/fleet/cmd/fleet/main.go
+++ b/proof/fleet/cmd/fleet/main.go
@@ -15,16 +15,16 @@
 )
 
 func main() {
-	command := &cli.Command{Name: "fleet", Usage: "what the exchange between entries costs, by the size of the fleet",
+	command := &cli.Command{Name: "fleet", Usage: "simulate the gossip between entries and print its cost by the size of the fleet",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "entries", Value: []int{100, 424, 1000}, Usage: "sizes to play"},
-			&cli.IntFlag{Name: "zones", Value: 5, Usage: "availability zones"},
-			&cli.DurationFlag{Name: "length", Value: time.Minute, Usage: "how long is played"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the starts, losses and faults"},
-			&cli.FloatFlag{Name: "loss", Usage: "share of messages that are lost"},
-			&cli.IntFlag{Name: "changes", Usage: "changes of the store, one a second"},
-			&cli.FloatFlag{Name: "herd", Usage: "share of the entries that are killed in the middle"},
-			&cli.StringFlag{Name: "csv", Usage: "file for a row a size"},
+			&cli.IntSliceFlag{Name: "entries", Value: []int{100, 424, 1000}, Usage: "numbers of entries to simulate"},
+			&cli.IntFlag{Name: "zones", Value: 5, Usage: "number of availability zones"},
+			&cli.DurationFlag{Name: "length", Value: time.Minute, Usage: "simulated time"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of start times, message losses and faults"},
+			&cli.FloatFlag{Name: "loss", Usage: "fraction of messages that are lost"},
+			&cli.IntFlag{Name: "changes", Usage: "number of changes of the store, one per second"},
+			&cli.FloatFlag{Name: "herd", Usage: "fraction of the entries that are killed in the middle of the run"},
+			&cli.StringFlag{Name: "csv", Usage: "CSV file to write, with one row per size"},
 		}, Action: run}
 	if err := command.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
@@ -36,7 +36,7 @@
 	var results []*fleet.Result
 	for _, entries := range command.IntSlice("entries") {
 		if entries < command.Int("zones") {
-			return fmt.Errorf("%d entries in %d zones: one a zone at least", entries, command.Int("zones"))
+			return fmt.Errorf("%d entries in %d zones: at least one entry per zone is required", entries, command.Int("zones"))
 		}
 		result := fleet.Simulate(options(command, entries))
 		if err := result.Print(os.Stdout); err != nil {
@@ -90,7 +90,7 @@
 func writeCSV(path string, results []*fleet.Result) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("the table could not be written: %w", err)
+		return fmt.Errorf("writing the CSV file: %w", err)
 	}
 	defer file.Close()
 	w := csv.NewWriter(file)
@@ -107,7 +107,7 @@
 		rows = append(rows, row)
 	}
 	if err := w.WriteAll(rows); err != nil {
-		return fmt.Errorf("the table could not be written: %w", err)
+		return fmt.Errorf("writing the CSV file: %w", err)
 	}
 	return nil
 }
