--- a/proof/experiment/experiment_test.go
+++ b/proof/experiment/experiment_test.go
@@ -133,7 +133,7 @@
 		with(base("a daemon killed"), during(func(l *lab.Lab) { l.Hosts[4].Kill() }, func(l *lab.Lab) { l.Hosts[4].Start() })),
 		with(base("a server ten times slower"), during(func(l *lab.Lab) { l.Hosts[4].SetSlowdown(10) }, func(l *lab.Lab) { l.Hosts[4].SetSlowdown(1) })),
 		with(base("a zone lost, 50 % load"), load(0.5), during(func(l *lab.Lab) { zone(l, (*lab.Host).Kill) }, func(l *lab.Lab) { zone(l, (*lab.Host).Start) })),
-		with(base("load reports frozen"), during(func(l *lab.Lab) { l.FreezeReports = true }, func(l *lab.Lab) { l.FreezeReports = false })),
+		with(base("load reports frozen"), during(func(l *lab.Lab) { l.IgnoreLoadReports = true }, func(l *lab.Lab) { l.IgnoreLoadReports = false })),
 		with(base("all cut off, all resend"), resend, during(partitionAll, (*lab.Lab).HealPartitions)),
 		with(base("an entry killed"), during(func(l *lab.Lab) { l.Entries[0].Kill() }, func(l *lab.Lab) { l.Entries[0].Start() })),
 		with(base("no retry budget, zone lost"), load(0.5), func(s *Scenario) { s.NoRetries = true },
--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -204,7 +204,7 @@
 
 // recordLoad passes a load report to the core, unless reports are frozen.
 func (e *Entry) recordLoad(pool, server string, load scheduling.Load) {
-	if !e.lab.FreezeReports {
+	if !e.lab.IgnoreLoadReports {
 		e.Core.Observe(pool, server, e.toReport(load))
 	}
 }
@@ -322,7 +322,7 @@
 		}
 		r := reply.(backend.Reply)
 		answer := frontend.Answer{Verdict: r.Verdict, Refusal: r.Refusal, DemandShare: r.DemandShare, DemandKnown: r.DemandKnown}
-		if !e.lab.FreezeReports {
+		if !e.lab.IgnoreLoadReports {
 			report := e.toReport(r.Load)
 			answer.Report = &report
 		}
--- a/proof/lab/lab.go
+++ b/proof/lab/lab.go
@@ -50,8 +50,8 @@
 	// Intercept returns the fault to inject into a message; nil injects none.
 	Intercept func(m Message) MessageFault
 
-	// FreezeReports makes entries ignore load reports.
-	FreezeReports bool
+	// IgnoreLoadReports makes entries ignore load reports.
+	IgnoreLoadReports bool
 
 	random        *rand.Rand
 	partitioned   map[link]bool
