--- a/proof/lab/entry.go
+++ b/proof/lab/entry.go
@@ -31,10 +31,11 @@
 	Name string
 	Core *frontend.Core
 
-	lab          *Lab
-	epoch        int
-	pause        *membership.PauseDetector
-	openRequests map[*Submission]bool
+	lab *Lab
+	// incarnation counts the starts of the daemon. Callbacks of earlier ones are dropped.
+	incarnation   int
+	pauseDetector *membership.PauseDetector
+	openRequests  map[*Submission]bool
 }
 
 // Request is one caller's request. Lengths are in tokens.
@@ -98,7 +99,7 @@
 
 // Start starts the daemon with a new, empty core.
 func (e *Entry) Start() {
-	e.epoch++
+	e.incarnation++
 	e.alive, e.suspended, e.deferred = true, false, nil
 	options := frontend.DefaultOptions("", rand.New(rand.NewPCG(e.lab.random.Uint64(), 1)))
 	options.Routing.Zone = e.lab.Snapshot.Entries[e.Name].Zone
@@ -113,9 +114,9 @@
 	}
 	e.Core = frontend.New(options)
 	e.Core.Configure(e.lab.Now, e.lab.Snapshot)
-	e.pause = membership.NewPauseDetector(2 * time.Second)
+	e.pauseDetector = membership.NewPauseDetector(2 * time.Second)
 	e.openRequests = map[*Submission]bool{}
-	e.tick(e.epoch, 0)
+	e.tick(e.incarnation, 0)
 }
 
 // Kill kills the daemon's process: its callers' connections break at once, hosts
@@ -149,13 +150,13 @@
 }
 
 func (e *Entry) detectPause() {
-	if e.pause.Tick(e.lab.Now) > 0 {
+	if e.pauseDetector.Tick(e.lab.Now) > 0 {
 		e.Core.Awoke(e.lab.Now)
 	}
 }
 
-func (e *Entry) tick(epoch, count int) {
-	if epoch != e.epoch || !e.alive {
+func (e *Entry) tick(incarnation, count int) {
+	if incarnation != e.incarnation || !e.alive {
 		return
 	}
 	if !e.suspended {
@@ -169,7 +170,7 @@
 			}
 		}
 	}
-	e.lab.After(entryTick, func() { e.tick(epoch, count+1) })
+	e.lab.After(entryTick, func() { e.tick(incarnation, count+1) })
 }
 
 // openByArrival returns the open requests in order of arrival. Map order would make
@@ -202,7 +203,7 @@
 	})
 }
 
-// recordLoad passes a load report to the core, unless reports are frozen.
+// recordLoad passes a load report to the core, unless IgnoreLoadReports is set.
 func (e *Entry) recordLoad(pool, server string, load scheduling.Load) {
 	if !e.lab.IgnoreLoadReports {
 		e.Core.Observe(pool, server, e.toReport(load))
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -20,10 +20,11 @@
 	Core    *backend.Core
 	Engines map[string]*Engine
 
-	lab     *Lab
-	epoch   int
-	streams map[execution.AttemptID]*stream
-	pause   *membership.PauseDetector
+	lab *Lab
+	// incarnation counts the starts of the daemon. Callbacks of earlier ones are dropped.
+	incarnation   int
+	streams       map[execution.AttemptID]*stream
+	pauseDetector *membership.PauseDetector
 	// StartedRuns counts, by attempt, the runs that engines and services were told to start.
 	StartedRuns map[execution.AttemptID]int
 }
@@ -42,7 +43,7 @@
 // stream carries the answer of one attempt to an entry.
 type stream struct {
 	writer    *execution.FrameWriter
-	sent      uint64
+	sent      uint64 // sequence number of the last frame sent
 	entry     *Entry
 	submitted *Submission
 	attached  bool
@@ -65,9 +66,9 @@
 
 // Start starts the daemon with a new, empty core.
 func (h *Host) Start() {
-	h.epoch++
+	h.incarnation++
 	h.alive, h.suspended, h.deferred = true, false, nil
-	options := backend.DefaultOptions(h.Name, execution.Incarnation(fmt.Sprintf("%s#%d", h.Name, h.epoch)))
+	options := backend.DefaultOptions(h.Name, execution.Incarnation(fmt.Sprintf("%s#%d", h.Name, h.incarnation)))
 	if h.lab.Scheduling != "" {
 		options.Schedule.Policy = h.lab.Scheduling
 	}
@@ -81,9 +82,9 @@
 	h.Core.Configure(h.lab.Now, h.lab.Snapshot)
 	h.Core.Serve()
 	h.streams = map[execution.AttemptID]*stream{}
-	h.pause = membership.NewPauseDetector(2 * time.Second)
-	h.tick(h.epoch)
-	h.observeEngines(h.epoch)
+	h.pauseDetector = membership.NewPauseDetector(2 * time.Second)
+	h.tick(h.incarnation)
+	h.observeEngines(h.incarnation)
 }
 
 // Kill kills the daemon's process and resets its streams. Its engines go on.
@@ -125,18 +126,18 @@
 
 const hostTick = 25 * time.Millisecond
 
-func (h *Host) tick(epoch int) {
-	if epoch != h.epoch || !h.alive {
+func (h *Host) tick(incarnation int) {
+	if incarnation != h.incarnation || !h.alive {
 		return
 	}
 	if !h.suspended {
 		h.runTick()
 	}
-	h.lab.After(hostTick, func() { h.tick(epoch) })
+	h.lab.After(hostTick, func() { h.tick(incarnation) })
 }
 
 func (h *Host) runTick() {
-	if h.pause.Tick(h.lab.Now) > 0 {
+	if h.pauseDetector.Tick(h.lab.Now) > 0 {
 		h.Core.Awoke(h.lab.Now)
 	}
 	h.applyEffects(h.Core.Tick(h.lab.Now))
@@ -144,8 +145,8 @@
 
 // observeEngines polls the state of the engines, as the daemon does each second, and
 // writes heartbeats on open streams.
-func (h *Host) observeEngines(epoch int) {
-	if epoch != h.epoch || !h.alive {
+func (h *Host) observeEngines(incarnation int) {
+	if incarnation != h.incarnation || !h.alive {
 		return
 	}
 	if !h.suspended {
@@ -164,14 +165,14 @@
 			}
 		}
 	}
-	h.lab.After(time.Second, func() { h.observeEngines(epoch) })
+	h.lab.After(time.Second, func() { h.observeEngines(incarnation) })
 }
 
 // OrderDelay is the time from sending an order until the engine has applied it.
 const OrderDelay = 300 * time.Millisecond
 
 func (h *Host) sendOrders() {
-	epoch := h.epoch
+	incarnation := h.incarnation
 	for _, order := range h.Core.OrdersDue(h.lab.Now) {
 		checks := h.lab.Snapshot.Servers[h.Name].Engines[order.Engine].ChecksFencing
 		h.lab.After(OrderDelay, func() {
@@ -183,7 +184,7 @@
 				e.Fence, e.State = max(e.Fence, order.Fence), order.Wanted
 				e.Orders = append(e.Orders, order)
 			}
-			if epoch == h.epoch {
+			if incarnation == h.incarnation {
 				h.runOrDefer(func() { h.Core.OrderSettled(h.lab.Now, order.Engine, result, 0) })
 			}
 		})
@@ -223,9 +224,9 @@
 	}
 	s.writer.End(e.Outcome, e.Refusal)
 	h.pushFrames(e.Attempt, s)
-	epoch := h.epoch
+	incarnation := h.incarnation
 	h.lab.After(5*time.Second, func() {
-		if epoch == h.epoch {
+		if incarnation == h.incarnation {
 			delete(h.streams, e.Attempt)
 		}
 	})
@@ -247,11 +248,11 @@
 
 func (h *Host) requestPart(ask backend.AskPart) {
 	member := h.lab.Host(ask.Part.Server)
-	epoch := h.epoch
+	incarnation := h.incarnation
 	h.lab.call("reserve", h.Name, member.Name, 2*time.Second, func() any {
 		return member.Core.HoldPart(h.lab.Now, ask.Reservation, ask.Part, ask.Expires) == nil
 	}, func(reply any, ok bool) {
-		if epoch == h.epoch {
+		if incarnation == h.incarnation {
 			h.applyEffects(h.Core.PartAnswered(h.lab.Now, ask, ok && reply.(bool)))
 		}
 	})
--- a/proof/lab/host_engines.go
+++ b/proof/lab/host_engines.go
@@ -16,10 +16,10 @@
 func (h *Host) startRun(e backend.Start) {
 	h.StartedRuns[e.Attempt]++
 	s := h.streams[e.Attempt]
-	epoch := h.epoch
+	incarnation := h.incarnation
 	if s.submitted.request.Service != "" {
 		h.lab.After(serviceTime, func() {
-			if epoch == h.epoch {
+			if incarnation == h.incarnation {
 				h.runOrDefer(func() { h.finishService(e.Attempt, s) })
 			}
 		})
@@ -32,7 +32,7 @@
 		return
 	}
 	eng.tokenSinks[string(e.Attempt)] = func(t engine.Token) {
-		if epoch == h.epoch {
+		if incarnation == h.incarnation {
 			h.runOrDefer(func() { h.handleToken(e.Attempt, s, t) })
 		}
 	}
