--- a/proof/fleet/entry.go
+++ b/proof/fleet/entry.go
@@ -21,7 +21,7 @@
 	startPoll = 5 * time.Millisecond
 	// readerPoll is the interval at which a started entry checks this.
 	readerPoll = 100 * time.Millisecond
-	// catchUpDelay is the delay between the news of a later revision and the fetch of a view that has it.
+	// catchUpDelay is the delay between a message that advertises a later revision and the fetch of a view.
 	catchUpDelay = 60 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 	busyUntil time.Time
 }
 
-// after running a callback after a delay, unless the entry has been killed meanwhile.
+// after runs a callback after a delay, unless the entry has been killed meanwhile.
 func (e *entry) after(d time.Duration, run func()) {
 	incarnation := e.incarnation
 	e.fleet.clock.After(d, func() {
