--- a/proof/matrix/matrix_test.go
+++ b/proof/matrix/matrix_test.go
@@ -33,7 +33,7 @@
 // fault injects a failure and clears it later.
 type fault struct {
 	name   string
-	inject func(c *cell, m lab.Message) lab.Fate
+	inject func(c *cell, m lab.Message) lab.MessageFault
 	clear  func(c *cell)
 }
 
@@ -56,37 +56,37 @@
 	return host, entry
 }
 
-func onHost(act func(c *cell, h *lab.Host)) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func onHost(act func(c *cell, h *lab.Host)) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		h, _ := c.parties(m)
 		c.lab.After(0, func() { act(c, h) })
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func onEntry(act func(c *cell, e *lab.Entry)) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func onEntry(act func(c *cell, e *lab.Entry)) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		if _, e := c.parties(m); e != nil {
 			c.lab.After(0, func() { act(c, e) })
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func partition(forward, reverse bool) func(c *cell, m lab.Message) lab.Fate {
-	return func(c *cell, m lab.Message) lab.Fate {
+func partition(forward, reverse bool) func(c *cell, m lab.Message) lab.MessageFault {
+	return func(c *cell, m lab.Message) lab.MessageFault {
 		if forward {
-			c.lab.Cut(m.From, m.To)
+			c.lab.Partition(m.From, m.To)
 		}
 		if reverse {
-			c.lab.Cut(m.To, m.From)
+			c.lab.Partition(m.To, m.From)
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
-func withMessageFault(f lab.Fate) func(*cell, lab.Message) lab.Fate {
-	return func(*cell, lab.Message) lab.Fate { return f }
+func withMessageFault(f lab.MessageFault) func(*cell, lab.Message) lab.MessageFault {
+	return func(*cell, lab.Message) lab.MessageFault { return f }
 }
 
 func (c *cell) restoreAll() {
@@ -94,33 +94,33 @@
 		if !h.Alive() {
 			h.Start()
 		}
-		h.Thaw()
+		h.Resume()
 	}
 	for _, e := range c.lab.Entries {
 		if !e.Alive() {
 			e.Start()
 		}
-		e.Thaw()
+		e.Resume()
 	}
-	c.lab.Heal()
+	c.lab.HealPartitions()
 }
 
 var faults = []fault{
-	{"nothing", withMessageFault(lab.Fate{}), noClear},
+	{"nothing", withMessageFault(lab.MessageFault{}), noClear},
 	{"host killed", onHost(func(c *cell, h *lab.Host) { h.Kill() }), (*cell).restoreAll},
 	{"host restarted at once", onHost(func(c *cell, h *lab.Host) { h.Kill(); h.Start() }), noClear},
-	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Freeze() }), (*cell).restoreAll},
+	{"host frozen", onHost(func(c *cell, h *lab.Host) { h.Suspend() }), (*cell).restoreAll},
 	{"host drains", onHost(func(c *cell, h *lab.Host) { c.drained = h; h.Drain() }), noClear},
 	{"entry killed", onEntry(func(c *cell, e *lab.Entry) { e.Kill() }), (*cell).restoreAll},
-	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Freeze() }), (*cell).restoreAll},
+	{"entry frozen", onEntry(func(c *cell, e *lab.Entry) { e.Suspend() }), (*cell).restoreAll},
 	{"cut one way", partition(true, false), (*cell).restoreAll},
 	{"cut the way back", partition(false, true), (*cell).restoreAll},
 	{"cut both ways", partition(true, true), (*cell).restoreAll},
-	{"message lost", withMessageFault(lab.Fate{Drop: true}), noClear},
-	{"message doubled", withMessageFault(lab.Fate{Duplicate: true}), noClear},
-	{"message late", withMessageFault(lab.Fate{Delay: 8 * time.Second}), noClear},
-	{"message overtaken", withMessageFault(lab.Fate{Delay: 40 * time.Millisecond}), noClear},
-	{"doubled and late", withMessageFault(lab.Fate{Duplicate: true, Delay: 6 * time.Second}), noClear},
+	{"message lost", withMessageFault(lab.MessageFault{Drop: true}), noClear},
+	{"message doubled", withMessageFault(lab.MessageFault{Duplicate: true}), noClear},
+	{"message late", withMessageFault(lab.MessageFault{Delay: 8 * time.Second}), noClear},
+	{"message overtaken", withMessageFault(lab.MessageFault{Delay: 40 * time.Millisecond}), noClear},
+	{"doubled and late", withMessageFault(lab.MessageFault{Duplicate: true, Delay: 6 * time.Second}), noClear},
 }
 
 // requestKind is a request template of the matrix.
@@ -151,15 +151,15 @@
 
 func newCell(k requestKind) *cell {
 	spec := engine.DefaultSpec()
-	site := lab.Site{Servers: 3, Entries: 2, Zones: 3, Slots: 8, Engine: spec, Groups: 1}
+	site := lab.Deployment{Servers: 3, Entries: 2, Zones: 3, Slots: 8, Engine: spec, Groups: 1}
 	c := &cell{kind: k}
-	c.lab = lab.New(lab.Options{Seed: 1, Snapshot: lab.Build(site), Engine: spec, Delay: time.Millisecond, TokenFrames: true})
+	c.lab = lab.New(lab.Options{Seed: 1, Snapshot: lab.BuildSnapshot(site), Engine: spec, Delay: time.Millisecond, TokenFrames: true})
 	return c
 }
 
 // armFaults injects each fault at its message: the first one of its step after skip others.
 func (c *cell) armFaults(injections ...injection) {
-	c.lab.Intercept = func(m lab.Message) lab.Fate {
+	c.lab.Intercept = func(m lab.Message) lab.MessageFault {
 		for i := range injections {
 			s := &injections[i]
 			if m.Kind != s.step || s.done {
@@ -174,7 +174,7 @@
 			c.lab.After(faultDuration, func() { s.fault.clear(c) })
 			return s.fault.inject(c, m)
 		}
-		return lab.Fate{}
+		return lab.MessageFault{}
 	}
 }
 
@@ -222,7 +222,7 @@
 	count := 0
 	for _, h := range c.lab.Hosts {
 		for _, id := range s.Attempts {
-			count += h.Starts[id]
+			count += h.StartedRuns[id]
 		}
 	}
 	return count
@@ -243,7 +243,7 @@
 		require.LessOrEqual(t, total, 1, "a request that may not be retried ran again")
 	}
 	for _, h := range c.lab.Hosts {
-		require.Zero(t, h.Used(), "%s: engine memory is leaked", h.Name)
+		require.Zero(t, h.UsedTokens(), "%s: engine memory is leaked", h.Name)
 		require.Empty(t, h.Core.Memory().Leases, "%s: leases remain", h.Name)
 	}
 	c.checkDrained(t)
@@ -293,14 +293,14 @@
 		return // no server drained, or another fault has restarted it
 	}
 	c.lab.Intercept = nil
-	before := len(drained.Starts)
+	before := len(drained.StartedRuns)
 	for i := range 4 {
 		request := c.kind.request
 		request.Workspace = lab.Workspace
 		c.lab.Entries[i%2].Submit(request)
 	}
 	c.lab.Run(5 * time.Second)
-	require.Len(t, drained.Starts, before, "a draining server got new work")
+	require.Len(t, drained.StartedRuns, before, "a draining server got new work")
 }
 
 // For every fault at every step of every request kind, the caller gets a correct final response in
--- a/proof/processes/poison_test.go
+++ b/proof/processes/poison_test.go
@@ -25,7 +25,7 @@
 func TestAPoisonPromptIsQuarantined(t *testing.T) {
 	t.Parallel()
 	spec := fastSpec()
-	spec.Servers, spec.FatalText = 10, poisonText
+	spec.Servers, spec.PoisonText = 10, poisonText
 	s := startTestbed(t, spec)
 	sendPoison := func(entry int) callResult {
 		return s.do(call{entry: entry, path: "/v1/completions", body: completionBody(poisonText, 2, false)})
@@ -35,7 +35,7 @@
 		last = sendPoison(i % 2)
 		require.NoError(t, last.err)
 	}
-	require.LessOrEqual(t, s.fleet.Ended(), maxCrashedEngines)
+	require.LessOrEqual(t, s.fleet.CrashedEngines(), maxCrashedEngines)
 	require.Equal(t, http.StatusServiceUnavailable, last.status, last.body)
 	require.Equal(t, "quarantined", decodeError(t, last).Error.Code)
 	require.Equal(t, "notRun", decodeError(t, last).Error.Run)
@@ -44,10 +44,10 @@
 	for entry := range 2 {
 		require.Equal(t, 200, s.do(call{entry: entry, path: "/v1/completions", body: sound}).status)
 	}
-	crashed := s.fleet.Ended()
+	crashed := s.fleet.CrashedEngines()
 	restarted := fleet.EntryName(1)
 	s.signal(restarted, syscall.SIGKILL)
 	s.restart(restarted)
 	require.Equal(t, http.StatusServiceUnavailable, sendPoison(1).status, "at an entry that has started since")
-	require.Equal(t, crashed, s.fleet.Ended())
+	require.Equal(t, crashed, s.fleet.CrashedEngines())
 }
