--- a/core/execution/budget.go
+++ b/core/execution/budget.go
@@ -12,7 +12,7 @@
 )
 
 // RetryBudget limits retries to a fraction of first attempts. Without it, retries
-// multiply the load on a failing fleet and keep it down after the cause is gone.
+// multiply the load on a failing fleet and keep it down after the cause is removed.
 // It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
--- a/core/execution/leases.go
+++ b/core/execution/leases.go
@@ -34,8 +34,8 @@
 }
 
 // Tick ends attempts whose leases have expired and drops what is past its
-// retention. Without the lease a run whose caller is gone would hold an engine's
-// memory until it completes.
+// retention. Without the lease a run whose caller has disconnected would hold an
+// engine's memory until it completes.
 func (l *Ledger) Tick(now time.Time) []ExpiredLease {
 	var expired []ExpiredLease
 	for id, a := range l.open {
--- a/core/execution/ledger.go
+++ b/core/execution/ledger.go
@@ -178,8 +178,8 @@
 }
 
 // replyToDuplicate replies to a further copy of an offer. The reply never claims
-// more than the first one did: the sender would believe a notRun although the
-// first copy was answered with unknown.
+// more than the first one did: otherwise the sender would rely on NotRun although
+// the reply to the first copy was RefusedUnknown.
 func (l *Ledger) replyToDuplicate(known *attempt) OfferResult {
 	switch {
 	case known.phase == Tombstoned && !known.keyMayHaveRun:
@@ -205,8 +205,8 @@
 }
 
 // tombstone refuses an offer and records that the attempt never runs. Otherwise a
-// delayed copy of the offer could be accepted after the caller was told notRun.
-// The tombstone outlives the message because Retention exceeds OfferTTL.
+// delayed copy of the offer could be accepted after NotRun was reported to the
+// caller. The tombstone outlives the message because Retention exceeds OfferTTL.
 func (l *Ledger) tombstone(now time.Time, offer Offer, refusal *Refusal) OfferResult {
 	a := &attempt{phase: Tombstoned, key: l.recordKey(offer), outcome: NotRun, expiresAt: now.Add(l.options.Retention)}
 	l.attempts[offer.Attempt] = a
--- a/core/execution/record.go
+++ b/core/execution/record.go
@@ -25,8 +25,9 @@
 
 // setBarrier bars a key from running for as long as an offer that was sent before
 // now may still be in flight. Otherwise an earlier, delayed submission of the key
-// could run after the caller was told notRun for a resend. An offer is valid for
-// at most OfferTTL and clocks differ by at most MaxClockSkew, so their sum suffices.
+// could run after NotRun was reported to the caller for a resend. An offer is valid
+// for at most OfferTTL and clocks differ by at most MaxClockSkew, so their sum
+// suffices.
 func (l *Ledger) setBarrier(now time.Time, key string) {
 	l.barriers[key] = now.Add(l.barrierDuration())
 }
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -149,7 +149,7 @@
 
 // outcomeWithoutRun returns the outcome while no attempt of this request can have
 // run and no host has confirmed more. A key from the caller may have been sent
-// through another entry before; only its home knows.
+// through another entry before; only its home has the record.
 func (r *Request) outcomeWithoutRun() Outcome {
 	if r.options.KeyFromCaller {
 		return Unknown
@@ -369,8 +369,8 @@
 }
 
 // conclude ends the request. If an earlier attempt ran, the request's outcome is
-// not NotRun even if that of the last attempt is: the caller would be told that
-// the request had no effect although it had.
+// not NotRun even if that of the last attempt is: the caller would otherwise
+// conclude that the request had no effect although it had.
 func (r *Request) conclude(outcome Outcome, refusal *Refusal) []Action {
 	r.stage = stageConcluded
 	if outcome == NotRun && r.priorOutcome != 0 {
--- a/core/peering/codec.go
+++ b/core/peering/codec.go
@@ -10,8 +10,8 @@
 
 // Encode serializes a message as CBOR. Fields are numbered, so that entries of different versions understand each
 // other during a rolling upgrade: unknown numbers are ignored, missing ones are zero. JSON took twice the bytes
-// (214 and 110 for a dispatch, 103 and 49 for an end). Every entry sends three messages for each request to every
-// other one, which made up most of the bytes between availability zones.
+// (214 instead of 110 for a dispatch, 103 instead of 49 for an end). Every entry sends three messages for each
+// request to every other one, which made up most of the bytes between availability zones.
 func Encode(m Message) ([]byte, error) {
 	data, err := cbor.Marshal(m)
 	if err != nil {
--- a/core/peering/group.go
+++ b/core/peering/group.go
@@ -25,11 +25,11 @@
 
 // Intervals and timeouts of heartbeats and failure detection.
 const (
-	// HeartbeatInterval lies between two heartbeats, which also report how new the sender's view is. At two a
-	// second, a daemon that the platform refuses can take over a configuration from a peer within a second.
+	// HeartbeatInterval is the interval between two heartbeats, which also report how new the sender's view is.
+	// At two a second, a daemon that the platform refuses can fetch a configuration from a peer within a second.
 	HeartbeatInterval = 500 * time.Millisecond
-	// ForgetAfter bounds how long messages are sent to an entry that is not heard: a few times a partition of
-	// some ten seconds.
+	// ForgetAfter bounds how long messages are sent to an entry that is not heard. It is a few times the duration
+	// of a partition, which is some ten seconds.
 	ForgetAfter = 40 * time.Second
 	// AliveFor bounds how long an entry counts as running after its last message.
 	AliveFor = 3 * time.Second
@@ -70,11 +70,12 @@
 	recordsSentAt time.Time
 }
 
-// scope says among the servers of which zones entries choose, and so which entries hear of their requests.
+// scope selects the zones among whose servers entries choose, and so the entries to which requests are reported.
 type scope uint8
 
 const (
-	// scopeUnknown holds until servers are known. Entries of other zones then get nothing that they may not need.
+	// scopeUnknown holds until servers are known. Until then entries of other zones are sent only what scopeZone
+	// allows.
 	scopeUnknown scope = iota
 	scopeZone          // the own zone
 	scopeAll           // all zones
@@ -171,7 +172,7 @@
 	// choose among the same servers as this entry.
 	Joined, Local bool
 	// NeedsSync is set once after a sender joined: it has to be sent the current state. For a starting sender it
-	// waits until that can record requests.
+	// is delayed until the sender can record requests.
 	NeedsSync bool
 }
 
--- a/core/peering/message.go
+++ b/core/peering/message.go
@@ -122,7 +122,7 @@
 	Evacuations []evacuation.State `cbor:"5,keyasint,omitempty"`
 }
 
-// SetStoreState sets how the sender reads the store.
+// SetStoreState sets StoreAge and StoreLost from the sender's access to the store.
 func (m *Message) SetStoreState(state StoreState) {
 	m.StoreLost = state.Lost
 	if state.Reads {
--- a/core/peering/newer.go
+++ b/core/peering/newer.go
@@ -8,8 +8,8 @@
 // NewerPeer returns the live member to fetch a view from: one with a higher configuration version or, if servers
 // is set, a higher revision of the servers. The newest wins; among equals the choice differs from entry to entry.
 // It returns false if there is none. While the zone knows the content of the store only its own members are
-// asked: those of other zones learn of a change earlier about as often as later, and a view of 140 servers takes
-// some 35 KB.
+// asked: those of other zones learn of a change later as often as earlier, and a view of 140 servers takes some
+// 35 KB.
 func (g *Group) NewerPeer(now time.Time, version, revision uint64, servers bool) (string, bool) {
 	var best *member
 	localOnly := g.Fresh(now)
--- a/core/peering/owners.go
+++ b/core/peering/owners.go
@@ -8,10 +8,10 @@
 )
 
 // Owners assigns each server to one entry, in even numbers, by rendezvous hashing with bounded load. Entries that
-// can't hear each other prefer their own servers and avoid those of the silent ones, so that they don't collide
-// without communicating. Entries that know the same entries and servers compute the same owners. Each server goes
-// to the entry with the highest hash that has capacity left, so that one entry or server more or less moves few
-// servers.
+// can't hear each other prefer their own servers and avoid those of entries that are not heard, so that their
+// choices don't collide although they can't communicate. Entries that know the same entries and servers compute
+// the same owners. Each server goes to the entry with the highest hash that has capacity left, so that one entry
+// or server more or less moves few servers.
 func Owners(entries, servers []string) map[string]string {
 	owners := make(map[string]string, len(servers))
 	if len(entries) == 0 {
--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -15,11 +15,11 @@
 	minSharedReadLimit = 2500 * time.Millisecond
 	// staleShare is the part of that limit after which the state of the store counts as stale.
 	staleShare = 0.5
-	// readStagger lies between the entries of a zone that turn to the store for lack of fresh state: the first
-	// one's success mostly spares the others the read.
+	// readStagger is the delay between entries of consecutive ranks that read the store for lack of fresh state:
+	// the success of the first one mostly spares the others the read.
 	readStagger = 50 * time.Millisecond
-	// heartbeatSlack is by how much a healthy reader's state, as others see it, may exceed its poll delay and
-	// long poll: one heartbeat interval and the transmission.
+	// heartbeatSlack bounds by how much the staleness of a healthy reader, as others see it, may exceed its poll
+	// delay and long poll: one heartbeat interval and the transmission.
 	heartbeatSlack = HeartbeatInterval + 100*time.Millisecond
 	// pollDelayShare is the part of the limit on changes that a reader waits between two calls, so that changes
 	// in quick succession come in one answer.
@@ -41,7 +41,7 @@
 	// Capacity ranks entries: readers send whole configurations to the others of their zone, which occupies the
 	// link of a small host for a second.
 	Capacity int
-	// Limit is the time within which a change has to be in force everywhere.
+	// Limit is the time within which a change has to be applied everywhere.
 	Limit time.Duration
 }
 
@@ -143,8 +143,8 @@
 	return !m.servingSince.IsZero()
 }
 
-// ResetLiveness forgets when members were heard. It is called after this process was suspended: its clock stood
-// still meanwhile, and what members knew before is no longer fresh.
+// ResetLiveness discards the times at which members were heard. It is called after this process was suspended:
+// its clock stood still meanwhile, and what members knew before is no longer fresh.
 func (g *Group) ResetLiveness() {
 	for _, m := range g.members {
 		m.lastHeard, m.indirectlyHeard = time.Time{}, time.Time{}
--- a/core/peering/records.go
+++ b/core/peering/records.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// recordsResendInterval lies between two transmissions of all quarantine records to one member. With two
-// heartbeats, lost records are repeated well within the three seconds in which all entries have to know them, and
-// members that can't converge (each keeps a bounded number) don't fill the links.
+// recordsResendInterval is the interval between two transmissions of all quarantine records to one member. With
+// two heartbeats, lost records are repeated well within the three seconds in which all entries have to know them,
+// and members that can't converge (each keeps a bounded number) don't fill the links.
 const recordsResendInterval = 2 * HeartbeatInterval
 
 // ShouldSendRecords reports whether a member whose records differ is to be sent all records now, and notes the
--- a/core/peering/start.go
+++ b/core/peering/start.go
@@ -20,21 +20,21 @@
 	startWait = 50 * time.Millisecond
 	// localPeerWait is the time for which an entry that hears only other zones waits for entries of its own.
 	localPeerWait = 150 * time.Millisecond
-	// SeedRetryInterval lies between two requests of a starting entry to the seeds while it hears nobody: they
-	// may be starting as well.
+	// SeedRetryInterval is the interval between two requests of a starting entry to the seeds while it hears
+	// nobody: they may be starting as well.
 	SeedRetryInterval = 50 * time.Millisecond
 	// settleTime is the time without a new member of the zone after which ranks are relied on: while a zone
 	// starts, each entry knows only those that started before it.
 	settleTime = 30 * time.Millisecond
-	// settleLimit bounds the wait for that.
+	// settleLimit bounds the wait for settleTime.
 	settleLimit = 500 * time.Millisecond
 	// readRound is the time in which entries that read the store become up to date and are heard, also on small
 	// hosts.
 	readRound = 250 * time.Millisecond
 )
 
-// ShouldReadAtStart reports whether an entry that started the duration since ago, and hears nobody who is up to
-// date, reads the store itself.
+// ShouldReadAtStart reports whether this entry, which hears nobody who is up to date, reads the store itself;
+// since is the time since its start.
 func (g *Group) ShouldReadAtStart(now time.Time, since time.Duration) bool {
 	if !g.readOptions.AllowsSharedReads() {
 		return true
@@ -84,8 +84,8 @@
 	return sources[int(rendezvousHash(g.self, g.incarnation)%uint64(len(sources)))], true
 }
 
-// sourceRank returns the rank of the entry from which the one at a given rank fetches the list, and how many
-// levels of the tree lie above it; level 0 are the store readers.
+// sourceRank returns the rank of the entry from which the one at a given rank fetches the list, and the number of
+// tree levels above that one; the store readers are level 0.
 func sourceRank(rank int) (source, level int) {
 	source = (rank - startReaders) / fetchersPerSource
 	for ; rank >= startReaders; level++ {
@@ -94,5 +94,5 @@
 	return source, level
 }
 
-// maxRounds is more than any zone needs until all its entries read.
+// maxRounds bounds the doublings; no zone needs as many until all its entries read.
 const maxRounds = 16
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -27,7 +27,7 @@
 	ReservationTimeout time.Duration
 	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
-	// EntryLifetime is how long the entry that asks still runs; 0 if its end is not known.
+	// EntryLifetime is the time until the entry that asks shuts down; 0 if no shutdown is known.
 	EntryLifetime time.Duration
 	// TieBreak is a random number from 0 to 1 that breaks ties between equal servers, so that entries that
 	// don't know of each other's choices don't all choose the same server.
--- a/core/placement/loadtable.go
+++ b/core/placement/loadtable.go
@@ -17,10 +17,10 @@
 // workItem is the part of one dispatch that runs at one server.
 type workItem struct {
 	dispatch *Dispatch
-	index    int // 0 at the server itself, else a helper's place
+	index    int // 0 at the server itself, else one plus the index in Helpers
 	// prefillMs is the prefill that is left here, in milliseconds.
 	prefillMs float64
-	// prefillDone is when the prefill ended as predicted; zero before.
+	// prefillDone is the predicted time at which the prefill ended; zero before.
 	prefillDone time.Time
 	// writing is set while the server writes the answer.
 	writing bool
@@ -246,8 +246,8 @@
 
 const (
 	msPerSecond = 1000
-	// minPrefillShare makes sure that a small backlog beside many answers ends in the table: each pass
-	// prefills all of it.
+	// minPrefillShare is the least share of the time that goes to prefill. By its share alone a small backlog
+	// beside many answers would never end in the load table, although each pass prefills all of it.
 	minPrefillShare = 0.5
 )
 
--- a/core/placement/loss.go
+++ b/core/placement/loss.go
@@ -137,8 +137,8 @@
 	return loss + value*0.05*predicted.Seconds()/q.Target.Seconds()
 }
 
-// lateProbability returns the probability that what is predicted for a time comes after a limit: a logistic
-// slope, because predictions are inexact.
+// lateProbability returns the probability that an event comes after a limit, given its predicted time: a
+// logistic slope, because predictions are inexact.
 func lateProbability(predicted, limit time.Duration) float64 {
 	return 1 / (1 + math.Exp(-(predicted.Seconds()-limit.Seconds())/(lateSlope*limit.Seconds())))
 }
--- a/core/placement/packing.go
+++ b/core/placement/packing.go
@@ -1,9 +1,9 @@
 package placement
 
 // packing adapts the share of a server's slots up to which short answers are packed there. Entries that
-// choose at the same moment don't know of each other's choices, and what they send beyond the slots waits
-// until an answer ends. How often that happens depends on the load, the slots and the staleness of the load
-// table, which differ between deployments.
+// choose at the same moment don't know of each other's choices, and the requests that they send in excess
+// of the slots wait until an answer ends. How often that happens depends on the load, the slots and the
+// staleness of the load table, which differ between deployments.
 type packing struct{ share float64 }
 
 const (
--- a/core/placement/parts.go
+++ b/core/placement/parts.go
@@ -139,9 +139,9 @@
 const tieLoss = 0.002
 
 // pickFirst returns the index of the server that writes the answer: the best one that has the memory for all
-// of it. A prompt that is larger than any server's memory is spread over reservations by the best one. It
-// returns -1 if a prompt that would fit an empty server fits none now: spreading it as well would take memory
-// from prompts that can be prefilled at less cost.
+// of it. For a prompt that is larger than any server's memory, which is spread over reservations at several
+// servers, it is the best one. It returns -1 if a prompt that would fit an empty server fits none now:
+// spreading it as well would take memory from prompts that can be prefilled at less cost.
 func (t *LoadTable) pickFirst(all []ranked, q Query, parts int) int {
 	need := q.PromptTokens + q.AnswerTokens
 	if need <= int64(t.options.MemoryShare*float64(q.Engine.MemoryTokens)) {
