--- a/entry/gateway/attempt.go
+++ b/entry/gateway/attempt.go
@@ -18,20 +18,20 @@
 // attemptResult is the result of one attempt.
 type attemptResult struct {
 	execution.ForwardResult
-	// complete says that the caller has the complete response, success that its status is 2xx.
+	// complete is set if the caller has the complete response, success if its status is 2xx.
 	complete, success bool
 	// conclusion is set if the request itself has ended: its deadline has passed or the caller has
 	// disconnected.
 	conclusion *execution.Conclusion
 	// response is a server's error response, which the caller may get.
 	response *bufferedResponse
-	// firstEventAt is when the attempt's first event arrived; zero without any.
+	// firstEventAt is the arrival time of the attempt's first event; zero without any.
 	firstEventAt time.Time
 	// connErr is the error that broke the connection to the server; nil if it did not break.
 	connErr error
-	// cancelledHere says that this entry, not the server, ended the attempt.
+	// cancelledHere is set if this entry, not the server, ended the attempt.
 	cancelledHere bool
-	// serverCrashed says that the server's process was gone when the attempt had ended.
+	// serverCrashed is set if the server's process was gone after the attempt.
 	serverCrashed bool
 }
 
@@ -154,7 +154,7 @@
 	return result
 }
 
-// completeResult returns the result of an attempt whose response the caller has; success says that
+// completeResult returns the result of an attempt whose response the caller has; success is set if
 // its status is 2xx.
 func completeResult(server string, success bool) attemptResult {
 	return attemptResult{complete: true, success: success, ForwardResult: execution.ForwardResult{Server: server, Kind: execution.ForwardComplete}}
@@ -172,7 +172,7 @@
 	return result
 }
 
-// contextRefusal returns the refusal that tells why the request's context has ended.
+// contextRefusal returns the refusal that states why the request's context has ended.
 func (e *exchange) contextRefusal(ctx context.Context) execution.Refusal {
 	switch {
 	case errors.Is(context.Cause(ctx), errShutdownTimeout):
@@ -211,8 +211,8 @@
 }
 
 // urgency returns the rank of a prompt at the engines, by its length: a short prompt that waits
-// behind a long prefill is late, while a long one hardly notices a short prefill before it. Among
-// prompts of similar length the priority of the workspace or route decides.
+// behind a long prefill is late, while a short prefill hardly delays a long prompt. Among prompts
+// of similar length the priority of the workspace or route decides.
 func (e *exchange) urgency() int {
 	rank := min(max(e.priority, 0), ranksPerLength-1)
 	switch tokens := e.info.PromptTokens; {
--- a/entry/gateway/body.go
+++ b/entry/gateway/body.go
@@ -13,7 +13,7 @@
 // kept until its request ends, since another attempt may need it.
 const bodyMemoryShare = 0.35
 
-// errBodiesFull says that the bodies of open requests leave no memory for another one.
+// errBodiesFull is returned if the bodies of open requests leave no memory for another one.
 var errBodiesFull = errors.New("the bodies of open requests take all the memory that they may")
 
 // bodyBuffer reads a request body and accounts for its memory.
@@ -63,8 +63,8 @@
 	b.reserved = 0
 }
 
-// responseWriteSlack is how long after the request's deadline the end of its response may take to
-// be written to the caller.
+// responseWriteSlack bounds the time after the request's deadline in which the rest of its response
+// is written to the caller.
 const responseWriteSlack = 200 * time.Millisecond
 
 // setIODeadlines bounds the time to read the body and to write the response. A caller that stops
--- a/entry/gateway/connections.go
+++ b/entry/gateway/connections.go
@@ -20,13 +20,13 @@
 // arrived.
 type callerConnection struct {
 	net.Conn
-	mu sync.Mutex
-	// state is what the connection is used for, and since is when it entered that state.
+	mu    sync.Mutex
 	state connectionState
+	// since is the time at which the connection entered its state.
 	since time.Time
 }
 
-// connectionState is what a connection is used for.
+// connectionState classifies the present use of a connection.
 type connectionState uint8
 
 const (
--- a/entry/gateway/crash.go
+++ b/entry/gateway/crash.go
@@ -51,11 +51,11 @@
 	}
 }
 
-// crashCheckDelay is the delay between the cancellation of an attempt and the check of its
-// server. A server that continues with a cancelled request may crash under it while no
-// connection is left that would break; a request whose callers disconnect early crashed one
-// server after the other. Servers are required to drop a cancelled request within half a second, so
-// that no later crash is caused by it.
+// crashCheckDelay is the delay between the cancellation of an attempt and the check of its server.
+// A server that continues with a cancelled request may crash under it while no connection is left
+// that would break; a request whose callers disconnected early crashed one server after the other.
+// Servers are required to drop a cancelled request within half a second, so that no later crash is
+// caused by it.
 const crashCheckDelay = 500 * time.Millisecond
 
 // checkCrashLater checks a server when it should have dropped the request.
--- a/entry/gateway/crosszone.go
+++ b/entry/gateway/crosszone.go
@@ -103,8 +103,8 @@
 	return table.Service(name)
 }
 
-// advertisedHeadroom returns the headroom in heartbeats to other zones: that of the engine service
-// with the least spare capacity.
+// advertisedHeadroom returns the spare capacity in heartbeats to other zones: that of the engine
+// service with the least of it.
 func (s *Server) advertisedHeadroom(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // handlePlacementRequest places another zone's request at the servers of this zone. It records the
-// dispatch, so that the next request is not given the same place.
+// dispatch, so that the next placement takes it into account.
 func (s *Server) handlePlacementRequest(now time.Time, from string, request peering.PlacementRequest) {
 	reply := peering.PlacementReply{ID: request.Dispatch.ID}
 	d := request.Dispatch
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -59,7 +59,7 @@
 }
 
 // An entry starts while a request of another one is open. It missed the update of that request, and
-// would consider the server free unless it is told again.
+// would consider the server free unless the dispatch is reported to it again.
 func TestAStartedEntryLearnsOfOpenDispatches(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
@@ -144,9 +144,9 @@
 }
 
 // In a rolling restart that is faster than the entries drain, both entries are stopping and refuse
-// new requests. A caller that was told to retry at once was refused by the other entry too, and had
-// no retry left. Retry-After names the start of the next entry; while another one serves, the
-// caller retries at once.
+// new requests. A caller whose Retry-After allowed an immediate retry was refused by the other
+// entry too, and had no retry left. Retry-After names the start of the next entry; while another
+// one serves, the caller retries at once.
 func TestTheRetryAfterDuringShutdownIsTheNextEntrysStart(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
@@ -200,9 +200,10 @@
 	require.Empty(t, down.Runs())
 }
 
-// All entries start at once and know only a seed in another zone, which tells each of them of those
-// that were there before. Until the next heartbeat no other entry would hear of it, and all would
-// send their first requests to the same servers.
+// All entries start at once and know only a seed in another zone, which sends each of them the
+// addresses of the earlier ones. Without a message from the new entry the earlier ones would not
+// learn of it until the next heartbeat, and all would send their first requests to the same
+// servers.
 func TestADiscoveredPeerIsContactedAtOnce(t *testing.T) {
 	w := newTestbed(t)
 	s := New(Options{Settings: w.newSettings(), Log: process.NewDiscardLogger(), Trail: audit.NewTrail(nil, 100)})
--- a/entry/gateway/handler.go
+++ b/entry/gateway/handler.go
@@ -46,7 +46,7 @@
 	forward    *execution.Forward
 	// draw is a random number that splits requests between services and breaks ties.
 	draw float64
-	// retryCharged says that the retry budget was charged for the next attempt before this one was
+	// retryCharged is set if the retry budget was charged for the next attempt before this one was
 	// cancelled.
 	retryCharged atomic.Bool
 	// crossZoneAskedAt is the time of the last placement request to another zone;
@@ -55,7 +55,7 @@
 	crossZoneDispatchID string
 	// errorResponse is the latest complete error response of a server.
 	errorResponse *bufferedResponse
-	// headersSent says that the response headers have been sent.
+	// headersSent is set once the response headers have been sent.
 	headersSent bool
 	// hash is the request's fingerprint; valid if hashed is set.
 	hash   quarantine.Fingerprint
@@ -64,8 +64,8 @@
 	lastEventID string
 	eventCount  int
 	firstByteAt time.Time
-	// lastEventAt is when the last event was sent, longestGap the longest interval between two
-	// events.
+	// lastEventAt is the time at which the last event was sent, longestGap the longest interval
+	// between two events.
 	lastEventAt time.Time
 	longestGap  time.Duration
 	phase       atomicPhase
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -22,8 +22,8 @@
 	peerFetchTimeout = 1500 * time.Millisecond
 	// peerDialTimeout bounds connecting for it.
 	peerDialTimeout = 400 * time.Millisecond
-	// storeOutageTolerance is how long the store may be unavailable before the servers of a peer's
-	// view are applied as well.
+	// storeOutageTolerance bounds the time for which the store may be unavailable before the
+	// servers of a peer's view are applied as well.
 	storeOutageTolerance = 300 * time.Millisecond
 	// catchUpDelay is the delay before an entry that learns of a later view fetches it: the
 	// datagrams with the changes may still be arriving.
@@ -44,7 +44,7 @@
 	fetching bool
 	// views caches the encoded views.
 	views viewCache
-	// catchUpPending says that a scheduled catchUp has not run yet.
+	// catchUpPending is set while a scheduled catchUp has not run.
 	catchUpPending bool
 	// placementReplies holds the pending placement requests to other zones, by dispatch ID.
 	placementReplies map[string]placementReply
@@ -276,8 +276,9 @@
 	if redirects {
 		p.sendRemote(now, 0, []string{m.From})
 	}
-	// Replies tell who is up to date. When all entries start at once, nobody would otherwise hear
-	// of most others until the next heartbeat, and all would choose the same servers.
+	// Replies show which entries are up to date. When all entries start at once, none would
+	// otherwise learn of most others until the next heartbeat, and all would choose the same
+	// servers.
 	p.greetFound(now, sender.Discovered)
 	p.scheduleCatchUp(m)
 	switch {
--- a/entry/gateway/quarantine.go
+++ b/entry/gateway/quarantine.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// recordCrash records that a server has crashed under a request, and tells all entries: the request
-// may be repeated at any of them.
+// recordCrash records that a server has crashed under a request, and notifies all entries: the
+// request may be repeated at any of them.
 func (s *Server) recordCrash(now time.Time, request startedRequest, choice placement.Choice) {
 	incarnation := choice.Server.IncarnationID()
 	s.mu.Lock()
--- a/entry/gateway/quarantine_test.go
+++ b/entry/gateway/quarantine_test.go
@@ -162,7 +162,8 @@
 }
 
 // A request is repeated at the only entry, and its first attempt is the third crash. It must not be
-// retried, although its route allows it, and its caller must not be told that it did not run.
+// retried, although its route allows it, and its caller must not get a response that states that it
+// did not run.
 func TestARequestIsNotRetriedAfterTheThirdCrash(t *testing.T) {
 	f := newPoisonFleet(t, 1, "plain", 8, nil)
 	for range 3 {
--- a/entry/gateway/responses.go
+++ b/entry/gateway/responses.go
@@ -133,7 +133,7 @@
 }
 
 // logAttempt logs how an attempt ended. If the server broke the connection, the line has the
-// fingerprint, which is the same for all repeats of the request, and says whether the server has
+// fingerprint, which is the same for all repeats of the request, and states whether the server has
 // crashed, if that was checked.
 func (e *exchange) logAttempt(result attemptResult) {
 	fields := logrus.Fields{"request": e.info.ID, "server": result.Server, "result": result.Kind.String(),
--- a/entry/gateway/server.go
+++ b/entry/gateway/server.go
@@ -98,10 +98,11 @@
 	loadTable    *placement.LoadTable
 	// cold limits the request rate of servers that are still cold.
 	cold *coldstart.Limiter
-	// lastServerAddedAt is when a change, as opposed to a full read, last added a server to the
-	// list.
+	// lastServerAddedAt is the time at which a change, as opposed to a full read, last added a
+	// server to the list.
 	lastServerAddedAt time.Time
-	// localRouting says for each engine service whether entries use only the servers of their zone.
+	// localRouting holds for each engine service whether entries use only the servers of their
+	// zone.
 	localRouting map[string]zonerouting.LocalRouting
 	budgets      map[string]*execution.RetryBudget
 	// tracker tracks requests under which servers have crashed.
@@ -178,9 +179,9 @@
 }
 
 // newTransport returns a transport that opens a connection for each request. With a reused
-// connection that the server is about to close, a request may be lost without anybody knowing
-// whether it ran, and a duplicate or late response would be taken for that of the next request. A
-// new connection costs a millisecond.
+// connection that the server is about to close, a request may be lost without evidence whether it
+// ran, and a duplicate or late response would be taken for that of the next request. A new
+// connection costs a millisecond.
 func newTransport() *http.Transport {
 	return &http.Transport{DialContext: newDialer().DialContext, DisableKeepAlives: true, DisableCompression: true}
 }
@@ -190,10 +191,10 @@
 	return &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: serverKeepAlive, Control: netopts.ControlFor(serverUserTimeout)}
 }
 
-// serverUserTimeout is how long a backend server or the store may leave data unacknowledged. One
-// that is cut off sends no reset; the caller of a short prompt disconnects after two seconds
-// without an event, and a stream that is to be resumed at another server has to be cancelled before
-// that.
+// serverUserTimeout bounds the time for which a backend server or the store may leave data
+// unacknowledged. One that is cut off sends no reset; the caller of a short prompt disconnects
+// after two seconds without an event, and a stream that is to be resumed at another server has to
+// be cancelled before that.
 const serverUserTimeout = 1700 * time.Millisecond
 
 // serverKeepAlive probes connections on which nothing is sent. The kernel counts in whole seconds,
--- a/entry/gateway/shutdown.go
+++ b/entry/gateway/shutdown.go
@@ -51,8 +51,9 @@
 	return wait + time.Duration(s.randomFloat()*float64(wait)/4)
 }
 
-// remainingLifetime returns how long this entry still runs, once it stops and another entry serves;
-// 0 otherwise. If no other entry serves, a response that may be aborted is better than none.
+// remainingLifetime returns the time until this entry exits, once it stops and another entry
+// serves; 0 otherwise. If no other entry serves, a response that may be aborted is better than
+// none.
 func (s *Server) remainingLifetime(now time.Time) time.Duration {
 	since := s.stopping.Load()
 	if since == nil {
--- a/entry/gateway/storeloop.go
+++ b/entry/gateway/storeloop.go
@@ -114,8 +114,8 @@
 	}
 	s.serveWhenReady()
 	if s.manager.State() == lifecycle.Starting {
-		// Other entries wait for the store readers before they turn to the store, although there is
-		// nothing to serve with yet.
+		// Other entries wait for the store readers before they read the store themselves, although
+		// there is no configuration to serve with yet.
 		s.peers.broadcastState()
 	}
 	return nil
