--- a/core/execution/ledger_test.go
+++ b/core/execution/ledger_test.go
@@ -69,8 +69,8 @@
 	require.Equal(t, CodeDraining, result.Refusal.Code)
 }
 
-// An offer is refused because the queue is full; a delayed copy of it arrives
-// when there is capacity. The caller was told notRun, so the copy must not run.
+// An offer is refused because the queue is full; a delayed copy of it arrives when
+// there is capacity. NotRun was reported to the caller, so the copy must not run.
 func TestLedgerKeepsATombstoneOfARefusal(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	require.Equal(t, Refused, l.Offer(now, offerAt(now, "x", Key{}), full).Verdict)
@@ -80,8 +80,9 @@
 	require.Equal(t, NotRun, outcome)
 }
 
-// A cancel overtakes its offer, or arrives between queueing and dispatch. The
-// caller was told notRun, so neither the late offer nor the dispatch may proceed.
+// A cancel overtakes its offer, or arrives between queueing and dispatch. NotRun
+// was reported to the caller, so neither the late offer nor the dispatch may
+// proceed.
 func TestLedgerKeepsATombstoneOfACancel(t *testing.T) {
 	l, now := testLedger(), ledgerStart.Add(time.Hour)
 	cancel := CancelRequest{Attempt: "x", Target: "a#1", OfferExpires: now}
--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -265,7 +265,7 @@
 		// engine's memory for an answer that nobody reads.
 		return r.cancel(now)
 	}
-	return r.settle(now, frame.Outcome, r.lastCause)
+	return r.retryOrConclude(now, frame.Outcome, r.lastCause)
 }
 
 // onStreamBroken handles a stream that broke before its last frame.
@@ -303,16 +303,16 @@
 	if cause.Code == "" {
 		cause = Refusal{Code: CodeConnectionLost, Detail: "the connection to the server was lost"}
 	}
-	return r.settle(now, outcome, cause)
+	return r.retryOrConclude(now, outcome, cause)
 }
 
-// settle retries or concludes after an attempt that ended with an outcome other
+// retryOrConclude retries or concludes after an attempt that ended with an outcome other
 // than Finished.
 //
 // A request that may run only once is retried on NotRun alone. A retryable one is
 // retried within the budget, unless a part of the answer was delivered: its tokens
 // would be mixed with those of another run.
-func (r *Request) settle(now time.Time, outcome Outcome, cause Refusal) []Action {
+func (r *Request) retryOrConclude(now time.Time, outcome Outcome, cause Refusal) []Action {
 	if outcome == NotRun {
 		return r.retryNotRun(now, cause, r.hostEvidence(now))
 	}
--- a/core/execution/request_test.go
+++ b/core/execution/request_test.go
@@ -21,8 +21,8 @@
 		require.IsType(t, SendCancel{}, r.Step(now, ends)[0])
 		return r
 	}
-	for told, answer := range map[Outcome]Event{NotRun: CancelAnswered{"a", NotRun}, Failed: CancelAnswered{"a", Failed}, Unknown: ends} {
+	for outcome, answer := range map[Outcome]Event{NotRun: CancelAnswered{"a", NotRun}, Failed: CancelAnswered{"a", Failed}, Unknown: ends} {
 		actions := waiting().Step(now, answer)
-		require.Equal(t, []Action{Conclude{Conclusion{Outcome: told, Refusal: &ends.Refusal, Attempts: 1}}}, actions, told.String())
+		require.Equal(t, []Action{Conclude{Conclusion{Outcome: outcome, Refusal: &ends.Refusal, Attempts: 1}}}, actions, outcome.String())
 	}
 }
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -61,16 +61,16 @@
 func TestOneEntryOfAZoneReads(t *testing.T) {
 	groups := zoneGroups(8, sameCapacity)
 	require.Len(t, readersOf(groups, start), 8, "no reader is known yet")
-	first, places := 0, map[int]bool{}
+	first, ranks := 0, map[int]bool{}
 	for i, g := range groups {
-		place, others := g.rank(start, canRead)
+		rank, others := g.rank(start, canRead)
 		require.Equal(t, 7, others)
-		places[place] = true
-		if place == 0 {
+		ranks[rank] = true
+		if rank == 0 {
 			first = i
 		}
 	}
-	require.Len(t, places, 8, "all compute the same ranks")
+	require.Len(t, ranks, 8, "all compute the same ranks")
 	broadcast(groups, start, first, StoreState{Reads: true}, 1)
 	require.Equal(t, []int{first}, readersOf(groups, start))
 }
@@ -201,7 +201,7 @@
 
 const (
 	healthy   fault = iota
-	storeless       // its connection to the store is silent
+	storeless       // its connection to the store is unresponsive
 	killed          // it neither sends nor reads
 	mute            // nothing that it sends arrives
 	deaf            // nothing arrives at it
@@ -215,12 +215,12 @@
 // may be terminated, cut off in one direction or stale. Otherwise callers would be served by a configuration, or
 // sent to a server, that has been gone for seconds.
 func TestEveryHealthyEntryLearnsOfChangesInTime(t *testing.T) {
-	playAllFaults(t, 4, faultKinds)
-	playAllFaults(t, 6, storeless+1)
+	simulateAllFaults(t, 4, faultKinds)
+	simulateAllFaults(t, 6, storeless+1)
 }
 
-// playAllFaults plays every combination of the first kinds of faults over some entries.
-func playAllFaults(t *testing.T, entries int, kinds fault) {
+// simulateAllFaults simulates every combination of the first kinds of faults over some entries.
+func simulateAllFaults(t *testing.T, entries int, kinds fault) {
 	combinations := 1
 	for range entries {
 		combinations *= int(kinds)
@@ -232,7 +232,7 @@
 		}
 		for phase := range 5 {
 			z := newSimulatedZone(faultOf, time.Duration(phase)*tick)
-			z.play(t, 7*time.Second)
+			z.simulate(t, 7*time.Second)
 		}
 	}
 }
@@ -243,11 +243,11 @@
 // readOptions make entries learn of changes within the limit.
 var readOptions = ReadOptions{Limit: changeLimit}
 
-// callTimeout is the time after which a call on a silent connection is given up: its long poll, and the second
+// callTimeout is the time after which a call on an unresponsive connection is given up: its long poll, and the second
 // that the store's client allows beyond it.
 func callTimeout() time.Duration { return readOptions.LongPollTimeout(2*time.Second) + time.Second }
 
-// simulatedZone plays the entries of a zone and the store in steps of virtual time. The store changes
+// simulatedZone simulates the entries of a zone and the store in steps of virtual time. The store changes
 // continuously; knownUpTo is the time up to which an entry has learned of all changes.
 type simulatedZone struct {
 	groups      []*Group
@@ -277,7 +277,7 @@
 
 func (z *simulatedZone) isStopped(i int) bool { return z.hasFault(i, killed) || z.hasFault(i, frozen) }
 
-func (z *simulatedZone) play(t *testing.T, length time.Duration) {
+func (z *simulatedZone) simulate(t *testing.T, length time.Duration) {
 	for ; z.now < length; z.now += tick {
 		for i := range z.groups {
 			if !z.isStopped(i) {
--- a/core/placement/loadtable.go
+++ b/core/placement/loadtable.go
@@ -40,9 +40,9 @@
 	advanced time.Time
 	// updatedAt is the time of the latest begin, first event or end at the server.
 	updatedAt time.Time
-	// lastAnswered is the start time of the newest request that has its first event.
-	lastAnswered time.Time
-	health       serverHealth
+	// lastAnsweredStart is the start time of the newest request that has its first event.
+	lastAnsweredStart time.Time
+	health            serverHealth
 }
 
 type activeDispatch struct {
@@ -151,8 +151,8 @@
 		return
 	}
 	s.health.answered(a.began)
-	if a.began.After(s.lastAnswered) {
-		s.lastAnswered = a.began
+	if a.began.After(s.lastAnsweredStart) {
+		s.lastAnsweredStart = a.began
 	}
 	if a.predicted > 0 {
 		s.observeLatency(now.Sub(a.began), a.predicted)
@@ -321,7 +321,7 @@
 
 // OpenDispatches returns this entry's own dispatches in progress with their remaining times, and the
 // identifiers of those that have their first event. A peer that has missed them records them like new ones.
-func (t *LoadTable) OpenDispatches(now time.Time) (begun []Dispatch, first []string) {
+func (t *LoadTable) OpenDispatches(now time.Time) (dispatches []Dispatch, firstEvents []string) {
 	for _, id := range slices.Sorted(maps.Keys(t.active)) {
 		a := t.active[id]
 		if a.peer != "" || !now.Before(a.expires) {
@@ -332,12 +332,12 @@
 		if d.Target > 0 {
 			d.Target = max(d.Target-now.Sub(a.began), time.Millisecond)
 		}
-		begun = append(begun, d)
+		dispatches = append(dispatches, d)
 		if a.answering {
-			first = append(first, id)
+			firstEvents = append(firstEvents, id)
 		}
 	}
-	return begun, first
+	return dispatches, firstEvents
 }
 
 // CountOwnAt returns the number of this entry's own dispatches in progress whose server or one of whose
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -332,17 +332,17 @@
 	require.Equal(t, NoServer, refusal)
 }
 
-// A server goes down, and all entries of a zone notice at the same moment. The first one tells the others,
-// and each backs off for a different time, so that one of them finds out whether the server is back.
+// A server goes down, and all entries of a zone notice at the same moment. The first one notifies the others, and
+// each backs off for a different time, so that one of them finds out whether the server is back.
 func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
-	told := newTable()
-	told.MarkUnreachableByPeer(start, "s00", 0)
-	choice, refusal := told.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
+	table := newTable()
+	table.MarkUnreachableByPeer(start, "s00", 0)
+	choice, refusal := table.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
-	told.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
-	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
+	table.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
+	require.Equal(t, start.Add(backoffBase*3/4), table.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
 	later := newTable()
 	later.MarkUnreachableByPeer(start, "s00", 1)
 	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
--- a/core/placement/stall.go
+++ b/core/placement/stall.go
@@ -28,7 +28,7 @@
 		return longest
 	}
 	for _, w := range s.workItems {
-		if w.index != 0 || w.split() || w.writing || w.prefillDone.IsZero() || w.began.Before(s.lastAnswered) {
+		if w.index != 0 || w.split() || w.writing || w.prefillDone.IsZero() || w.began.Before(s.lastAnsweredStart) {
 			continue
 		}
 		longest = max(longest, now.Sub(w.prefillDone))
--- a/core/placement/suspect_test.go
+++ b/core/placement/suspect_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry is cut off from a peer, which goes on sending prompts to its own servers unheard. This one avoids
-// those servers as long as others suffice, and uses them when the rest would be late.
+// An entry is cut off from a peer, which goes on sending prompts to its own servers; its dispatches do not
+// arrive here. This one avoids those servers as long as others suffice, and uses them when the rest would be
+// late.
 func TestServersOfSuspectPeersAreAvoided(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	q := shortQuery(servers)
@@ -24,7 +25,7 @@
 	require.Contains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 }
 
-// An entry starts while a peer has work in progress. It hears of the open dispatches and their first events,
+// An entry starts while a peer has work in progress. It receives the open dispatches and their first events,
 // with the remaining times, and records the same loads.
 func TestAPeerCanRecordOpenDispatches(t *testing.T) {
 	table, servers := newTable(), fleet(2)
@@ -32,17 +33,17 @@
 	table.Begin(start, Dispatch{ID: "reading", Server: "s01", PromptTokens: 150_000, AnswerTokens: 800, Target: 3 * time.Second, Lifetime: 15 * time.Second}, engine, 0)
 	table.BeginPeerDispatch(start, "another", Dispatch{ID: "theirs", Server: "s01", PromptTokens: 1000, Lifetime: 9 * time.Second}, engine)
 	later := start.Add(time.Second)
-	begun, first := table.OpenDispatches(later)
-	require.Equal(t, []string{"answering"}, first)
-	require.Len(t, begun, 2, "only its own")
-	require.Equal(t, 14*time.Second, begun[1].Lifetime)
-	require.Equal(t, 2*time.Second, begun[1].Target)
+	dispatches, firstEvents := table.OpenDispatches(later)
+	require.Equal(t, []string{"answering"}, firstEvents)
+	require.Len(t, dispatches, 2, "only its own")
+	require.Equal(t, 14*time.Second, dispatches[1].Lifetime)
+	require.Equal(t, 2*time.Second, dispatches[1].Target)
 
 	started := newTable()
-	for _, d := range begun {
+	for _, d := range dispatches {
 		started.BeginPeerDispatch(later, "b", d, engine)
 	}
-	for _, id := range first {
+	for _, id := range firstEvents {
 		started.FirstEvent(later, id)
 	}
 	require.Equal(t, table.servers["s00"].memoryUsed(), started.servers["s00"].memoryUsed())
--- a/entry/gateway/body_test.go
+++ b/entry/gateway/body_test.go
@@ -84,7 +84,7 @@
 			const callers, bodyBytes = 20, 3 << 20
 			settings := w.newSettings()
 			settings.MemoryMB = 40
-			room := int64(settings.MemoryMB<<20) * 35 / 100
+			limit := int64(settings.MemoryMB<<20) * 35 / 100
 			s := w.start(settings)
 			w.eventually("the entry is ready", func() bool { return w.isCurrent(s) })
 			body := strings.Repeat("x", bodyBytes)
@@ -98,10 +98,10 @@
 			}
 			refused := func() int { return len(statuses) }
 			w.eventually("the others are refused", func() bool { return refused()+len(worker.Runs()) == callers })
-			require.LessOrEqual(t, s.bodies.Reserved(), room)
-			require.LessOrEqual(t, len(worker.Runs()), int(room/bodyBytes))
+			require.LessOrEqual(t, s.bodies.Reserved(), limit)
+			require.LessOrEqual(t, len(worker.Runs()), int(limit/bodyBytes))
 			if length > 0 {
-				require.Len(t, worker.Runs(), int(room/bodyBytes))
+				require.Len(t, worker.Runs(), int(limit/bodyBytes))
 			}
 			for range refused() {
 				require.Equal(t, http.StatusServiceUnavailable, <-statuses)
--- a/entry/gateway/crosszone.go
+++ b/entry/gateway/crosszone.go
@@ -64,8 +64,8 @@
 // zoneWithCapacity returns the address of an entry whose zone has clearly more spare capacity than
 // this one.
 func (s *Server) zoneWithCapacity(now time.Time, service string) (string, bool) {
-	own, divided := s.ownCapacity(now, service)
-	if !divided {
+	own, local := s.ownCapacity(now, service)
+	if !local {
 		return "", false
 	}
 	s.peers.mu.Lock()
@@ -103,9 +103,9 @@
 	return table.Service(name)
 }
 
-// advertisedHeadroom returns the spare capacity in heartbeats to other zones: that of the engine
+// advertisedSpareCapacity returns the spare capacity in heartbeats to other zones: that of the engine
 // service with the least of it.
-func (s *Server) advertisedHeadroom(now time.Time) float64 {
+func (s *Server) advertisedSpareCapacity(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	least := 1.0
--- a/entry/gateway/crosszone_test.go
+++ b/entry/gateway/crosszone_test.go
@@ -96,16 +96,16 @@
 	w.configure(nil)
 	w.addZones("here", "there")
 	here, _ := w.startTwoZones()
-	divided := func() bool {
+	zoneLocal := func() bool {
 		here.peers.mu.Lock()
 		defer here.peers.mu.Unlock()
 		return here.peers.group.LocalRouting()
 	}
 	w.configure(standin.AddEngineService("small"))
-	w.eventually("the small service prevents zone-local routing", func() bool { return w.isCurrent(here) && !divided() })
+	w.eventually("the small service prevents zone-local routing", func() bool { return w.isCurrent(here) && !zoneLocal() })
 	w.configure(nil)
 	w.eventually("the small service is removed", func() bool { return w.isCurrent(here) })
-	w.eventually("routing is zone-local again", divided)
+	w.eventually("routing is zone-local again", zoneLocal)
 }
 
 // A service with zone-local routing is removed from the configuration while its servers are still
@@ -121,10 +121,10 @@
 		}
 	}
 	here, _ := w.startTwoZones()
-	require.EqualValues(t, 1, here.advertisedHeadroom(time.Now()))
+	require.EqualValues(t, 1, here.advertisedSpareCapacity(time.Now()))
 	w.configure(nil)
 	w.eventually("the second service is removed", func() bool { return w.isCurrent(here) })
-	w.eventually("the headroom is that of the other service", func() bool { return here.advertisedHeadroom(time.Now()) == 1 })
+	w.eventually("the spare capacity is that of the other service", func() bool { return here.advertisedSpareCapacity(time.Now()) == 1 })
 }
 
 // All servers of a zone are down. Its callers would be refused while the other zone's servers are
@@ -143,7 +143,7 @@
 		}
 	}
 	markServersUnreachable(here)
-	w.eventually("the other zone's headroom is known", func() bool {
+	w.eventually("the other zone's spare capacity is known", func() bool {
 		_, ok := here.zoneWithCapacity(time.Now(), "engines")
 		return ok
 	})
@@ -195,7 +195,7 @@
 			standin.Events(out, r, 1, 0)
 		}
 	}
-	w.eventually("the other zone's headroom is known", func() bool {
+	w.eventually("the other zone's spare capacity is known", func() bool {
 		markServersUnreachable(here)
 		_, ok := here.zoneWithCapacity(time.Now(), "engines")
 		return ok
@@ -241,7 +241,7 @@
 		worker.Memory = 1000
 	}
 	markServersUnreachable(here)
-	w.eventually("the other zone's headroom is known", func() bool {
+	w.eventually("the other zone's spare capacity is known", func() bool {
 		_, ok := here.zoneWithCapacity(time.Now(), "engines")
 		return ok
 	})
--- a/entry/gateway/evacuation_test.go
+++ b/entry/gateway/evacuation_test.go
@@ -169,7 +169,7 @@
 	here, there := w.startTwoZones()
 	w.store.Evacuate("here", true)
 	w.eventually("both know", func() bool { return here.isEvacuated("here") && there.isEvacuated("here") })
-	w.eventually("the other zone's headroom is known", func() bool {
+	w.eventually("the other zone's spare capacity is known", func() bool {
 		_, ok := here.zoneWithCapacity(time.Now(), "engines")
 		return ok
 	})
--- a/entry/gateway/fuzz_test.go
+++ b/entry/gateway/fuzz_test.go
@@ -25,11 +25,11 @@
 func seedMessages() []peering.Message {
 	d := placement.Dispatch{ID: "d", Server: "i-0", Helpers: []string{"i-1"}, PromptTokens: 200_000, AnswerTokens: 500, Gap: time.Second, Target: time.Second,
 		Lifetime: time.Minute, Reserved: []int64{1, 2}}
-	told := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
-	told.SetSpareCapacity(0.5)
-	told.SetRecordsDigest(7)
-	told.SetStoreState(peering.StoreState{Reads: true, Age: time.Second})
-	return []peering.Message{told, {Dispatches: []placement.Dispatch{d}, FirstEvents: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
+	message := peering.Message{Incarnation: "x", Version: 2, Revision: 9, Zone: "here", Members: []peering.ZoneMembers{{Zone: "there", Addresses: []string{"a"}}}}
+	message.SetSpareCapacity(0.5)
+	message.SetRecordsDigest(7)
+	message.SetStoreState(peering.StoreState{Reads: true, Age: time.Second})
+	return []peering.Message{message, {Dispatches: []placement.Dispatch{d}, FirstEvents: []string{"d"}}, {Ended: []string{"d"}, Unreachable: []string{"i-0"}, Stopping: true},
 		{PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: time.Second}}, {PlacementReply: &peering.PlacementReply{ID: "d", Server: "i-0", Reserved: []int64{1}}},
 		{Update: &peering.Update{BaseRevision: 1, UpToRevision: 3, Servers: []directory.Server{{ID: "i-9", Service: "engines", Address: "127.0.0.1:1", Revision: 3}},
 			Tombstones: []directory.Tombstone{{ID: "i-1", Revision: 3}}}},
@@ -113,9 +113,9 @@
 		now := time.Now()
 		for range rapid.IntRange(1, 4).Draw(r, "messages") {
 			d := drawDispatch(r)
-			place := peering.PlacementReply{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Reserved: d.Reserved, Predicted: d.Target}
+			reply := peering.PlacementReply{ID: d.ID, Server: "i-0", Helpers: d.Helpers, Reserved: d.Reserved, Predicted: d.Target}
 			m := peering.Message{From: "127.0.0.1:1", Zone: rapid.SampledFrom([]string{"", "here", "there"}).Draw(r, "zone"), Dispatches: []placement.Dispatch{d},
-				FirstEvents: []string{d.ID}, PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: d.Lifetime, Exclude: d.Helpers}, PlacementReply: &place}
+				FirstEvents: []string{d.ID}, PlacementRequest: &peering.PlacementRequest{Service: "engines", Dispatch: d, Remaining: d.Lifetime, Exclude: d.Helpers}, PlacementReply: &reply}
 			if rapid.Bool().Draw(r, "ended") {
 				m.Ended = []string{d.ID}
 			}
--- a/entry/gateway/heartbeats.go
+++ b/entry/gateway/heartbeats.go
@@ -48,7 +48,7 @@
 		return
 	}
 	m := p.s.recordsDigest()
-	m.SetSpareCapacity(p.s.advertisedHeadroom(now))
+	m.SetSpareCapacity(p.s.advertisedSpareCapacity(now))
 	p.mu.Lock()
 	p.group.FillRemoteHeartbeat(now, turn, &m)
 	p.mu.Unlock()
--- a/entry/gateway/loadupdates.go
+++ b/entry/gateway/loadupdates.go
@@ -192,13 +192,13 @@
 // those end, it would otherwise send prompts to servers that are full.
 func (p *peerTransport) sendOpenDispatches(now time.Time, target string) {
 	p.s.mu.Lock()
-	begun, first := p.s.loadTable.OpenDispatches(now)
+	dispatches, firstEvents := p.s.loadTable.OpenDispatches(now)
 	p.s.mu.Unlock()
 	targets := []string{target}
-	for part := range slices.Chunk(begun, maxDispatches) {
+	for part := range slices.Chunk(dispatches, maxDispatches) {
 		p.send(targets, peering.Message{Dispatches: part})
 	}
-	if len(first) > 0 {
-		p.send(targets, peering.Message{FirstEvents: first})
+	if len(firstEvents) > 0 {
+		p.send(targets, peering.Message{FirstEvents: firstEvents})
 	}
 }
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -88,7 +88,7 @@
 	{"waiting reads count", "core/placement/parts.go", "			helper += d.loss", "			helper += 0 * d.loss", placementPkg, "TestPartsKeepAwayFromPrompts"},
 	{"a prompt is delayed once", "core/placement/parts.go", "		sum += math.Min(g.delayed[d.waiting], d.loss)", "		sum += 0 * d.loss", placementPkg, "TestPartsDelayOnePrompt"},
 	{"a stall counts as backlog", "core/placement/choose.go", "s.waitingMs(now)", "s.backlogMs()", placementPkg, "TestAStalledServerIsAvoided"},
-	{"later answers show that a server works", "core/placement/stall.go", " || w.began.Before(s.lastAnswered)", "", placementPkg, "TestALostRequest"},
+	{"later answers show that a server works", "core/placement/stall.go", " || w.began.Before(s.lastAnsweredStart)", "", placementPkg, "TestALostRequest"},
 	{"waiting for a slot is no stall", "core/placement/stall.go", "	if s.requests() > s.engine.Slots {\n		return longest\n	}\n", "", placementPkg, "TestWaitingForASlot"},
 	{"a late prompt does not stall all answers", "core/placement/choose.go", "best.Wait == 0 && t.tooCostly(best, q)", "false", placementPkg, "TestALatePromptDoesNotStall"},
 	{"only written answers draw others", "core/placement/loss.go", "			if w.writing {\n", "			if w.index == 0 {\n", placementPkg, "TestOnlyAnswersBeingWritten"},
