--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -218,8 +218,8 @@
 	return c.orders.Due(now)
 }
 
-// OrderSettled records the result of an order.
-func (c *Core) OrderSettled(now time.Time, engine string, result orders.Result, retryAfter time.Duration) {
+// OrderEnded records the result of an order.
+func (c *Core) OrderEnded(now time.Time, engine string, result orders.Result, retryAfter time.Duration) {
 	c.orders.OrderEnded(now, engine, result, retryAfter)
 }
 
--- a/host/server/tick.go
+++ b/host/server/tick.go
@@ -118,7 +118,7 @@
 		cancel()
 	}
 	s.mu.Lock()
-	s.core.OrderSettled(time.Now(), order.Engine, orderResult(err), 0)
+	s.core.OrderEnded(time.Now(), order.Engine, orderResult(err), 0)
 	s.mu.Unlock()
 	event := audit.Event{Area: audit.Orders, Subject: order.Engine, To: order.Desired.String(),
 		Reason: fmt.Sprintf("fencing number %d", order.Fence), Source: "configuration", Refused: err != nil}
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -183,7 +183,7 @@
 				e.Orders = append(e.Orders, order)
 			}
 			if epoch == h.epoch {
-				h.reach(func() { h.Core.OrderSettled(h.lab.Now, order.Engine, result, 0) })
+				h.reach(func() { h.Core.OrderEnded(h.lab.Now, order.Engine, result, 0) })
 			}
 		})
 	}
