--- a/core/backend/offer.go
+++ b/core/backend/offer.go
@@ -21,7 +21,7 @@
 	PromptTokens int64
 	AnswerTokens int64
 	Deadline     time.Time
-	// Group is the engine group that shall serve the prompt, or empty.
+	// Group is the engine group that has to serve the prompt, or empty.
 	Group string
 }
 
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -1,7 +1,7 @@
-// Package frontend combines the entry's components (membership, routing,
-// admission, retry budget) into one state machine. Core does no I/O and holds no
-// authoritative state: its picture of the fleet may be stale, and the host daemons
-// decide on every offer.
+// Package frontend combines the entry's components (membership, routing, admission,
+// retry budget) into one state machine. Core does no I/O and holds no authoritative
+// state: its view of the fleet may be stale, and the host daemons decide on every
+// offer.
 package frontend
 
 import (
@@ -176,7 +176,7 @@
 	}
 }
 
-// Probe is a server to probe and the hall whose load it shall report.
+// Probe is a server to probe and the hall whose load it has to report.
 type Probe struct{ Server, Hall string }
 
 // ProbesDue returns the probes to send now. With refresh, it adds a random live
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -149,8 +149,8 @@
 }
 
 // ApplyHostList applies the platform's host list, which lags. It is a hint: a missing server is only suspect, and
-// a list that loses several hosts at once, more than MaxShrinkShare, is rejected, since the list fails more often
-// than half the fleet does.
+// a list that loses several hosts at once, more than MaxShrinkShare, is rejected, since a failure of the list is
+// more likely than one of half the fleet.
 func (v *View) ApplyHostList(now time.Time, rows []ListedServer) (changes []Change, accepted bool) {
 	present := map[string]bool{}
 	for _, row := range rows {
--- a/core/memory/leases.go
+++ b/core/memory/leases.go
@@ -47,7 +47,7 @@
 // Configure sets the capacity of each engine in tokens.
 func (l *Leases) Configure(capacity map[string]int64) { l.capacity = maps.Clone(capacity) }
 
-// releasedRetention is the time for which a release is remembered. Otherwise a
+// releasedRetention is the time for which a release is recorded. Otherwise a
 // reservation message that was overtaken by its release would take memory that
 // nobody releases before the lease expires. Messages are valid for seconds.
 const releasedRetention = time.Minute
--- a/core/orders/reconciler.go
+++ b/core/orders/reconciler.go
@@ -39,7 +39,7 @@
 	Busy bool
 }
 
-// Order asks an engine to change to the desired state.
+// Order is a request to an engine to change to the desired state.
 type Order struct {
 	Engine   string
 	Fence    uint64
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -17,7 +17,7 @@
 	Name   string `json:"name"`
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
-	// Repeat says whether a request that may already have run can be repeated.
+	// Repeat selects whether a request that may already have run can be retried.
 	Repeat execution.RetryPolicy `json:"repeat"`
 	// Streaming is set if answers are event streams.
 	Streaming bool `json:"streaming,omitempty"`
