--- a/core/execution/request.go
+++ b/core/execution/request.go
@@ -149,7 +149,7 @@
 
 // outcomeWithoutRun returns the outcome while no attempt of this request can have
 // run and no host has confirmed more. A key from the caller may have been sent
-// through another entry before; only its home knows.
+// through another entry before; only its home has the record.
 func (r *Request) outcomeWithoutRun() Outcome {
 	if r.options.KeyFromCaller {
 		return Unknown
@@ -265,7 +265,7 @@
 		// engine's memory for an answer that nobody reads.
 		return r.cancel(now)
 	}
-	return r.settle(now, frame.Outcome, r.lastCause)
+	return r.retryOrConclude(now, frame.Outcome, r.lastCause)
 }
 
 // onStreamBroken handles a stream that broke before its last frame.
@@ -303,16 +303,16 @@
 	if cause.Code == "" {
 		cause = Refusal{Code: CodeConnectionLost, Detail: "the connection to the server was lost"}
 	}
-	return r.settle(now, outcome, cause)
+	return r.retryOrConclude(now, outcome, cause)
 }
 
-// settle retries or concludes after an attempt that ended with an outcome other
+// retryOrConclude retries or concludes after an attempt that ended with an outcome other
 // than Finished.
 //
 // A request that may run only once is retried on NotRun alone. A retryable one is
 // retried within the budget, unless a part of the answer was delivered: its tokens
 // would be mixed with those of another run.
-func (r *Request) settle(now time.Time, outcome Outcome, cause Refusal) []Action {
+func (r *Request) retryOrConclude(now time.Time, outcome Outcome, cause Refusal) []Action {
 	if outcome == NotRun {
 		return r.retryNotRun(now, cause, r.hostEvidence(now))
 	}
@@ -369,8 +369,8 @@
 }
 
 // conclude ends the request. If an earlier attempt ran, the request's outcome is
-// not NotRun even if that of the last attempt is: the caller would be told that
-// the request had no effect although it had.
+// not NotRun even if that of the last attempt is: the caller would otherwise
+// conclude that the request had no effect although it had.
 func (r *Request) conclude(outcome Outcome, refusal *Refusal) []Action {
 	r.stage = stageConcluded
 	if outcome == NotRun && r.priorOutcome != 0 {
--- a/entry/gateway/crosszone.go
+++ b/entry/gateway/crosszone.go
@@ -64,8 +64,8 @@
 // zoneWithCapacity returns the address of an entry whose zone has clearly more spare capacity than
 // this one.
 func (s *Server) zoneWithCapacity(now time.Time, service string) (string, bool) {
-	own, divided := s.ownCapacity(now, service)
-	if !divided {
+	own, local := s.ownCapacity(now, service)
+	if !local {
 		return "", false
 	}
 	s.peers.mu.Lock()
@@ -103,9 +103,9 @@
 	return table.Service(name)
 }
 
-// advertisedHeadroom returns the headroom in heartbeats to other zones: that of the engine service
-// with the least spare capacity.
-func (s *Server) advertisedHeadroom(now time.Time) float64 {
+// advertisedSpareCapacity returns the spare capacity in heartbeats to other zones: that of the engine
+// service with the least of it.
+func (s *Server) advertisedSpareCapacity(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	least := 1.0
@@ -190,7 +190,7 @@
 }
 
 // handlePlacementRequest places another zone's request at the servers of this zone. It records the
-// dispatch, so that the next request is not given the same place.
+// dispatch, so that the next placement takes it into account.
 func (s *Server) handlePlacementRequest(now time.Time, from string, request peering.PlacementRequest) {
 	reply := peering.PlacementReply{ID: request.Dispatch.ID}
 	d := request.Dispatch
--- a/proof/lab/host.go
+++ b/proof/lab/host.go
@@ -185,7 +185,7 @@
 				e.Orders = append(e.Orders, order)
 			}
 			if incarnation == h.incarnation {
-				h.runOrDefer(func() { h.Core.OrderSettled(h.lab.Now, order.Engine, result, 0) })
+				h.runOrDefer(func() { h.Core.OrderEnded(h.lab.Now, order.Engine, result, 0) })
 			}
 		})
 	}
