--- a/core/backend/group.go
+++ b/core/backend/group.go
@@ -166,8 +166,8 @@
 
 // PartReplied handles a member's reply to RequestPart. A lost reply counts as a
 // refusal.
-func (c *Core) PartReplied(now time.Time, ask RequestPart, granted bool) []Effect {
-	return c.groupEffects(now, ask.Group, c.groups[ask.Group].reservations.OnReply(ask.Reservation, ask.Part, granted))
+func (c *Core) PartReplied(now time.Time, request RequestPart, granted bool) []Effect {
+	return c.groupEffects(now, request.Group, c.groups[request.Group].reservations.OnReply(request.Reservation, request.Part, granted))
 }
 
 func (c *Core) groupEffects(now time.Time, group string, actions []memory.GroupAction) []Effect {
--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -176,12 +176,12 @@
 // scheduling.
 func (c *Core) Tick(now time.Time) []Effect {
 	var effects []Effect
-	for _, lapsed := range c.ledger.Tick(now) {
-		if lapsed.StopRun {
-			effects = append(effects, c.stopRun(lapsed.Attempt)...)
+	for _, expired := range c.ledger.Tick(now) {
+		if expired.StopRun {
+			effects = append(effects, c.stopRun(expired.Attempt)...)
 			continue
 		}
-		effects = append(effects, c.closeAttempt(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
+		effects = append(effects, c.closeAttempt(now, expired.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
 	}
 	for _, lease := range c.leases.Tick(now) {
 		c.scheduler.Release(now, lease.Owner)
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -61,16 +61,16 @@
 func TestOneEntryOfAZoneReads(t *testing.T) {
 	groups := zoneGroups(8, sameCapacity)
 	require.Len(t, readersOf(groups, start), 8, "no reader is known yet")
-	first, places := 0, map[int]bool{}
+	first, ranks := 0, map[int]bool{}
 	for i, g := range groups {
-		place, others := g.rank(start, canRead)
+		rank, others := g.rank(start, canRead)
 		require.Equal(t, 7, others)
-		places[place] = true
-		if place == 0 {
+		ranks[rank] = true
+		if rank == 0 {
 			first = i
 		}
 	}
-	require.Len(t, places, 8, "all compute the same ranks")
+	require.Len(t, ranks, 8, "all compute the same ranks")
 	broadcast(groups, start, first, StoreState{Reads: true}, 1)
 	require.Equal(t, []int{first}, readersOf(groups, start))
 }
--- a/core/placement/admit.go
+++ b/core/placement/admit.go
@@ -65,12 +65,12 @@
 )
 
 // retryAfter returns the time in which the backlog that caused the refusal should be worked off.
-func retryAfter(refusal Refusal, met Choice) time.Duration {
+func retryAfter(refusal Refusal, choice Choice) time.Duration {
 	switch refusal {
 	case TooLate:
-		return met.Predicted / 2
+		return choice.Predicted / 2
 	case Overloaded:
-		return max(met.Predicted, slotRetryAfter)
+		return max(choice.Predicted, slotRetryAfter)
 	case NoMemory:
 		return memoryRetryAfter
 	}
--- a/core/placement/health.go
+++ b/core/placement/health.go
@@ -20,10 +20,10 @@
 	// maxSlowdown bounds the factor of a slow server; its predicted times are then beyond every target
 	// anyway.
 	maxSlowdown = 8
-	// backoffBase and backoffMax bound the backoff of an unreachable server. It doubles with each consecutive
+	// minBackoff and maxBackoff bound the backoff of an unreachable server. It doubles with each consecutive
 	// failure, so that a flapping server is not flooded on its return.
-	backoffBase = 500 * time.Millisecond
-	backoffMax  = 4 * time.Second
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
 	// backoffJitter is the share of the backoff by which it is randomly lengthened or shortened.
 	backoffJitter = 0.25
 )
@@ -63,7 +63,7 @@
 // servers to each other, would retry one at the same moment.
 func (h *serverHealth) unreachable(now time.Time, draw float64) {
 	h.failed(now)
-	pause := min(backoffBase<<min(h.misses, 8), backoffMax)
+	pause := min(minBackoff<<min(h.misses, 8), maxBackoff)
 	h.misses++
 	h.missedAt = now
 	h.backoffUntil = now.Add(time.Duration(float64(pause) * (1 - backoffJitter + 2*backoffJitter*draw)))
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -336,16 +336,16 @@
 // and each backs off for a different time, so that one of them finds out whether the server is back.
 func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
-	told := newTable()
-	told.MarkUnreachableByPeer(start, "s00", 0)
-	choice, refusal := told.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
+	notified := newTable()
+	notified.MarkUnreachableByPeer(start, "s00", 0)
+	choice, refusal := notified.Choose(start.Add(300*time.Millisecond), shortQuery(servers))
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
-	told.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
-	require.Equal(t, start.Add(backoffBase*3/4), told.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
+	notified.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
+	require.Equal(t, start.Add(minBackoff*3/4), notified.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
 	later := newTable()
 	later.MarkUnreachableByPeer(start, "s00", 1)
-	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
+	require.Equal(t, start.Add(minBackoff*5/4), later.servers["s00"].health.backoffUntil)
 }
 
 // A server is back, and one entry's request has its first event there. The peers hear of it and use the
--- a/entry/gateway/peers.go
+++ b/entry/gateway/peers.go
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// greetFound sends a message to newly discovered entries of this zone, and asks one of them for the
-// members if nobody has sent them yet.
-func (p *peerTransport) greetFound(now time.Time, found []string) {
+// greetDiscovered sends a message to newly discovered entries of this zone, and asks one of them for
+// the members if no entry has sent them yet.
+func (p *peerTransport) greetDiscovered(now time.Time, discovered []string) {
 	p.mu.Lock()
-	askTargets, notifyTargets := p.group.SplitGreetings(now, found)
+	askTargets, notifyTargets := p.group.SplitGreetings(now, discovered)
 	p.mu.Unlock()
 	p.send(askTargets, peering.Message{WantsMembers: true})
 	p.send(notifyTargets, peering.Message{})
@@ -257,7 +257,7 @@
 func (p *peerTransport) handleMessage(now time.Time, m peering.Message) {
 	p.mu.Lock()
 	sender := p.group.Observe(now, m)
-	shouldRelay, redirects, wrongIncarnation := p.group.ShouldRelay(m), p.group.ShouldRedirect(now, m), p.group.MistakenForLocal(m)
+	shouldRelay, redirects, mistakenForLocal := p.group.ShouldRelay(m), p.group.ShouldRedirect(now, m), p.group.MistakenForLocal(m)
 	p.mu.Unlock()
 	p.s.applyLoadUpdates(now, m, sender.Restarted)
 	p.mergeRecords(now, m)
@@ -278,12 +278,12 @@
 	}
 	// Replies show which entries are up to date. When all entries start at once, they would
 	// otherwise not know most others until the next heartbeat, and all would choose the same servers.
-	p.greetFound(now, sender.Discovered)
+	p.greetDiscovered(now, sender.Discovered)
 	p.scheduleCatchUp(m)
 	switch {
 	case m.WantsMembers:
 		p.sendMembership(now, m.From, m.Zone)
-	case sender.Joined && sender.Local, wrongIncarnation:
+	case sender.Joined && sender.Local, mistakenForLocal:
 		p.send([]string{m.From}, peering.Message{})
 	}
 	if sender.NeedsSync {
@@ -310,10 +310,10 @@
 		return
 	}
 	p.mu.Lock()
-	due := p.catchUpPending
+	pending := p.catchUpPending
 	p.catchUpPending = true
 	p.mu.Unlock()
-	if due {
+	if pending {
 		return
 	}
 	time.AfterFunc(catchUpDelay, func() {
--- a/proof/mutations/forwarding_mutations_test.go
+++ b/proof/mutations/forwarding_mutations_test.go
@@ -75,7 +75,7 @@
 	{"what others met at the same moment adds nothing", "core/placement/health.go", "	if s.health.inBackoff(now) {\n		return\n	}\n", "", placementPkg, "TestPeersReportAnUnreachable"},
 	{"a first event ends the pause", "core/placement/health.go", "		h.misses, h.backoffUntil = 0, time.Time{}\n	}\n}", "	}\n}", placementPkg, "TestAFirstEventShows"},
 	{"an event of before shows nothing", "core/placement/health.go", "	if began.After(h.missedAt) {", "	if true {", placementPkg, "TestAFirstEventShows"},
-	{"a found neighbour is greeted", "entry/gateway/peers.go", "	p.greetFound(now, sender.Discovered)\n", "", gatewayPkg, "TestADiscoveredPeerIsContactedAtOnce"},
+	{"a found neighbour is greeted", "entry/gateway/peers.go", "	p.greetDiscovered(now, sender.Discovered)\n", "", gatewayPkg, "TestADiscoveredPeerIsContactedAtOnce"},
 	{"a changed limit changes who reads", "entry/gateway/settingsloop.go", "	s.setReadOptions(settings.readOptions())\n", "", gatewayPkg, "TestAChangedLimit"},
 	{"long lists are told in parts", "core/peering/heartbeats.go", "const maxAddressesPerMessage = 60", "const maxAddressesPerMessage = 6000", peeringPkg, "TestAListOfHundredsOfEntriesIsSplit"},
 	{"a view is fetched within the zone", "core/peering/newer.go", "		if localOnly && m.zone != g.zone || ", "		if localOnly && false || ", peeringPkg, "TestAViewIsFetched"},
