--- a/core/placement/suspect_test.go
+++ b/core/placement/suspect_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry is cut off from a peer, which goes on sending prompts to its own servers unheard. This one avoids
-// those servers as long as others suffice, and uses them when the rest would be late.
+// An entry is cut off from a peer, which goes on sending prompts to its own servers. This one gets no updates
+// of them; it avoids those servers as long as others suffice, and uses them when the rest would be late.
 func TestServersOfSuspectPeersAreAvoided(t *testing.T) {
 	table, servers := newTable(), fleet(4)
 	q := shortQuery(servers)
@@ -24,7 +24,7 @@
 	require.Contains(t, []string{"s00", "s01"}, choose(t, table, q).Server.ID)
 }
 
-// An entry starts while a peer has work in progress. It hears of the open dispatches and their first events,
+// An entry starts while a peer has work in progress. It is sent the open dispatches and their first events,
 // with the remaining times, and records the same loads.
 func TestAPeerCanRecordOpenDispatches(t *testing.T) {
 	table, servers := newTable(), fleet(2)
--- a/core/quarantine/doc.go
+++ b/core/quarantine/doc.go
@@ -13,8 +13,8 @@
 //     there have been answered for longer.
 //   - A crash is attributed to the request that was at most crashes (Tracker.attributedCrashes). Requests beside
 //     the culprit are there once or twice, together with one that was there more often.
-//   - A complete answer clears a request, for the past and for a while after: it has run to its end, and its
-//     server lives.
+//   - A complete answer clears a request, for the past and for a while after: it has run to its end without a
+//     crash of its server.
 //
 // Entries that hold the same records decide alike, in whatever order they received them.
 package quarantine
--- a/core/wire/client.go
+++ b/core/wire/client.go
@@ -143,12 +143,12 @@
 // EntryServer answers other entries.
 type EntryServer struct {
 	Envelope func() *Envelope
-	// Exchange takes in what another entry remembers of requests under which servers end, and
-	// returns what this one does.
-	Exchange func(told []quarantine.Record) []quarantine.Record
+	// Exchange merges the records of another entry of requests under which servers have crashed,
+	// and returns the records of this one.
+	Exchange func(received []quarantine.Record) []quarantine.Record
 }
 
-// Quarantine exchanges what two entries remember.
-func (s *EntryServer) Quarantine(_ context.Context, told *QuarantineExchange) (*QuarantineExchange, error) {
-	return &QuarantineExchange{Envelope: s.Envelope(), Records: fromRecords(s.Exchange(toRecords(told.Records)))}, nil
+// Quarantine exchanges the quarantine records of two entries.
+func (s *EntryServer) Quarantine(_ context.Context, received *QuarantineExchange) (*QuarantineExchange, error) {
+	return &QuarantineExchange{Envelope: s.Envelope(), Records: fromRecords(s.Exchange(toRecords(received.Records)))}, nil
 }
--- a/entry/account/activity.go
+++ b/entry/account/activity.go
@@ -14,7 +14,7 @@
 	maxUnseen = 3
 )
 
-// prefill is the reading of one prompt, or of a part of one, at a server.
+// prefill describes a prompt, or a part of one, that a server prefills.
 type prefill struct {
 	at     time.Time
 	tokens int64
--- a/entry/gateway/crosszone_test.go
+++ b/entry/gateway/crosszone_test.go
@@ -109,7 +109,7 @@
 }
 
 // A service with zone-local routing is removed from the configuration while its servers are still
-// there. Otherwise other zones would be told forever that this one has no headroom, and would send
+// there. Otherwise this zone would report forever that it has no headroom, and other zones would send
 // it no requests.
 func TestARemovedServiceDoesNotCountForTheHeadroom(t *testing.T) {
 	w := newTestbed(t)
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -59,7 +59,7 @@
 }
 
 // An entry starts while a request of another one is open. It missed the update of that request, and
-// would consider the server free unless it is told again.
+// would consider the server free unless the update is sent again.
 func TestAStartedEntryLearnsOfOpenDispatches(t *testing.T) {
 	w := newTestbed(t)
 	w.configure(nil)
@@ -200,8 +200,8 @@
 	require.Empty(t, down.Runs())
 }
 
-// All entries start at once and know only a seed in another zone, which tells each of them of those
-// that were there before. Until the next heartbeat no other entry would hear of it, and all would
+// All entries start at once and know only a seed in another zone, which names to each of them those
+// that were there before. Until the next heartbeat no other entry would know of it, and all would
 // send their first requests to the same servers.
 func TestADiscoveredPeerIsContactedAtOnce(t *testing.T) {
 	w := newTestbed(t)
@@ -225,7 +225,7 @@
 	require.False(t, heard(remotePeer, 50*time.Millisecond), "heartbeats to other zones are sent in turn")
 }
 
-// An entry serves before it has heard of most others, and would spend many times its part of the
+// An entry serves before it knows most others, and would spend many times its part of the
 // shared retry budget.
 func TestARetryBudgetIsDividedByTheKnownEntries(t *testing.T) {
 	w := newTestbed(t)
