--- a/core/config/homes.go
+++ b/core/config/homes.go
@@ -97,9 +97,9 @@
 }
 
 // Check returns nil if a request with a caller-made key can run at this server. It
-// refuses keys created before this server owned the slot, plus an allowance for
-// clock skew, since they may have run at a former holder.
-func (h *HomeSlots) Check(service, key string, created time.Time, allowance time.Duration) *execution.Refusal {
+// refuses keys created before this server owned the slot, plus the bound on clock
+// skew, since they may have run at a former holder.
+func (h *HomeSlots) Check(service, key string, createdAt time.Time, skew time.Duration) *execution.Refusal {
 	if h.snapshot == nil {
 		return refuseNotHome("no configuration is in force")
 	}
@@ -111,7 +111,7 @@
 	if former := state.unretired(home); former != "" {
 		return refuseNotHome("the former home " + former + " is not stated to be retired")
 	}
-	if created.Before(state.ownedSince.Add(allowance)) {
+	if createdAt.Before(state.ownedSince.Add(skew)) {
 		return &execution.Refusal{Code: execution.CodeKeyHomeLost, Detail: "the key was made before this home held its slot"}
 	}
 	return nil
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -153,18 +153,18 @@
 	return Change{known.incarnationID, known.Service, stateOf(known.Server), "gone", "removed", revision}, true
 }
 
-// lapsedShare is the share of the known rows that must be missing at once for them to count as expired by an
+// expiredShare is the share of the known rows that must be missing at once for them to count as expired by an
 // outage. While the platform is down the rows of all servers expire. An entry that alone was cut off misses
 // only the rows of servers that were removed, and would send them work for the whole grace period.
-const lapsedShare = 0.25
+const expiredShare = 0.25
 
 // Replace applies a whole list, read at a revision. afterOutage says that the platform could not be read
 // before: if many rows are missing then, their servers are kept for ReturnGrace.
 func (d *Directory) Replace(now time.Time, servers []Server, revision uint64, afterOutage bool) []Change {
 	changes, missing := d.applyList(servers, revision)
-	lapsed := afterOutage && float64(len(missing)) > lapsedShare*float64(len(d.entries))
+	expired := afterOutage && float64(len(missing)) > expiredShare*float64(len(d.entries))
 	for _, id := range missing {
-		if lapsed {
+		if expired {
 			d.entries[id].markMissing(now)
 			continue
 		}
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -23,7 +23,7 @@
 
 // A lagging peer, or a watch event that repeats what was listed, delivers a row from before the removal.
 // Callers would be sent to a server that is gone.
-func TestAnOldRowDoesNotBringBackAServerThatLeft(t *testing.T) {
+func TestAnOldRowDoesNotRestoreARemovedServer(t *testing.T) {
 	d := New(Options{})
 	d.Upsert(row("a", 5, false))
 	d.Remove("a", 9)
--- a/core/evacuation/zones_test.go
+++ b/core/evacuation/zones_test.go
@@ -38,7 +38,7 @@
 }
 
 // The store comes back from a copy made before the evacuation, and the operators don't know that it is lost.
-func TestAnEvacuationOutlivesAStoreThatComesBackFromAnOlderCopy(t *testing.T) {
+func TestAnEvacuationOutlivesARestoreFromABackup(t *testing.T) {
 	var z Zones
 	z.Apply(evacuated("a", 5))
 	require.Equal(t, []State{evacuated("b", 8)}, z.Restore([]State{evacuated("b", 8)}))
--- a/core/frontend/core.go
+++ b/core/frontend/core.go
@@ -126,8 +126,8 @@
 // Pick chooses a server for a query. It returns false if no server is eligible.
 func (c *Core) Pick(now time.Time, q routing.Query) (routing.Decision, execution.Target, bool) {
 	q.Eligible, q.FirstSeen = c.view.Eligible, c.view.FirstObserved
-	reason, ok := c.picker.Pick(now, q, c.random)
-	return reason, execution.Target{Server: reason.Server, Incarnation: c.view.Incarnation(reason.Server)}, ok
+	decision, ok := c.picker.Pick(now, q, c.random)
+	return decision, execution.Target{Server: decision.Server, Incarnation: c.view.Incarnation(decision.Server)}, ok
 }
 
 // AttemptSent adds an attempt that is offered to a server to its load.
@@ -159,20 +159,20 @@
 
 // HandleOfferReply records a reply to an offer. A server with a full queue is
 // offered less work, but does not count as unhealthy.
-func (c *Core) HandleOfferReply(now time.Time, q routing.Query, workspace, server string, answer OfferReply) {
-	if answer.DemandKnown {
-		c.shares.Hint(now, workspace, answer.DemandShare)
+func (c *Core) HandleOfferReply(now time.Time, q routing.Query, workspace, server string, reply OfferReply) {
+	if reply.DemandKnown {
+		c.shares.Hint(now, workspace, reply.DemandShare)
 	}
-	if answer.Report != nil {
-		c.picker.Observe(q.Pool, server, *answer.Report)
+	if reply.Report != nil {
+		c.picker.Observe(q.Pool, server, *reply.Report)
 	}
-	if answer.Verdict == execution.Accepted {
+	if reply.Verdict == execution.Accepted {
 		c.picker.RecordAccepted(q.Pool, server)
 		return
 	}
 	c.picker.RecordEnded(q.Pool, server)
-	if answer.Refusal != nil && answer.Refusal.Code == execution.CodeQueueFull {
-		c.picker.RecordOverload(now, q.Pool, server, answer.Refusal.RetryAfter)
+	if reply.Refusal != nil && reply.Refusal.Code == execution.CodeQueueFull {
+		c.picker.RecordOverload(now, q.Pool, server, reply.Refusal.RetryAfter)
 	}
 }
 
--- a/core/membership/view_test.go
+++ b/core/membership/view_test.go
@@ -21,7 +21,7 @@
 
 // A server announces that it drains; then an earlier message arrives late, and the lagging list still shows the
 // server. It gets no new work until it has restarted.
-func TestViewLeavingIsSticky(t *testing.T) {
+func TestViewDrainingIsSticky(t *testing.T) {
 	v := liveView("a")
 	v.Observe(start, "a", "1", true)
 	require.False(t, v.Eligible("a"))
@@ -35,7 +35,7 @@
 
 // The list announces that a server drains. That is applied at once, except to a daemon so young that the list may
 // still mean the one before it.
-func TestViewListedAsLeaving(t *testing.T) {
+func TestViewListedAsDraining(t *testing.T) {
 	v := liveView("a")
 	v.ApplyHostList(start.Add(5*time.Second), []ListedServer{{Server: "a", Draining: true}})
 	require.True(t, v.Eligible("a"))
--- a/core/peering/readers_test.go
+++ b/core/peering/readers_test.go
@@ -97,7 +97,7 @@
 }
 
 // A reader is killed without notice. Two missed heartbeats reveal it, and the next by rank reads.
-func TestAReaderThatDiesIsReplaced(t *testing.T) {
+func TestAReaderThatTerminatesIsReplaced(t *testing.T) {
 	groups := zoneGroups(5, func(i int) int { return 10 - i })
 	for at := time.Duration(0); at <= 2*time.Second; at += HeartbeatInterval {
 		if at == 0 {
--- a/core/peering/start_test.go
+++ b/core/peering/start_test.go
@@ -65,7 +65,7 @@
 }
 
 // An entry that is alone in its zone, or whose seeds are down, waits a short time for others and then reads.
-func TestAnEntryThatHearsNoNeighbourReadsSoon(t *testing.T) {
+func TestAnEntryThatHearsNoPeerReadsSoon(t *testing.T) {
 	g := New("self:1", "here", "i", []string{"seed:1"})
 	g.SetReadOptions(ReadOptions{Limit: changeLimit})
 	require.True(t, g.NoPeerHeard())
--- a/core/peering/zones_test.go
+++ b/core/peering/zones_test.go
@@ -174,7 +174,7 @@
 
 // A seed of another zone starts after others. They have never heard it and would take it for a local entry for
 // ever; each of them sent it heartbeats twice a second.
-func TestASenderThatMistakesAnEntryForLocalIsToldItsZone(t *testing.T) {
+func TestASenderThatMistakesAnEntryForLocalIsSentItsZone(t *testing.T) {
 	g := New("seed:1", "there", "i", nil)
 	heartbeat := heartbeatFrom("self:1", "here")
 	require.False(t, g.MistakenForLocal(heartbeat))
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -301,7 +301,7 @@
 
 // A peer is killed with requests in progress and never reports their ends: they are removed when their
 // lifetime is over.
-func TestDispatchesOfADeadEntryExpire(t *testing.T) {
+func TestDispatchesOfATerminatedEntryExpire(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	addAnswer(table, "lost", "s00", shortQuery(servers))
 	require.Equal(t, 1, table.ActiveCount())
@@ -310,7 +310,7 @@
 	require.Zero(t, table.servers["s00"].memoryUsed())
 }
 
-func TestAPausedProcessForgetsLoads(t *testing.T) {
+func TestAPausedProcessDiscardsLoads(t *testing.T) {
 	table := newTable()
 	addAnswer(table, "old", "s00", shortQuery(fleet(1)))
 	table.Reset()
@@ -332,8 +332,8 @@
 	require.Equal(t, NoServer, refusal)
 }
 
-// A server goes down, and all entries of a zone notice at the same moment. The first one tells the others,
-// and each backs off for a different time, so that one of them finds out whether the server is back.
+// A server goes down, and all entries of a zone notice at the same moment. The first one reports it to the
+// others, and each backs off for a different time, so that one of them finds out whether the server is back.
 func TestPeersReportAnUnreachableServer(t *testing.T) {
 	servers := fleet(2)
 	notified := newTable()
@@ -348,7 +348,7 @@
 	require.Equal(t, start.Add(minBackoff*5/4), later.servers["s00"].health.backoffUntil)
 }
 
-// A server is back, and one entry's request has its first event there. The peers hear of it and use the
+// A server is back, and one entry's request has its first event there. The peers are notified and use the
 // server at once. A request that began before the failure proves nothing.
 func TestAFirstEventShowsThatAServerIsBack(t *testing.T) {
 	table, servers := newTable(), fleet(1)
--- a/entry/demo/demo.go
+++ b/entry/demo/demo.go
@@ -122,7 +122,7 @@
 		settings := host.Settings{Settings: commonSettings(generated.Common), Engines: generated.Engines, Services: generated.Services, SchedulingPolicy: string(policy)}
 		daemonOptions := host.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultMaxEvents))
 		if policy == scheduling.FirstComeFirstServed {
-			daemonOptions.Backend.Limits.WaitTolerance = disabledPatience
+			daemonOptions.Backend.Limits.WaitTolerance = disabledWaitTolerance
 		}
 		if err := host.New(daemonOptions).Start(t); err != nil {
 			return err
@@ -136,9 +136,9 @@
 	return entry.New(entry.DefaultOptions(settings, process.NewDiscardLogger(), audit.NewTrail(nil, audit.DefaultMaxEvents))).Start(t)
 }
 
-// disabledPatience is a Patience so large that hosts refuse no request early, as the baseline
-// without isolation has no early refusals.
-const disabledPatience = 1e4
+// disabledWaitTolerance is a WaitTolerance so large that hosts refuse no request early, as the
+// baseline without isolation has no early refusals.
+const disabledWaitTolerance = 1e4
 
 func commonSettings(c fleet.Common) process.Settings {
 	settings := process.Settings{Name: c.Name, Zone: c.Zone, AdminAddress: c.AdminAddress, AdminToken: c.AdminToken, Platform: c.Platform,
--- a/entry/server/driver.go
+++ b/entry/server/driver.go
@@ -153,11 +153,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d.t.query.Exclude = action.Exclude
-	reason, target, ok := s.core.Pick(time.Now(), d.t.query)
+	decision, target, ok := s.core.Pick(time.Now(), d.t.query)
 	if !ok {
 		return execution.NoTarget{Refusal: execution.Refusal{Code: execution.CodeNoServer, RetryAfter: time.Second}}
 	}
-	d.t.record.add(reason)
+	d.t.record.add(decision)
 	return execution.Picked{Target: target}
 }
 
--- a/entry/server/server.go
+++ b/entry/server/server.go
@@ -92,7 +92,7 @@
 		bodies:  admission.NewByteBudget(options.Settings.MaxOpenBytes),
 		routing: &routingLog{},
 		core:    frontend.New(options.Frontend),
-		pause:   membership.NewPauseDetector(pauseThreshold),
+		pause:   membership.NewPauseDetector(pauseLimit),
 		crashes: quarantine.NewTracker(),
 	}
 	s.Base = process.NewBase(process.BaseOptions{
--- a/entry/server/status.go
+++ b/entry/server/status.go
@@ -26,7 +26,7 @@
 	Took      time.Duration       `json:"tookNs"`
 }
 
-func (r *RoutingRecord) add(reason routing.Decision) { r.Picks = append(r.Picks, reason) }
+func (r *RoutingRecord) add(decision routing.Decision) { r.Picks = append(r.Picks, decision) }
 
 // maxRoutingRecords bounds the records that routingLog holds.
 const maxRoutingRecords = 500
--- a/entry/server/tick.go
+++ b/entry/server/tick.go
@@ -15,8 +15,8 @@
 const (
 	// tickInterval is the interval of the checks for due probes and for process pauses.
 	tickInterval = 100 * time.Millisecond
-	// pauseThreshold is the gap between two ticks from which the process counts as paused.
-	pauseThreshold = 2 * time.Second
+	// pauseLimit is the gap between two ticks from which the process counts as paused.
+	pauseLimit = 2 * time.Second
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
 	// maxProbes bounds the concurrent probes.
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -15,7 +15,7 @@
 	{"what was handed on is not handed on again", "core/peering/remote.go", "known == nil || known.lastDirect.IsZero() || now.Sub(known.lastDirect) >= summaryTTL", "known == nil", peeringPkg, "TestSummariesOfOtherZonesArePassedOn"},
 	{"older words of a zone change nothing", "core/peering/remote.go", "	if asOf.Before(z.asOf) {\n		return\n	}\n", "", peeringPkg, "TestSummariesOfOtherZonesArePassedOn"},
 	{"who speaks for a zone is told", "core/peering/remote.go", "m.Zone != g.zone && !g.isDelegate(now)", "m.Zone != g.zone && false", peeringPkg, "TestASenderToAnEntryThatIsNoDelegateIsRedirected"},
-	{"a mistaken entry is told the zone", "core/peering/remote.go", "	return g.scope != scopeAll && m.Digest != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestASenderThatMistakesAnEntryForLocalIsToldItsZone"},
+	{"a mistaken entry is told the zone", "core/peering/remote.go", "	return g.scope != scopeAll && m.Digest != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestASenderThatMistakesAnEntryForLocalIsSentItsZone"},
 	{"news cross zones through relays", "entry/gateway/peers.go", "	if shouldRelay {\n", "	if shouldRelay && false {\n", gatewayPkg, "TestAPlacementIsRelayedToAllEntriesOfItsZone"},
 	{"relayed news are not passed round", "core/peering/remote.go", "m.Relay && m.Zone != \"\" && m.Zone != g.zone", "m.Relay", peeringPkg, "TestEventsCrossZonesThroughRelays"},
 	{"a list that grows makes no zone near", "entry/gateway/peers.go", "	if enabled || !growing || p.group.KnowsScope() {", "	if true || growing {", gatewayPkg, "TestAGrowingServerListDoesNotMakeAllZonesLocal"},
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -81,7 +81,7 @@
 	{"peers are chosen at random", "core/config/sync.go", "min(int(s.random()*float64(len(s.peers))), len(s.peers)-1)", "s.peerRequests%len(s.peers)", configPkg, "TestWholeFleetRestarts"},
 	{"a slot's former holder is retired", "core/config/homes.go", "		if !slices.Contains(home.Retired, former) {", "		if false {", configPkg, "TestHomeSlotMoves"},
 	{"a slot begins when its last former holder is off", "core/config/homes.go", "	if exclusive && !s.exclusive {", "	if s.ownedSince.IsZero() {", configPkg, "TestHomeSlotMoves"},
-	{"a slot's own beginning", "core/config/homes.go", "	if created.Before(state.ownedSince.Add(allowance)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
+	{"a slot's own beginning", "core/config/homes.go", "	if createdAt.Before(state.ownedSince.Add(skew)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
 	{"a panic of the YAML library", "core/config/merge.go", "		if cause := recover(); cause != nil {", "		if cause := any(nil); cause != nil {", configPkg, "TestYAMLPanic"},
 	{"leaving is sticky", "core/membership/view.go", "	if m.drained[incarnation] && !draining {", "	if false {", "arbutusdeck/core/membership", "TestView"},
 	{"a list that shrinks is not believed", "core/membership/view.go", "	if missing > 1 && float64(missing)", "	if missing > 1000 && float64(missing)", "arbutusdeck/core/membership", "TestView"},
