--- a/core/backend/run.go
+++ b/core/backend/run.go
@@ -109,7 +109,7 @@
 }
 
 // Shutdown ends all attempts when the daemon shuts down. Attempts that have not started are refused as not run,
-// so that their entries can try another server at once; running attempts are stopped.
+// so that their entries can choose another server at once; running attempts are stopped.
 func (c *Core) Shutdown(now time.Time) []Effect {
 	var effects, stops []Effect
 	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
@@ -176,12 +176,12 @@
 // scheduling.
 func (c *Core) Tick(now time.Time) []Effect {
 	var effects []Effect
-	for _, lapsed := range c.ledger.Tick(now) {
-		if lapsed.StopRun {
-			effects = append(effects, c.stopRun(lapsed.Attempt)...)
+	for _, expired := range c.ledger.Tick(now) {
+		if expired.StopRun {
+			effects = append(effects, c.stopRun(expired.Attempt)...)
 			continue
 		}
-		effects = append(effects, c.closeAttempt(now, lapsed.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
+		effects = append(effects, c.closeAttempt(now, expired.Attempt, execution.NotRun, execution.Refusal{Code: execution.CodeLeaseExpired})...)
 	}
 	for _, lease := range c.leases.Tick(now) {
 		c.scheduler.Release(now, lease.Owner)
--- a/core/placement/choose.go
+++ b/core/placement/choose.go
@@ -179,7 +179,7 @@
 }
 
 // minPartTokens is the smallest part that a prompt is divided into. Below it, the steps of its chunks and the
-// hand-over cost more than the prefill.
+// transfer between servers cost more than the prefill.
 const minPartTokens = 4000
 
 // partCounts returns the numbers of parts to evaluate.
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -301,7 +301,7 @@
 
 // A peer is killed with requests in progress and never reports their ends: they are removed when their
 // lifetime is over.
-func TestDispatchesOfADeadEntryExpire(t *testing.T) {
+func TestDispatchesOfATerminatedEntryExpire(t *testing.T) {
 	table, servers := newTable(), fleet(1)
 	addAnswer(table, "lost", "s00", shortQuery(servers))
 	require.Equal(t, 1, table.ActiveCount())
@@ -310,7 +310,7 @@
 	require.Zero(t, table.servers["s00"].memoryUsed())
 }
 
-func TestAPausedProcessForgetsLoads(t *testing.T) {
+func TestAPausedProcessDiscardsLoads(t *testing.T) {
 	table := newTable()
 	addAnswer(table, "old", "s00", shortQuery(fleet(1)))
 	table.Reset()
@@ -342,13 +342,13 @@
 	require.Empty(t, refusal)
 	require.Equal(t, "s01", choice.Server.ID)
 	table.MarkUnreachableByPeer(start.Add(10*time.Millisecond), "s00", 1)
-	require.Equal(t, start.Add(backoffBase*3/4), table.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
+	require.Equal(t, start.Add(minBackoff*3/4), table.servers["s00"].health.backoffUntil, "a report of the same failure does not extend the backoff")
 	later := newTable()
 	later.MarkUnreachableByPeer(start, "s00", 1)
-	require.Equal(t, start.Add(backoffBase*5/4), later.servers["s00"].health.backoffUntil)
+	require.Equal(t, start.Add(minBackoff*5/4), later.servers["s00"].health.backoffUntil)
 }
 
-// A server is back, and one entry's request has its first event there. The peers hear of it and use the
+// A server is back, and one entry's request has its first event there. The peers are notified and use the
 // server at once. A request that began before the failure proves nothing.
 func TestAFirstEventShowsThatAServerIsBack(t *testing.T) {
 	table, servers := newTable(), fleet(1)
--- a/core/wire/client.go
+++ b/core/wire/client.go
@@ -92,8 +92,8 @@
 	return reply.Revision, ToFiles(reply.Files), nil
 }
 
-// ExchangeQuarantine tells another entry what this one remembers of requests under which servers
-// end, and returns what that one does.
+// ExchangeQuarantine sends another entry the records of requests under which servers have crashed,
+// and returns the records of that entry.
 func (d *Dialer) ExchangeQuarantine(ctx context.Context, peer config.Peer, envelope *Envelope, records []quarantine.Record) ([]quarantine.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -143,12 +143,12 @@
 // EntryServer answers other entries.
 type EntryServer struct {
 	Envelope func() *Envelope
-	// Exchange takes in what another entry remembers of requests under which servers end, and
-	// returns what this one does.
-	Exchange func(told []quarantine.Record) []quarantine.Record
+	// Exchange merges the records of another entry of requests under which servers have crashed,
+	// and returns the records of this one.
+	Exchange func(received []quarantine.Record) []quarantine.Record
 }
 
-// Quarantine exchanges what two entries remember.
-func (s *EntryServer) Quarantine(_ context.Context, told *QuarantineExchange) (*QuarantineExchange, error) {
-	return &QuarantineExchange{Envelope: s.Envelope(), Records: fromRecords(s.Exchange(toRecords(told.Records)))}, nil
+// Quarantine exchanges the quarantine records of two entries.
+func (s *EntryServer) Quarantine(_ context.Context, received *QuarantineExchange) (*QuarantineExchange, error) {
+	return &QuarantineExchange{Envelope: s.Envelope(), Records: fromRecords(s.Exchange(toRecords(received.Records)))}, nil
 }
--- a/entry/gateway/entries_test.go
+++ b/entry/gateway/entries_test.go
@@ -226,7 +226,7 @@
 	require.False(t, heard(remotePeer, 50*time.Millisecond), "heartbeats to other zones are sent in turn")
 }
 
-// An entry serves before it has heard of most others, and would spend many times its part of the
+// An entry serves before it knows most others, and would spend many times its part of the
 // shared retry budget.
 func TestARetryBudgetIsDividedByTheKnownEntries(t *testing.T) {
 	w := newTestbed(t)
--- a/entry/gateway/shutdown.go
+++ b/entry/gateway/shutdown.go
@@ -65,7 +65,7 @@
 	return max(since.Add(s.ShutdownTimeout()).Sub(now), time.Nanosecond)
 }
 
-// ShutdownTimeout returns how long a graceful shutdown waits for open requests.
+// ShutdownTimeout returns the time that a graceful shutdown waits for open requests.
 func (s *Server) ShutdownTimeout() time.Duration {
 	return max(s.settings.StopLimit.D()-shutdownMargin, shutdownMargin)
 }
--- a/proof/mutations/fleet_mutations_test.go
+++ b/proof/mutations/fleet_mutations_test.go
@@ -15,7 +15,7 @@
 	{"a forwarded summary is not forwarded again", "core/peering/remote.go", "known == nil || known.lastDirect.IsZero() || now.Sub(known.lastDirect) >= summaryTTL", "known == nil", peeringPkg, "TestSummariesOfOtherZonesArePassedOn"},
 	{"an older summary of a zone is ignored", "core/peering/remote.go", "	if asOf.Before(z.asOf) {\n		return\n	}\n", "", peeringPkg, "TestSummariesOfOtherZonesArePassedOn"},
 	{"an entry that is mistaken for a delegate names the delegates", "core/peering/remote.go", "m.Zone != g.zone && !g.isDelegate(now)", "m.Zone != g.zone && false", peeringPkg, "TestASenderToAnEntryThatIsNoDelegateIsRedirected"},
-	{"an entry that is mistaken for a local member names its zone", "core/peering/remote.go", "	return g.scope != scopeAll && m.Digest != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestASenderThatMistakesAnEntryForLocalIsToldItsZone"},
+	{"an entry that is mistaken for a local member names its zone", "core/peering/remote.go", "	return g.scope != scopeAll && m.Digest != 0 && m.Zone", "	return false && m.Zone", peeringPkg, "TestASenderThatMistakesAnEntryForLocalIsSentItsZone"},
 	{"events reach other zones through relays", "entry/gateway/peers.go", "	if shouldRelay {\n", "	if shouldRelay && false {\n", gatewayPkg, "TestAPlacementIsRelayedToAllEntriesOfItsZone"},
 	{"a relay does not forward events of its own zone", "core/peering/remote.go", "m.Relay && m.Zone != \"\" && m.Zone != g.zone", "m.Relay", peeringPkg, "TestEventsCrossZonesThroughRelays"},
 	{"a growing list makes no remote zone local", "entry/gateway/peers.go", "	if enabled || !growing || p.group.KnowsScope() {", "	if true || growing {", gatewayPkg, "TestAGrowingServerListDoesNotMakeAllZonesLocal"},
--- a/proof/mutations/mutations_test.go
+++ b/proof/mutations/mutations_test.go
@@ -80,7 +80,7 @@
 	{"peers are chosen at random", "core/config/sync.go", "min(int(s.random()*float64(len(s.peers))), len(s.peers)-1)", "s.peerRequests%len(s.peers)", configPkg, "TestWholeFleetRestarts"},
 	{"a slot's former holder is retired", "core/config/homes.go", "		if !slices.Contains(home.Retired, former) {", "		if false {", configPkg, "TestHomeSlotMoves"},
 	{"a slot starts when its last former holder is retired", "core/config/homes.go", "	if exclusive && !s.exclusive {", "	if s.ownedSince.IsZero() {", configPkg, "TestHomeSlotMoves"},
-	{"keys older than a slot are refused", "core/config/homes.go", "	if created.Before(state.ownedSince.Add(allowance)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
+	{"keys older than a slot are refused", "core/config/homes.go", "	if createdAt.Before(state.ownedSince.Add(skew)) {", "	if false {", configPkg, "TestHomeSlotMoves"},
 	{"a panic of the YAML library is contained", "core/config/merge.go", "		if cause := recover(); cause != nil {", "		if cause := any(nil); cause != nil {", configPkg, "TestYAMLPanic"},
 	{"draining is sticky", "core/membership/view.go", "	if m.drained[incarnation] && !draining {", "	if false {", "arbutusdeck/core/membership", "TestView"},
 	{"a list that shrinks too much is not trusted", "core/membership/view.go", "	if missing > 1 && float64(missing)", "	if missing > 1000 && float64(missing)", "arbutusdeck/core/membership", "TestView"},
