--- a/core/admission/shares.go
+++ b/core/admission/shares.go
@@ -38,8 +38,9 @@
 }
 
 // wait returns the time until the level reaches the cost. A cost above the
-// bucket's size waits for a full bucket; the level then goes below zero, so that
-// the excess of a very long prompt delays the requests after it.
+// bucket's size waits for a full bucket. After a prompt of, say, a million tokens
+// the level is below zero, and the requests after it wait until the excess is
+// paid back.
 func (b *bucket) wait(rate, cost float64) time.Duration {
 	need := min(cost, max(rate*quotaBurstSeconds, 1))
 	if b.level >= need {
--- a/core/peering/readers.go
+++ b/core/peering/readers.go
@@ -18,8 +18,8 @@
 	// readStagger is the delay between entries of consecutive ranks that read the store for lack of fresh state:
 	// the success of the first one mostly spares the others the read.
 	readStagger = 50 * time.Millisecond
-	// heartbeatSlack bounds the excess of the age of the staleness of a healthy reader, as others see it, over its poll
-	// delay and long poll: one heartbeat interval and the transmission.
+	// heartbeatSlack is by how much the age of a healthy reader's state, as other entries see it, may exceed the
+	// reader's poll delay plus its long poll: one heartbeat interval and the transmission.
 	heartbeatSlack = HeartbeatInterval + 100*time.Millisecond
 	// pollDelayShare is the part of the limit on changes that a reader waits between two calls, so that changes
 	// in quick succession come in one answer.
--- a/core/process/run_test.go
+++ b/core/process/run_test.go
@@ -26,10 +26,10 @@
 	return c.Conn.Write(data)
 }
 
-// Callers of long streams received all events but not the end of the response: the stream was the last open
-// request of an entry that was shutting down. The request counted as closed when its handler returned, and the
-// process closed all connections while the server still had the end of the stream in its buffer. Before the
-// fix, 5 of 2,800 entries with four threads truncated a stream in this way; after it, none of 3,000 did.
+// When a handler returns, the server may still have the end of the response in its buffer. If an entry that shuts
+// down closes its connections as soon as the handler of its last open request returns, the caller of a long stream
+// receives all events but not the end of the response. With this early close, 5 of 2,800 entries with four threads
+// truncated a stream; with the wait for the server's write, none of 3,000 did.
 func TestBufferedResponseIsWrittenBeforeExit(t *testing.T) {
 	for name, flush := range map[string]bool{"stream": true, "whole answer": false} {
 		t.Run(name, func(t *testing.T) {
--- a/proof/regression/regression.go
+++ b/proof/regression/regression.go
@@ -16,7 +16,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Tolerance is the drop of a deployment's mean that is accepted; it is smaller than the spread of
+// Tolerance is the accepted drop of a deployment's mean; smaller drops are within the spread of
 // single runs.
 const Tolerance = 0.03
 
